--- a/azureway-core/src/fleet/own_work.rs
+++ b/azureway-core/src/fleet/local_work.rs
@@ -14,14 +14,14 @@
 /// `LAG_MAX` after its start, so that work of an earlier period than the last one is
 /// older than the lag of any report, and only the last two can be missing from it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnWork {
+pub struct LocalWork {
     period: u64,
     since: Timestamp,
     recent: [Work; 2],
     old: Work,
 }
 
-impl OwnWork {
+impl LocalWork {
     /// Creates an empty ledger.
     pub fn new() -> Self {
         Self::default()
@@ -41,14 +41,14 @@
     /// Notes a request with `owed` prompt tokens to compute, and returns its period.
     pub fn begin(&mut self, owed: TokenCount) -> u64 {
         self.recent[0].add(Work {
-            flights: 1,
+            in_flight: 1,
             pending: owed,
         });
         self.period
     }
 
     /// Notes that `owed` prompt tokens of a request of `period` are computed or will not be.
-    pub fn settle(&mut self, period: u64, owed: TokenCount) {
+    pub fn finish_prefill(&mut self, period: u64, owed: TokenCount) {
         let work = self.of(period);
         work.pending = work.pending.saturating_sub(owed);
     }
@@ -56,7 +56,7 @@
     /// Notes that a request of `period` has ended.
     pub fn end(&mut self, period: u64) {
         let work = self.of(period);
-        work.flights = work.flights.saturating_sub(1);
+        work.in_flight = work.in_flight.saturating_sub(1);
     }
 
     /// Returns the work that a report may not hold yet.
--- a/azureway-core/src/fleet/told_work.rs
+++ b/azureway-core/src/fleet/reported_work.rs
@@ -11,7 +11,7 @@
 /// with an answer, and a server that is taken to be full gets no request that could bring one:
 /// what a sample told fades with time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ToldWork {
+pub struct ReportedWork {
     work: Work,
     /// When it was told, if that was beside an answer.
     sampled: Option<Timestamp>,
@@ -20,7 +20,7 @@
 /// How long a sample tells of a server: by then about as many requests have ended as run.
 const SAMPLE_LIFE: Duration = Duration::from_secs(1);
 
-impl ToldWork {
+impl ReportedWork {
     /// Takes in a report.
     pub const fn report(&mut self, work: Work) {
         self.work = work;
@@ -28,19 +28,19 @@
     }
 
     /// Takes in the number of requests that was told beside an answer.
-    pub const fn sample(&mut self, flights: u32, now: Timestamp) {
-        self.work.flights = flights;
+    pub const fn sample(&mut self, in_flight: u32, now: Timestamp) {
+        self.work.in_flight = in_flight;
         self.sampled = Some(now);
     }
 
     /// Returns the requests that are left of those that were told of.
-    pub fn flights(&self, now: Timestamp) -> u32 {
+    pub fn in_flight(&self, now: Timestamp) -> u32 {
         let Some(at) = self.sampled else {
-            return self.work.flights;
+            return self.work.in_flight;
         };
         let left = SAMPLE_LIFE.saturating_sub(now.since(at)).as_millis();
         let whole = SAMPLE_LIFE.as_millis();
-        u32::try_from(u128::from(self.work.flights) * left / whole).unwrap_or(u32::MAX)
+        u32::try_from(u128::from(self.work.in_flight) * left / whole).unwrap_or(u32::MAX)
     }
 
     /// Returns the prompt tokens that were told of.
--- a/azureway-core/src/fleet/server_state.rs
+++ b/azureway-core/src/fleet/server_state.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Health, LoadReport, LoadSample, OwnWork, SlotShare, ToldWork, Work};
+use super::{Health, LoadReport, LoadSample, LocalWork, ReportedWork, SlotShare, Work};
 use crate::domain::{
     BackendServer, Incarnation, Loaded, Rank, Timestamp, TokenCount, WeightsVersion,
 };
@@ -36,14 +36,14 @@
     pub incarnation: Incarnation,
     /// The weights version that it has loaded, once it is known.
     pub weights: Option<WeightsVersion>,
-    own: OwnWork,
+    own: LocalWork,
     share: SlotShare,
-    told: ToldWork,
+    told: ReportedWork,
     stay: Duration,
     heard: Timestamp,
     listed: bool,
     health: Health,
-    trial: Timestamp,
+    retry_at: Timestamp,
     /// Until when it is left alone after it rejected a request though it had slots.
     held: Timestamp,
 }
@@ -56,31 +56,31 @@
             incarnation: server.loaded.map_or(Incarnation::ZERO, |l| l.incarnation),
             weights: server.loaded.and_then(|l| l.weights),
             server,
-            own: OwnWork::new(),
-            told: ToldWork::default(),
+            own: LocalWork::new(),
+            told: ReportedWork::default(),
             stay: DEFAULT_STAY,
             heard: Timestamp::ZERO,
             listed: false,
             health: Health::Live,
-            trial: Timestamp::ZERO,
+            retry_at: Timestamp::ZERO,
             held: Timestamp::ZERO,
         }
     }
 
     /// Takes over a changed configuration or number of entries. Returns whether what is known
     /// of its cache no longer holds.
-    pub fn adopt(&mut self, server: &BackendServer, entries: u32) -> bool {
+    pub fn reconfigure(&mut self, server: &BackendServer, entries: u32) -> bool {
         self.share.resize(server.slots, entries);
         let old = std::mem::replace(&mut self.server, server.clone()).loaded;
         match server.loaded {
-            Some(loaded) if old != Some(loaded) => self.list(loaded),
+            Some(loaded) if old != Some(loaded) => self.apply_listing(loaded),
             _ => false,
         }
     }
 
     /// Takes in what the platform's list says anew. Returns whether what is known of the
     /// server's cache no longer holds.
-    pub fn list(&mut self, loaded: Loaded) -> bool {
+    pub fn apply_listing(&mut self, loaded: Loaded) -> bool {
         if loaded.incarnation < self.incarnation {
             return false;
         }
@@ -100,7 +100,7 @@
 
     /// Takes in that the server is about to load weights and takes no work meanwhile, or has
     /// loaded them. Returns whether what is known of its cache no longer holds.
-    pub fn load_weights(&mut self, loading: &Loading, now: Timestamp) -> bool {
+    pub fn apply_loading(&mut self, loading: &Loading, now: Timestamp) -> bool {
         let newer = self.weights.is_none_or(|had| had < loading.weights);
         let done = loading.time.is_zero();
         if newer && done {
@@ -114,11 +114,11 @@
 
     /// Takes in what an answer told. Returns whether what is known of the server's cache no
     /// longer holds.
-    pub fn sample(&mut self, sample: &LoadSample, now: Timestamp) -> bool {
+    pub fn apply_sample(&mut self, sample: &LoadSample, now: Timestamp) -> bool {
         if let Some((running, queued)) = sample.load {
             self.own.roll(now);
             self.told.sample(running + queued, now);
-            let own = self.own.total().flights;
+            let own = self.own.total().in_flight;
             self.share.observe(running + queued, own, now);
         }
         let other = sample
@@ -133,7 +133,7 @@
     }
 
     /// Takes in a report.
-    pub fn report(&mut self, report: &LoadReport, now: Timestamp) {
+    pub fn apply_report(&mut self, report: &LoadReport, now: Timestamp) {
         if report.incarnation < self.incarnation {
             return;
         }
@@ -142,10 +142,11 @@
         self.own.roll(now);
         self.heard = now;
         self.told.report(Work {
-            flights: report.running + report.queued,
+            in_flight: report.running + report.queued,
             pending: report.pending,
         });
-        self.share.report(report, self.own.total().flights, now);
+        self.share
+            .apply_report(report, self.own.total().in_flight, now);
         self.health = match (self.health, report.leaving) {
             (_, true) => Health::Leaving,
             // A server that was leaving and says that it is not has been taken back.
@@ -156,7 +157,7 @@
 
     /// Takes in what another entry said. Only the server's own report takes it back, and news
     /// of an earlier incarnation is dropped.
-    pub fn hear(&mut self, news: &ServerNews) {
+    pub fn apply_news(&mut self, news: &ServerNews) {
         if news.sign == ServerSign::Leaving && news.incarnation >= self.incarnation {
             self.health = Health::Leaving;
         }
@@ -164,7 +165,7 @@
 
     /// Notes whether the platform lists the server as leaving. The list lags, so what the
     /// server or an entry says counts beside it.
-    pub const fn set_listed(&mut self, leaving: bool) {
+    pub const fn set_listed_leaving(&mut self, leaving: bool) {
         self.listed = leaving;
     }
 
@@ -180,18 +181,18 @@
     }
 
     /// Notes that `owed` prompt tokens of a request were computed or will not be.
-    pub fn settle(&mut self, period: u64, owed: TokenCount) {
-        self.own.settle(period, owed);
+    pub fn finish_prefill(&mut self, period: u64, owed: TokenCount) {
+        self.own.finish_prefill(period, owed);
     }
 
     /// Notes that a request that still owed some prompt tokens is no longer in flight here.
     pub fn release(&mut self, period: u64, owed: TokenCount) {
-        self.own.settle(period, owed);
+        self.own.finish_prefill(period, owed);
         self.own.end(period);
     }
 
     /// Notes a failure at `now`. Returns whether what is known of its cache no longer holds.
-    pub fn blame(&mut self, failure: &Failure, now: Timestamp) -> bool {
+    pub fn record_failure(&mut self, failure: &Failure, now: Timestamp) -> bool {
         match failure.kind {
             // Its weights have changed since they were listed, or the server is another one.
             FailureKind::Mismatch if self.server.loaded.is_some() => {
@@ -212,7 +213,7 @@
             FailureKind::Busy if failure.is_full() && self.has_slots(now) => {
                 self.held = now + HOLD_TIME;
             }
-            FailureKind::Busy if failure.is_full() => self.share.refused(self.flights(), now),
+            FailureKind::Busy if failure.is_full() => self.share.refused(self.in_flight(), now),
             // A silent connection says nothing of the server: something between the two ends
             // may have lost track of it while new connections work.
             FailureKind::Busy | FailureKind::Silent | FailureKind::Declined => {}
@@ -224,10 +225,10 @@
     }
 
     /// Notes an answer that was complete after `time`, which ends a suspicion.
-    pub fn clear(&mut self, time: Duration, now: Timestamp) {
+    pub fn record_success(&mut self, time: Duration, now: Timestamp) {
         self.stay = (self.stay * (STAY_MEMORY - 1) + time) / STAY_MEMORY;
-        let flights = self.flights();
-        self.share.answered(flights, now);
+        let in_flight = self.in_flight();
+        self.share.answered(in_flight, now);
         if self.health == Health::Suspect {
             self.health = Health::Live;
         }
@@ -245,18 +246,18 @@
     pub fn accepts(&self, now: Timestamp) -> bool {
         match self.health() {
             Health::Live => now >= self.held,
-            Health::Suspect => now > self.trial && now >= self.held,
+            Health::Suspect => now > self.retry_at && now >= self.held,
             Health::Leaving => false,
         }
     }
 
     /// Tells whether this entry may fill one more slot here. `owed` lets drafting have the
     /// slots that it otherwise leaves to urgent work.
-    pub fn has_room(&self, rank: Rank, owed: bool, now: Timestamp) -> bool {
+    pub fn has_capacity(&self, rank: Rank, owed: bool, now: Timestamp) -> bool {
         let reserve = self.server.slots * URGENT_RESERVE / 100;
         // The server lets urgent work that waits in it go before the drafting of others.
         let over = if rank == Rank::Urgent { reserve } else { 0 };
-        let room = self.share.allows(self.flights(), over, now);
+        let room = self.share.allows(self.in_flight(), over, now);
         let kept = match rank {
             Rank::Drafting if !owed => reserve,
             Rank::Drafting | Rank::Urgent => 0,
@@ -265,21 +266,21 @@
     }
 
     /// Returns when a server that failed or refused is tried again.
-    pub fn trial(&self) -> Option<Timestamp> {
+    pub fn retry_at(&self) -> Option<Timestamp> {
         match self.health {
-            Health::Suspect => Some(self.trial),
+            Health::Suspect => Some(self.retry_at),
             Health::Live => self.share.paused().max(Some(self.held)),
             Health::Leaving => None,
         }
     }
 
     /// Returns the requests of this entry in flight here.
-    pub fn flights(&self) -> u32 {
-        self.own.total().flights
+    pub fn in_flight(&self) -> u32 {
+        self.own.total().in_flight
     }
 
     /// Tells whether the server used to report and has stopped. It may be dead or cut off.
-    pub fn is_quiet(&self, now: Timestamp) -> bool {
+    pub fn is_stale(&self, now: Timestamp) -> bool {
         self.heard > Timestamp::ZERO && now.since(self.heard) > QUIET_TIME
     }
 
@@ -289,7 +290,7 @@
     }
 
     /// Returns the prompt tokens ahead of a new request, as far as they are known.
-    pub fn ahead(&self) -> TokenCount {
+    pub fn pending_tokens(&self) -> TokenCount {
         let seen = self.told.pending().max(self.own.seen().pending);
         // What this entry sent since the report, the other entries are taken to have sent
         // too: all choose by the same report, and must not all choose the same server.
@@ -316,8 +317,8 @@
 
     /// Returns the requests that the server runs or holds, as far as they are known.
     pub fn load(&self, now: Timestamp) -> u32 {
-        let seen = self.told.flights(now).max(self.own.seen().flights);
-        seen + self.own.unseen().flights * self.unseen_weight()
+        let seen = self.told.in_flight(now).max(self.own.seen().in_flight);
+        seen + self.own.unseen().in_flight * self.unseen_weight()
     }
 
     /// Tells whether a listed server should have slots, as far as its load is known.
@@ -328,7 +329,7 @@
     fn suspect(&mut self, now: Timestamp) {
         if self.health != Health::Leaving {
             self.health = Health::Suspect;
-            self.trial = now + SUSPECT_TIME;
+            self.retry_at = now + SUSPECT_TIME;
         }
     }
 }
--- a/azureway-core/src/fleet/server_table.rs
+++ b/azureway-core/src/fleet/server_table.rs
@@ -29,7 +29,7 @@
 
     /// Takes over the servers of a new configuration and keeps what is known of old ones.
     /// Returns the servers of which nothing holds any more.
-    pub fn adopt(&mut self, fleet: &Fleet) -> Vec<ServerId> {
+    pub fn reconfigure(&mut self, fleet: &Fleet) -> Vec<ServerId> {
         let entries = self.entries;
         let old = std::mem::take(&mut self.servers);
         let mut old: HashMap<_, _> = old.into_iter().map(|s| (s.server.id.clone(), s)).collect();
@@ -43,8 +43,8 @@
                 same
             });
             let mut state = kept.unwrap_or_else(|| ServerState::new(server.clone(), entries));
-            gone.extend(state.adopt(server, entries).then(|| id.clone()));
-            state.set_listed(self.leaving.contains(id));
+            gone.extend(state.reconfigure(server, entries).then(|| id.clone()));
+            state.set_listed_leaving(self.leaving.contains(id));
             self.servers.push(state);
         }
         gone.extend(old.into_keys());
@@ -57,7 +57,7 @@
         self.entries = entries.max(1);
         for state in &mut self.servers {
             let server = state.server.clone();
-            state.adopt(&server, self.entries);
+            state.reconfigure(&server, self.entries);
         }
     }
 
@@ -67,39 +67,39 @@
     }
 
     /// Takes in a report. Returns the pool of the server.
-    pub fn report(&mut self, report: &LoadReport, now: Timestamp) -> Option<&PoolId> {
+    pub fn apply_report(&mut self, report: &LoadReport, now: Timestamp) -> Option<&PoolId> {
         let state = self.get_mut(&report.server)?;
-        state.report(report, now);
+        state.apply_report(report, now);
         Some(&state.server.pool)
     }
 
     /// Takes in what another entry said of a server.
-    pub fn hear(&mut self, news: &ServerNews) {
+    pub fn apply_news(&mut self, news: &ServerNews) {
         if let Some(state) = self.get_mut(&news.server) {
-            state.hear(news);
+            state.apply_news(news);
         }
     }
 
     /// Takes in that a server is about to load weights or has loaded them. Returns whether
     /// what is known of its cache no longer holds.
-    pub fn load(&mut self, loading: &Loading, now: Timestamp) -> bool {
+    pub fn apply_loading(&mut self, loading: &Loading, now: Timestamp) -> bool {
         let state = self.get_mut(&loading.server);
-        state.is_some_and(|s| s.load_weights(loading, now))
+        state.is_some_and(|s| s.apply_loading(loading, now))
     }
 
     /// Notes which servers the platform lists as leaving, also for those that a later
     /// configuration brings.
-    pub fn list_leaving(&mut self, list: &[ServerId]) {
+    pub fn set_listed_leaving(&mut self, list: &[ServerId]) {
         self.leaving = list.to_vec();
         for state in &mut self.servers {
-            state.set_listed(list.contains(&state.server.id));
+            state.set_listed_leaving(list.contains(&state.server.id));
         }
     }
 
     /// Returns the time, not before `now`, at which the next suspected server is tried again.
-    pub fn next_trial(&self, now: Timestamp) -> Option<Timestamp> {
-        let trials = self.servers.iter().filter_map(ServerState::trial);
-        trials.filter(|t| *t >= now).min()
+    pub fn next_retry(&self, now: Timestamp) -> Option<Timestamp> {
+        let times = self.servers.iter().filter_map(ServerState::retry_at);
+        times.filter(|t| *t >= now).min()
     }
 
     /// Returns a server.
@@ -118,14 +118,14 @@
     }
 
     /// Returns the servers of a pool in the order of their names.
-    pub fn of_pool(&self, pool: &PoolId) -> std::slice::Iter<'_, ServerState> {
+    pub fn in_pool(&self, pool: &PoolId) -> std::slice::Iter<'_, ServerState> {
         let range = self.pools.get(pool).cloned().unwrap_or_default();
         self.servers[range].iter()
     }
 
     /// Tells whether every server of a pool refuses a second call with the same key by itself.
     pub fn all_keyed(&self, pool: &PoolId) -> bool {
-        let mut servers = self.of_pool(pool).peekable();
+        let mut servers = self.in_pool(pool).peekable();
         servers.peek().is_some() && servers.all(|s| s.server.keyed)
     }
 
--- a/azureway-core/src/fleet/slot_share.rs
+++ b/azureway-core/src/fleet/slot_share.rs
@@ -50,7 +50,7 @@
     }
 
     /// Takes in a report. `own` is the number of this entry's requests there.
-    pub fn report(&mut self, report: &LoadReport, own: u32, now: Timestamp) {
+    pub fn apply_report(&mut self, report: &LoadReport, own: u32, now: Timestamp) {
         self.observe(report.running + report.queued, own, now);
     }
 
@@ -67,25 +67,25 @@
         self.bound = bound.max(self.equal()).min(self.slots);
     }
 
-    /// Notes that the server refused for lack of room while `flights` requests were there.
-    pub fn refused(&mut self, flights: u32, now: Timestamp) {
-        self.bound = self.bound.min(flights.max(1));
+    /// Notes that the server refused for lack of room while `in_flight` requests were there.
+    pub fn refused(&mut self, in_flight: u32, now: Timestamp) {
+        self.bound = self.bound.min(in_flight.max(1));
         self.paused = Some(now + PAUSE);
     }
 
-    /// Notes a good end while `flights` requests are left. Without reports it is the only
+    /// Notes a good end while `in_flight` requests are left. Without reports it is the only
     /// sign that the server takes more.
-    pub fn answered(&mut self, flights: u32, now: Timestamp) {
-        if !self.is_fresh(now) && flights + 1 >= self.bound {
+    pub fn answered(&mut self, in_flight: u32, now: Timestamp) {
+        if !self.is_fresh(now) && in_flight + 1 >= self.bound {
             self.bound = (self.bound + 1).min(self.slots);
         }
     }
 
-    /// Tells whether this entry may add to the `flights` requests that it has there, up to
+    /// Tells whether this entry may add to the `in_flight` requests that it has there, up to
     /// `over` beyond its part but never beyond the slots.
-    pub fn allows(&self, flights: u32, over: u32, now: Timestamp) -> bool {
+    pub fn allows(&self, in_flight: u32, over: u32, now: Timestamp) -> bool {
         let bound = (self.bound(now) + over).min(self.slots);
-        self.paused.is_none_or(|end| end < now) && flights < bound
+        self.paused.is_none_or(|end| end < now) && in_flight < bound
     }
 
     /// Returns the end of the pause after the last refusal.
--- a/azureway-core/src/fleet/work.rs
+++ b/azureway-core/src/fleet/work.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
     /// The requests.
-    pub flights: u32,
+    pub in_flight: u32,
     /// The prompt tokens that are yet to be computed for them.
     pub pending: TokenCount,
 }
@@ -14,7 +14,7 @@
 impl Work {
     /// Adds other work to this.
     pub fn add(&mut self, other: Self) {
-        self.flights += other.flights;
+        self.in_flight += other.in_flight;
         self.pending += other.pending;
     }
 
--- a/azureway-core/src/route/estimate.rs
+++ b/azureway-core/src/route/estimate.rs
@@ -33,7 +33,7 @@
         let missing = job.prompt.saturating_sub(candidate.cached);
         let prefill = server.prefill.time_for(missing);
         Self {
-            wait: server.prefill.time_for(state.ahead()) + state.slot_wait(now),
+            wait: server.prefill.time_for(state.pending_tokens()) + state.slot_wait(now),
             prefill,
             crowd: prefill.saturating_mul(CROWD * state.load(now)) / server.slots.max(1),
             link: candidate.link * 2,
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -65,14 +65,14 @@
             Event::Peers(count) => self.sender.servers_mut().set_entries(count),
             Event::Listed(count) => self.list(count),
             Event::Demand(demand) => self.limits.share_mut().hear(demand, now),
-            Event::Server(news) => self.sender.servers_mut().hear(news),
+            Event::Server(news) => self.sender.servers_mut().apply_news(news),
             Event::Loading(loading) => {
                 self.sender.load(loading, now);
                 self.queues.mark_all();
             }
             Event::Strike(strike) => self.struck(strike, now, out),
             Event::Leaving(list) => {
-                self.sender.servers_mut().list_leaving(list);
+                self.sender.servers_mut().set_listed_leaving(list);
                 self.queues.mark_all();
             }
             Event::Draining => self.draining = true,
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -61,7 +61,7 @@
 
     /// Takes over the servers of a new configuration.
     pub fn adopt(&mut self, fleet: &Fleet, now: Timestamp) {
-        for gone in self.servers.adopt(fleet) {
+        for gone in self.servers.reconfigure(fleet) {
             self.index.forget(&gone);
         }
         // Servers that only the list tells of have no news of their own to begin with.
@@ -92,12 +92,12 @@
     /// Takes in a report. Returns the pool of the server.
     pub fn report(&mut self, report: &LoadReport, now: Timestamp) -> Option<&PoolId> {
         self.guard.hear(&report.server, report.incarnation, now);
-        self.servers.report(report, now)
+        self.servers.apply_report(report, now)
     }
 
     /// Takes in that a server is about to load weights or has loaded them.
     pub fn load(&mut self, loading: &Loading, now: Timestamp) {
-        if self.servers.load(loading, now) {
+        if self.servers.apply_loading(loading, now) {
             self.index.forget(&loading.server);
         }
     }
@@ -105,7 +105,7 @@
     /// Takes in what an answer told of its server. Returns the server's pool.
     pub fn sample(&mut self, sample: &LoadSample, now: Timestamp) -> Option<&PoolId> {
         let state = self.servers.get_mut(&sample.server)?;
-        if state.sample(sample, now) {
+        if state.apply_sample(sample, now) {
             self.index.forget(&sample.server);
         }
         Some(&state.server.pool)
@@ -165,7 +165,7 @@
             return false;
         };
         if let Some(state) = self.servers.get_mut(&flight.server) {
-            state.settle(flight.period, flight.owed());
+            state.finish_prefill(flight.period, flight.owed());
         }
         flight.started = true;
         true
@@ -176,7 +176,7 @@
         let flight = self.flights.take(attempt)?;
         self.untrack(&flight, now);
         if let Some(state) = self.servers.get_mut(&flight.server) {
-            state.clear(now.since(flight.begun), now);
+            state.record_success(now.since(flight.begun), now);
         }
         self.guard.finish(&flight.request, now);
         Some(flight)
@@ -189,7 +189,7 @@
         self.untrack(&flight, now);
         self.accuse(&flight, failure, now);
         let state = self.servers.get_mut(&flight.server);
-        let unknown = state.is_some_and(|s| s.blame(failure, now));
+        let unknown = state.is_some_and(|s| s.record_failure(failure, now));
         if unknown {
             self.index.forget(&flight.server);
         }
--- a/azureway-core/src/router/obstacle.rs
+++ b/azureway-core/src/router/obstacle.rs
@@ -38,7 +38,7 @@
         if !want.fits(state, service, now) {
             return Self::Weights;
         }
-        match want.has_room(state, now) {
+        match want.has_capacity(state, now) {
             true => Self::Far,
             false => Self::Full,
         }
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -62,7 +62,7 @@
         let job = want.job(service);
         let found = self.candidates(job, want, service, now);
         let best = policy.choose(job, &found, now).map(|place| found[place]);
-        let of_pool = self.servers.of_pool(&service.pool);
+        let of_pool = self.servers.in_pool(&service.pool);
         let order = Rendezvous::new(job.prefix);
         let options = of_pool.map(|state| {
             let candidate = self.find(&found, state, want.request, &order);
@@ -167,14 +167,14 @@
         found: &mut Candidates<'a>,
     ) -> bool {
         let order = Rendezvous::new(want.request.chain.prefix());
-        let near = self.servers.of_pool(&service.pool);
-        let near = near.filter(|s| s.is_quiet(now) == quiet);
+        let near = self.servers.in_pool(&service.pool);
+        let near = near.filter(|s| s.is_stale(now) == quiet);
         let near = near.filter(|s| reach.is_none_or(|r| self.reach(s) == r));
         let near = near.filter(|s| want.fits(s, service, now));
         let mut fit: SmallVec<[(u64, &ServerState); 16]> =
             near.map(|s| (order.weight(&s.server.id), s)).collect();
         let bound = self.home_bound(want.request, &fit, now);
-        fit.retain(|(_, s)| want.has_room(s, now) && self.admits(want, s, now));
+        fit.retain(|(_, s)| want.has_capacity(s, now) && self.admits(want, s, now));
         let wide = reach.is_none();
         for (weight, state) in &fit {
             let near = self.reach(state);
--- a/azureway-core/src/router/placement_request.rs
+++ b/azureway-core/src/router/placement_request.rs
@@ -67,11 +67,11 @@
     }
 
     /// Tells whether a server has room. A stream that has begun may use any slot.
-    pub fn has_room(&self, state: &ServerState, now: Timestamp) -> bool {
+    pub fn has_capacity(&self, state: &ServerState, now: Timestamp) -> bool {
         if self.is_begun() {
-            state.flights() < state.server.slots
+            state.in_flight() < state.server.slots
         } else {
-            state.has_room(self.request.rank, self.owed, now)
+            state.has_capacity(self.request.rank, self.owed, now)
         }
     }
 }
--- a/azureway-core/src/router/sharing.rs
+++ b/azureway-core/src/router/sharing.rs
@@ -26,7 +26,7 @@
         }
         let own = best.state;
         let same = |s: &&ServerState| s.server.id != own.server.id && s.weights == own.weights;
-        let others = self.servers.of_pool(&service.pool);
+        let others = self.servers.in_pool(&service.pool);
         let others: SmallVec<[&ServerState; 16]> =
             others.filter(same).filter(|s| s.accepts(now)).collect();
         let order = Rendezvous::new(request.chain.prefix());
@@ -46,7 +46,7 @@
     /// servers, and computing the shared prefix once more takes longer than the way there.
     pub(super) fn is_wide(&self, request: &Request, service: &ModelService) -> bool {
         let shared = request.chain.shared();
-        let first = self.servers.of_pool(&service.pool).next();
+        let first = self.servers.in_pool(&service.pool).next();
         let prefill = first.map_or(Duration::ZERO, |s| s.server.prefill.time_for(shared));
         let way = self.config.far * 2 + self.toll(request);
         self.config.shared && prefill > way
--- a/azureway-core/src/router/views.rs
+++ b/azureway-core/src/router/views.rs
@@ -16,7 +16,7 @@
         // A server that is tried again, one abroad, or a refilled budget can help what waits.
         let abroad = self.queues.oldest().map(|t| t + self.config.abroad);
         let abroad = abroad.filter(|t| *t > self.seen && self.fleet.has_regions());
-        let trial = limit.and_then(|_| self.sender.servers().next_trial(self.seen));
+        let trial = limit.and_then(|_| self.sender.servers().next_retry(self.seen));
         let claims = self.claims.earliest();
         let refill = self.budgets.next_refill();
         let refill = refill.filter(|_| !self.retries.is_empty());
--- a/azureway-core/tests/promises.rs
+++ b/azureway-core/tests/promises.rs
@@ -271,7 +271,7 @@
                 .iter()
                 .filter(|o| o.server == state.server.id)
                 .count();
-            prop_assert_eq!(state.flights() as usize, open, "flights are counted");
+            prop_assert_eq!(state.in_flight() as usize, open, "flights are counted");
             prop_assert!(open <= SLOTS as usize, "no more work than slots");
         }
         Ok(())
--- a/azureway-core/tests/routing/world.rs
+++ b/azureway-core/tests/routing/world.rs
@@ -191,7 +191,7 @@
         let active: usize = self.entries.iter().map(Router::active).sum();
         assert_eq!(open, active, "what is not counted waits or is in flight");
         for state in self.entries.iter().flat_map(|e| e.servers().iter()) {
-            assert!(state.flights() <= SLOTS, "an entry overfills an engine");
+            assert!(state.in_flight() <= SLOTS, "an entry overfills an engine");
         }
     }
 
--- a/azureway-wire/src/admin/server_body.rs
+++ b/azureway-wire/src/admin/server_body.rs
@@ -43,9 +43,9 @@
             incarnation: state.incarnation.get(),
             weights: state.weights.map(|w| w.get()),
             slots: server.slots,
-            flights: state.flights(),
+            flights: state.in_flight(),
             load: state.load(now),
-            ahead: state.ahead().get(),
+            ahead: state.pending_tokens().get(),
         }
     }
 }
