--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -28,8 +28,8 @@
 pub use crate::quarantine::{CrashSite, Quarantine, Strike, StrikeState, SuspectStatus};
 pub use crate::retry::{Backoff, RetryBudget, RetryBudgets, RetrySlack};
 pub use crate::route::{
-    Candidate, Estimate, Job, LeastLoaded, Policy, PrefixHash, PrefixLoad, Reach, Rendezvous,
-    RoundRobin, Spread, StaticSplit,
+    Candidate, Estimate, LeastLoaded, Locality, Policy, PrefixHash, PrefixLoad, Rendezvous,
+    ReplicaScaler, RequestProfile, RoundRobin, StaticSplit,
 };
 pub use crate::router::{Obstacle, Overview, RouteOption, Router, RouterConfig};
 pub use crate::site::{NamedWeights, ServerEntry, SiteDocument, SiteService, SiteState};
--- a/azureway-core/src/route/candidate.rs
+++ b/azureway-core/src/route/candidate.rs
@@ -15,9 +15,9 @@
     /// The time one way over the link to it.
     pub link: Duration,
     /// What the traffic to it costs, as time.
-    pub toll: Duration,
+    pub traffic_cost: Duration,
     /// How strongly the prefix prefers it.
     pub weight: u64,
     /// Whether it is one of the servers that the prefix is kept on.
-    pub home: bool,
+    pub replica: bool,
 }
--- a/azureway-core/src/route/heat.rs
+++ b/azureway-core/src/route/decaying_peak.rs
@@ -12,13 +12,13 @@
 /// The peak fades slowly, so that a prefix does not lose replicas between two bursts and
 /// pay for them again.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Heat {
+pub struct DecayingPeak {
     flights: u32,
     peak: f64,
     at: Timestamp,
 }
 
-impl Heat {
+impl DecayingPeak {
     /// Notes a request that was sent at `now`.
     pub fn begin(&mut self, now: Timestamp) {
         self.flights += 1;
--- a/azureway-core/src/route/estimate.rs
+++ b/azureway-core/src/route/estimate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Candidate, Job};
+use super::{Candidate, RequestProfile};
 use crate::domain::Timestamp;
 
 /// The parts of the estimated time to first token at a candidate.
@@ -15,32 +15,33 @@
     /// The time on the link, there and back.
     pub link: Duration,
     /// The time by which computing holds up the requests beside it.
-    pub crowd: Duration,
+    pub interference: Duration,
     /// What the traffic costs, as time.
-    pub toll: Duration,
+    pub traffic_cost: Duration,
     /// What computing a prefix costs that another server may hold, as time.
-    pub waste: Duration,
+    pub recompute: Duration,
 }
 
 /// How much the time to compute a prompt on a full server counts for the requests beside it.
-const CROWD: u32 = 4;
+const INTERFERENCE_FACTOR: u32 = 4;
 
 impl Estimate {
-    /// Estimates the time to first token of `job` at `candidate`.
-    pub fn new(job: Job, candidate: &Candidate<'_>, now: Timestamp) -> Self {
+    /// Estimates the time to first token of `profile` at `candidate`.
+    pub fn new(profile: RequestProfile, candidate: &Candidate<'_>, now: Timestamp) -> Self {
         let state = candidate.state;
         let server = &state.server;
-        let missing = job.prompt.saturating_sub(candidate.cached);
+        let missing = profile.prompt.saturating_sub(candidate.cached);
         let prefill = server.prefill.time_for(missing);
         Self {
             wait: server.prefill.time_for(state.pending_tokens()) + state.slot_wait(now),
             prefill,
-            crowd: prefill.saturating_mul(CROWD * state.load(now)) / server.slots.max(1),
+            interference: prefill.saturating_mul(INTERFERENCE_FACTOR * state.load(now))
+                / server.slots.max(1),
             link: candidate.link * 2,
-            toll: candidate.toll,
-            waste: server
+            traffic_cost: candidate.traffic_cost,
+            recompute: server
                 .prefill
-                .time_for(job.shared.saturating_sub(candidate.cached)),
+                .time_for(profile.fetchable.saturating_sub(candidate.cached)),
         }
     }
 
@@ -54,8 +55,8 @@
     /// which computing the prompt holds up the requests beside it.
     pub const fn cost(&self) -> Duration {
         self.total()
-            .saturating_add(self.crowd)
-            .saturating_add(self.toll)
-            .saturating_add(self.waste)
+            .saturating_add(self.interference)
+            .saturating_add(self.traffic_cost)
+            .saturating_add(self.recompute)
     }
 }
--- a/azureway-core/src/route/least_loaded.rs
+++ b/azureway-core/src/route/least_loaded.rs
@@ -1,6 +1,6 @@
 //! The server with the least load.
 
-use super::{Candidate, Job, Policy};
+use super::{Candidate, Policy, RequestProfile};
 use crate::domain::Timestamp;
 
 /// Chooses the server that runs the fewest requests. A baseline.
@@ -17,7 +17,12 @@
 impl Policy for LeastLoaded {
     const NAME: &'static str = "least-loaded";
 
-    fn choose(&mut self, _: Job, candidates: &[Candidate<'_>], now: Timestamp) -> Option<usize> {
+    fn choose(
+        &mut self,
+        _: RequestProfile,
+        candidates: &[Candidate<'_>],
+        now: Timestamp,
+    ) -> Option<usize> {
         let places = candidates.iter().enumerate();
         places
             .min_by_key(|(_, c)| c.state.load(now))
--- a/azureway-core/src/route/policy.rs
+++ b/azureway-core/src/route/policy.rs
@@ -1,6 +1,6 @@
 //! The interface of a routing policy.
 
-use super::{Candidate, Job};
+use super::{Candidate, RequestProfile};
 use crate::domain::Timestamp;
 
 /// A way to choose a backend server for a request.
@@ -13,5 +13,10 @@
     /// Returns the place of the chosen candidate, or `None` if there is none.
     ///
     /// `candidates` come in the order of their names, which is the same at every entry.
-    fn choose(&mut self, job: Job, candidates: &[Candidate<'_>], now: Timestamp) -> Option<usize>;
+    fn choose(
+        &mut self,
+        profile: RequestProfile,
+        candidates: &[Candidate<'_>],
+        now: Timestamp,
+    ) -> Option<usize>;
 }
--- a/azureway-core/src/route/prefix_hash.rs
+++ b/azureway-core/src/route/prefix_hash.rs
@@ -1,6 +1,6 @@
 //! The server that the prefix prefers.
 
-use super::{Candidate, Job, Policy, Rendezvous};
+use super::{Candidate, Policy, Rendezvous, RequestProfile};
 use crate::domain::Timestamp;
 
 /// Chooses the server that the prefix prefers, whatever its load. A baseline.
@@ -17,8 +17,13 @@
 impl Policy for PrefixHash {
     const NAME: &'static str = "prefix-hash";
 
-    fn choose(&mut self, job: Job, candidates: &[Candidate<'_>], _: Timestamp) -> Option<usize> {
-        let order = Rendezvous::new(job.prefix);
+    fn choose(
+        &mut self,
+        profile: RequestProfile,
+        candidates: &[Candidate<'_>],
+        _: Timestamp,
+    ) -> Option<usize> {
+        let order = Rendezvous::new(profile.prefix);
         let places = candidates.iter().enumerate();
         places
             .max_by_key(|(_, c)| order.weight(&c.state.server.id))
--- a/azureway-core/src/route/prefix_load.rs
+++ b/azureway-core/src/route/prefix_load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Candidate, Estimate, Job, Policy, mix};
+use super::{Candidate, Estimate, Policy, RequestProfile, mix};
 use crate::domain::Timestamp;
 
 /// Chooses the server with the least estimated time to first token, with what it costs the
@@ -27,11 +27,16 @@
 impl Policy for PrefixLoad {
     const NAME: &'static str = "prefix-load";
 
-    fn choose(&mut self, job: Job, candidates: &[Candidate<'_>], now: Timestamp) -> Option<usize> {
-        let cost = |c: &Candidate<'_>| Estimate::new(job, c, now).cost();
+    fn choose(
+        &mut self,
+        profile: RequestProfile,
+        candidates: &[Candidate<'_>],
+        now: Timestamp,
+    ) -> Option<usize> {
+        let cost = |c: &Candidate<'_>| Estimate::new(profile, c, now).cost();
         let bound = candidates.iter().map(cost).min()? + SLACK;
-        let order = |c: &Candidate<'_>| match c.home {
-            true => (true, mix(c.weight ^ job.draw)),
+        let order = |c: &Candidate<'_>| match c.replica {
+            true => (true, mix(c.weight ^ profile.seed)),
             false => (false, c.weight),
         };
         let places = candidates.iter().enumerate();
--- a/azureway-core/src/route/spread.rs
+++ b/azureway-core/src/route/replica_scaler.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::Heat;
+use super::DecayingPeak;
 use crate::domain::{PrefixKey, Timestamp};
 
 /// Over how many replicas each prefix is spread.
@@ -11,8 +11,8 @@
 /// each replica's slots, since other prefixes have a claim on them too. By Little's law the
 /// requests in flight are the prefix's rate times the time that a request stays.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
-    prefixes: HashMap<PrefixKey, Heat>,
+pub struct ReplicaScaler {
+    prefixes: HashMap<PrefixKey, DecayingPeak>,
 }
 
 /// The prefixes that are kept before those that have gone cold are dropped.
@@ -20,7 +20,7 @@
 /// The requests in flight below which a prefix is cold.
 const COLD: f64 = 0.5;
 
-impl Spread {
+impl ReplicaScaler {
     /// Creates a spread in which every prefix has one replica.
     pub fn new() -> Self {
         Self::default()
@@ -29,15 +29,15 @@
     /// Notes a request of a prefix that was sent at `now`.
     pub fn begin(&mut self, prefix: PrefixKey, now: Timestamp) {
         if self.prefixes.len() >= PREFIX_BOUND {
-            self.prefixes.retain(|_, heat| heat.level(now) >= COLD);
+            self.prefixes.retain(|_, peak| peak.level(now) >= COLD);
         }
         self.prefixes.entry(prefix).or_default().begin(now);
     }
 
     /// Notes a request of a prefix that ended at `now`.
     pub fn end(&mut self, prefix: PrefixKey, now: Timestamp) {
-        if let Some(heat) = self.prefixes.get_mut(&prefix) {
-            heat.end(now);
+        if let Some(peak) = self.prefixes.get_mut(&prefix) {
+            peak.end(now);
         }
     }
 
--- a/azureway-core/src/route/job.rs
+++ b/azureway-core/src/route/request_profile.rs
@@ -4,7 +4,7 @@
 
 /// What a policy is told of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Job {
+pub struct RequestProfile {
     /// The key of the shared prefix.
     pub prefix: PrefixKey,
     /// The rank.
@@ -13,7 +13,7 @@
     pub prompt: TokenCount,
     /// The tokens of the shared prefix, where servers can fetch it from one another: computing
     /// it once more is a waste.
-    pub shared: TokenCount,
+    pub fetchable: TokenCount,
     /// A number that differs between requests, for choices that must not all be the same.
-    pub draw: u64,
+    pub seed: u64,
 }
--- a/azureway-core/src/route/round_robin.rs
+++ b/azureway-core/src/route/round_robin.rs
@@ -1,6 +1,6 @@
 //! Each server in its turn.
 
-use super::{Candidate, Job, Policy};
+use super::{Candidate, Policy, RequestProfile};
 use crate::domain::Timestamp;
 
 /// Gives each server its turn. A baseline.
@@ -19,7 +19,12 @@
 impl Policy for RoundRobin {
     const NAME: &'static str = "round-robin";
 
-    fn choose(&mut self, _: Job, candidates: &[Candidate<'_>], _: Timestamp) -> Option<usize> {
+    fn choose(
+        &mut self,
+        _: RequestProfile,
+        candidates: &[Candidate<'_>],
+        _: Timestamp,
+    ) -> Option<usize> {
         let turn = self.turn.checked_rem(candidates.len())?;
         self.turn = turn + 1;
         Some(turn)
--- a/azureway-core/src/route/static_split.rs
+++ b/azureway-core/src/route/static_split.rs
@@ -2,7 +2,7 @@
 
 use smallvec::SmallVec;
 
-use super::{Candidate, Job, Policy, mix};
+use super::{Candidate, Policy, RequestProfile, mix};
 use crate::admit::DemandMeter;
 use crate::domain::Timestamp;
 
@@ -29,13 +29,18 @@
 impl Policy for StaticSplit {
     const NAME: &'static str = "static-split";
 
-    fn choose(&mut self, job: Job, candidates: &[Candidate<'_>], now: Timestamp) -> Option<usize> {
-        self.arrivals.add(job.prompt, now);
+    fn choose(
+        &mut self,
+        profile: RequestProfile,
+        candidates: &[Candidate<'_>],
+        now: Timestamp,
+    ) -> Option<usize> {
+        self.arrivals.add(profile.prompt, now);
         let entries = candidates.first()?.state.entries();
         let arrivals = self.arrivals.rate(now) * f64::from(entries);
         let shares = shares(candidates, arrivals);
         let whole: f64 = shares.iter().sum();
-        let mut left = mix(job.draw) as f64 / DRAW_RANGE * whole;
+        let mut left = mix(profile.seed) as f64 / DRAW_RANGE * whole;
         let last = candidates.len() - 1;
         let passes = |share: &f64| {
             left -= share;
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{Fleet, LoadReport, LoadSample, ServerTable};
 use crate::member::{Loading, ServerNews, ServerSign};
 use crate::quarantine::{CrashSite, Guard};
-use crate::route::{Estimate, Policy, Spread};
+use crate::route::{Estimate, Policy, ReplicaScaler};
 
 /// Sends requests to backend servers, and keeps what that takes: the servers, the index of
 /// their caches and the requests in flight.
@@ -16,7 +16,7 @@
     policy: P,
     servers: ServerTable,
     index: CacheIndex,
-    spread: Spread,
+    scaler: ReplicaScaler,
     flights: InFlightTable,
     guard: Guard,
 }
@@ -28,7 +28,7 @@
             policy,
             servers: ServerTable::new(),
             index: CacheIndex::new(),
-            spread: Spread::new(),
+            scaler: ReplicaScaler::new(),
             flights: InFlightTable::new(),
             guard: Guard::new(),
         }
@@ -124,7 +124,7 @@
         let best = placement.choose(policy, want, service, now)?;
         let mut order = want.plan.order(want.request, service, &best);
         order.source = placement.source(want.request, service, &best, now);
-        order.expected = Estimate::new(want.job(service), &best, now).total();
+        order.expected = Estimate::new(want.profile(service), &best, now).total();
         self.track(want, service.pool.clone(), &order, now);
         Some(order)
     }
@@ -153,7 +153,7 @@
             fleet,
             servers: &self.servers,
             index: &mut self.index,
-            spread: &self.spread,
+            scaler: &self.scaler,
             guard: &self.guard,
         };
         (placement, &mut self.policy)
@@ -219,7 +219,7 @@
             self.index
                 .presume(&flight.server, state.incarnation, blocks);
         }
-        self.spread.begin(want.request.chain.prefix(), now);
+        self.scaler.begin(want.request.chain.prefix(), now);
         self.guard.begin(want.request, &flight.server, now);
         self.flights.insert(flight);
     }
@@ -229,7 +229,7 @@
         if let Some(state) = self.servers.get_mut(&flight.server) {
             state.release(flight.period, flight.owed());
         }
-        self.spread.end(flight.request.chain.prefix(), now);
+        self.scaler.end(flight.request.chain.prefix(), now);
         self.guard.end(flight.attempt.id);
     }
 
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -9,7 +9,9 @@
 use crate::domain::{ModelService, Request, Timestamp};
 use crate::fleet::{Fleet, ServerState, ServerTable};
 use crate::quarantine::Guard;
-use crate::route::{Candidate, Estimate, Job, Policy, Reach, Rendezvous, Spread};
+use crate::route::{
+    Candidate, Estimate, Locality, Policy, Rendezvous, ReplicaScaler, RequestProfile,
+};
 
 /// What is looked at to find a backend server for a request.
 #[derive(Debug)]
@@ -23,7 +25,7 @@
     /// The index of cached blocks.
     pub index: &'a mut CacheIndex,
     /// Over how many replicas each prefix is spread.
-    pub spread: &'a Spread,
+    pub scaler: &'a ReplicaScaler,
     /// The guard against requests that crash servers.
     pub guard: &'a Guard,
 }
@@ -46,9 +48,11 @@
         service: &'a ModelService,
         now: Timestamp,
     ) -> Option<Candidate<'a>> {
-        let job = want.job(service);
-        let found = self.candidates(job, want, service, now);
-        policy.choose(job, &found, now).map(|place| found[place])
+        let profile = want.profile(service);
+        let found = self.candidates(profile, want, service, now);
+        policy
+            .choose(profile, &found, now)
+            .map(|place| found[place])
     }
 
     /// Tells of every server of the pool whether the request would go there, and why not.
@@ -59,11 +63,13 @@
         service: &'a ModelService,
         now: Timestamp,
     ) -> Vec<RouteOption> {
-        let job = want.job(service);
-        let found = self.candidates(job, want, service, now);
-        let best = policy.choose(job, &found, now).map(|place| found[place]);
+        let profile = want.profile(service);
+        let found = self.candidates(profile, want, service, now);
+        let best = policy
+            .choose(profile, &found, now)
+            .map(|place| found[place]);
         let of_pool = self.servers.in_pool(&service.pool);
-        let order = Rendezvous::new(job.prefix);
+        let order = Rendezvous::new(profile.prefix);
         let options = of_pool.map(|state| {
             let candidate = self.find(&found, state, want.request, &order);
             let chosen = best.is_some_and(|b| b.state.server.id == state.server.id);
@@ -76,8 +82,8 @@
                 server: state.server.id.clone(),
                 zone: state.server.zone.clone(),
                 cached: candidate.cached,
-                estimate: Estimate::new(job, &candidate, now),
-                home: candidate.home,
+                estimate: Estimate::new(profile, &candidate, now),
+                replica: candidate.replica,
                 obstacle: (!chosen).then(obstacle),
             }
         });
@@ -104,14 +110,14 @@
     /// looked at only if no other is alive.
     fn candidates(
         &mut self,
-        job: Job,
+        profile: RequestProfile,
         want: PlacementRequest<'_>,
         service: &'a ModelService,
         now: Timestamp,
     ) -> Candidates<'a> {
         let mut found = Candidates::new();
-        if !self.collect(false, job, want, service, now, &mut found) {
-            self.collect(true, job, want, service, now, &mut found);
+        if !self.collect(false, profile, want, service, now, &mut found) {
+            self.collect(true, profile, want, service, now, &mut found);
         }
         let other = |c: &Candidate<'_>| Some(&c.state.server.id) != want.failed;
         if found.iter().any(other) {
@@ -125,7 +131,7 @@
     fn collect(
         &mut self,
         quiet: bool,
-        job: Job,
+        profile: RequestProfile,
         want: PlacementRequest<'_>,
         service: &'a ModelService,
         now: Timestamp,
@@ -135,17 +141,17 @@
             return self.survey(None, quiet, want, service, now, found);
         }
         let mut alive = false;
-        for reach in Reach::ALL {
+        for reach in Locality::ALL {
             // Traffic to another region is paid: it is for a region without any server, and
             // for requests that have waited.
             // So is a second try, which a server that has failed the first would get otherwise.
             let waited = now.since(want.request.arrived) >= self.config.abroad
                 || (self.config.shared && want.failed.is_some());
-            if reach == Reach::Abroad && alive && !waited {
+            if reach == Locality::Remote && alive && !waited {
                 break;
             }
             alive |= self.survey(Some(reach), quiet, want, service, now, found);
-            let time = |c: &Candidate<'_>| Estimate::new(job, c, now).total();
+            let time = |c: &Candidate<'_>| Estimate::new(profile, c, now).total();
             let shared = self.config.shared;
             let other = |c: &Candidate<'_>| !shared || Some(&c.state.server.id) != want.failed;
             if found.iter().any(|c| time(c) <= SPILL && other(c)) {
@@ -159,7 +165,7 @@
     /// request at all.
     fn survey(
         &mut self,
-        reach: Option<Reach>,
+        reach: Option<Locality>,
         quiet: bool,
         want: PlacementRequest<'_>,
         service: &'a ModelService,
@@ -181,11 +187,11 @@
             let mut candidate = self.candidate(state, want.request, near, (*weight, bound));
             if wide {
                 // A copy in each region would leave room for a third of the prompts.
-                candidate.toll = Duration::ZERO;
+                candidate.traffic_cost = Duration::ZERO;
             }
             let rollout = service.rollout.as_ref().zip(state.weights);
             if rollout.is_some_and(|(r, loaded)| r.is_due(loaded, now)) {
-                candidate.toll += OLD_WEIGHTS_TOLL;
+                candidate.traffic_cost += OLD_WEIGHTS_TOLL;
             }
             found.push(candidate);
         }
@@ -209,7 +215,7 @@
         };
         let (slots, entries) = (first.server.slots, first.entries());
         let prefix = request.chain.prefix();
-        let count = self.spread.replicas(prefix, slots, entries, now);
+        let count = self.scaler.replicas(prefix, slots, entries, now);
         let mut weights: SmallVec<[u64; 16]> = fit.iter().map(|(w, _)| *w).collect();
         weights.sort_unstable_by(|a, b| b.cmp(a));
         weights[count.min(weights.len()) - 1]
@@ -219,39 +225,39 @@
         &mut self,
         state: &'a ServerState,
         request: &Request,
-        reach: Reach,
+        reach: Locality,
         (weight, bound): (u64, u64),
     ) -> Candidate<'a> {
         let (id, incarnation) = (&state.server.id, state.incarnation);
-        let home = weight >= bound;
+        let replica = weight >= bound;
         let mut cached = self.index.cached(id, incarnation, request.chain.blocks());
-        if home && !self.config.shared && !self.index.knows(id, incarnation) {
+        if replica && !self.config.shared && !self.index.knows(id, incarnation) {
             // An entry that has just started takes a prefix to be where it is kept.
             cached = cached.max(request.chain.shared());
         }
-        let (link, toll) = match reach {
-            Reach::Zone => (Duration::ZERO, Duration::ZERO),
-            Reach::Region => (self.config.link, Duration::ZERO),
-            Reach::Abroad => (self.config.far, self.toll(request)),
+        let (link, traffic_cost) = match reach {
+            Locality::Zone => (Duration::ZERO, Duration::ZERO),
+            Locality::Region => (self.config.link, Duration::ZERO),
+            Locality::Remote => (self.config.far, self.toll(request)),
         };
         Candidate {
             state,
             cached,
             link,
-            toll,
+            traffic_cost,
             weight,
-            home,
+            replica,
         }
     }
 
-    fn reach(&self, state: &ServerState) -> Reach {
+    fn reach(&self, state: &ServerState) -> Locality {
         let (own, zone) = (&self.config.zone, &state.server.zone);
         if own == zone {
-            Reach::Zone
+            Locality::Zone
         } else if self.fleet.share_region(own, zone) {
-            Reach::Region
+            Locality::Region
         } else {
-            Reach::Abroad
+            Locality::Remote
         }
     }
 }
@@ -261,7 +267,7 @@
 fn presume(found: &mut Candidates<'_>, request: &Request) {
     let shared = request.chain.shared();
     if found.iter().all(|c| c.cached < shared) {
-        let homes = found.iter_mut().filter(|c| c.home);
-        homes.for_each(|c| c.cached = c.cached.max(shared));
+        let replicas = found.iter_mut().filter(|c| c.replica);
+        replicas.for_each(|c| c.cached = c.cached.max(shared));
     }
 }
--- a/azureway-core/src/router/placement_request.rs
+++ b/azureway-core/src/router/placement_request.rs
@@ -5,7 +5,7 @@
     ModelService, Request, ServerId, ServiceKind, StreamPosition, Timestamp, TokenCount,
 };
 use crate::fleet::ServerState;
-use crate::route::Job;
+use crate::route::RequestProfile;
 
 /// A request that wants a backend server now.
 #[derive(Clone, Copy, Debug)]
@@ -39,18 +39,18 @@
     }
 
     /// Returns what a policy is told of the request.
-    pub fn job(&self, service: &ModelService) -> Job {
+    pub fn profile(&self, service: &ModelService) -> RequestProfile {
         let shared = self.request.chain.shared();
-        Job {
+        RequestProfile {
             prefix: self.request.chain.prefix(),
             rank: self.request.rank,
             prompt: self.request.chain.tokens(),
-            shared: if service.fetches {
+            fetchable: if service.fetches {
                 shared
             } else {
                 TokenCount::ZERO
             },
-            draw: self.request.id.draw(),
+            seed: self.request.id.draw(),
         }
     }
 
--- a/azureway-core/src/router/route_option.rs
+++ b/azureway-core/src/router/route_option.rs
@@ -16,7 +16,7 @@
     /// The parts of the estimated time to first token.
     pub estimate: Estimate,
     /// Whether the prefix is kept on this server.
-    pub home: bool,
+    pub replica: bool,
     /// Why it does not get the request; the chosen server has no obstacle.
     pub obstacle: Option<Obstacle>,
 }
--- a/azureway-core/tests/sharing.rs
+++ b/azureway-core/tests/sharing.rs
@@ -151,13 +151,13 @@
 
 #[gtest]
 fn a_prefix_that_cools_down_keeps_its_replicas_for_a_while() {
-    let (mut spread, prefix) = (Spread::new(), PrefixKey::new(7));
+    let (mut scaler, prefix) = (ReplicaScaler::new(), PrefixKey::new(7));
     let now = Timestamp::from_millis(1);
-    (0..32).for_each(|_| spread.begin(prefix, now));
-    expect_that!(spread.replicas(prefix, 16, 1, now), eq(4));
-    expect_that!(spread.replicas(prefix, 16, 2, now), eq(8));
-    (0..32).for_each(|_| spread.end(prefix, now));
+    (0..32).for_each(|_| scaler.begin(prefix, now));
+    expect_that!(scaler.replicas(prefix, 16, 1, now), eq(4));
+    expect_that!(scaler.replicas(prefix, 16, 2, now), eq(8));
+    (0..32).for_each(|_| scaler.end(prefix, now));
     let later = |seconds| now + Duration::from_secs(seconds);
-    expect_that!(spread.replicas(prefix, 16, 1, later(5)), eq(2));
-    expect_that!(spread.replicas(prefix, 16, 1, later(30)), eq(1));
+    expect_that!(scaler.replicas(prefix, 16, 1, later(5)), eq(2));
+    expect_that!(scaler.replicas(prefix, 16, 1, later(30)), eq(1));
 }
--- a/azureway-wire/src/admin/option_body.rs
+++ b/azureway-wire/src/admin/option_body.rs
@@ -37,7 +37,7 @@
             zone: option.zone.as_str().into(),
             chosen: option.obstacle.is_none(),
             obstacle: option.obstacle.map(|o| o.as_str().into()),
-            home: option.home,
+            home: option.replica,
             cached: option.cached.get(),
             wait: micros(estimate.wait),
             prefill: micros(estimate.prefill),
