--- a/azureway-core/src/cache/block_chain.rs
+++ b/azureway-core/src/cache/block_chain.rs
@@ -96,7 +96,7 @@
     }
 
     /// Returns the tokens of the shared prefix that places the prompt.
-    pub const fn shared(&self) -> TokenCount {
+    pub const fn prefix_tokens(&self) -> TokenCount {
         self.shared
     }
 
--- a/azureway-core/src/cache/cache_update.rs
+++ b/azureway-core/src/cache/cache_update.rs
@@ -13,7 +13,7 @@
     /// The number of the first event of the run.
     pub first: u64,
     /// Whether the run is the server's whole content rather than changes to it.
-    pub whole: bool,
+    pub snapshot: bool,
     /// The events in order.
     pub ops: &'a [CacheOp],
 }
--- a/azureway-core/src/cache/holders.rs
+++ b/azureway-core/src/cache/holders.rs
@@ -11,18 +11,18 @@
     /// The servers.
     pub list: SmallVec<[Holder; 2]>,
     /// Those of them whose own news say so.
-    pub told: SmallVec<[Holder; 2]>,
+    pub confirmed: SmallVec<[Holder; 2]>,
     /// Whether the block was looked up or stored again since the sweep last came by.
     pub used: bool,
 }
 
 impl Holders {
-    /// Adds a holder in place of an older entry for the same server. `told` says whether the
+    /// Adds a holder in place of an older entry for the same server. `confirmed` says whether the
     /// server's own news name it.
-    pub fn add(&mut self, holder: Holder, told: bool) {
+    pub fn add(&mut self, holder: Holder, confirmed: bool) {
         put(&mut self.list, holder);
-        if told {
-            put(&mut self.told, holder);
+        if confirmed {
+            put(&mut self.confirmed, holder);
         }
         self.used = true;
     }
@@ -30,7 +30,7 @@
     /// Removes a server.
     pub fn remove(&mut self, place: u32) {
         self.list.retain(|h| h.0 != place);
-        self.told.retain(|h| h.0 != place);
+        self.confirmed.retain(|h| h.0 != place);
     }
 }
 
--- a/azureway-core/src/cache/index.rs
+++ b/azureway-core/src/cache/index.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use super::{Block, BlockKey, CacheOp, CacheUpdate, Follower, Holder, Holders};
+use super::{Block, BlockKey, CacheOp, CacheUpdate, Holder, Holders, TrackedServer};
 use crate::domain::{Incarnation, ServerId, TokenCount};
 
 /// The blocks that an index keeps at most.
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct CacheIndex {
     places: HashMap<ServerId, u32>,
-    followers: Vec<Follower>,
+    servers: Vec<TrackedServer>,
     blocks: HashMap<BlockKey, Holders>,
     sweep: VecDeque<BlockKey>,
     bound: usize,
@@ -39,7 +39,7 @@
     pub fn new() -> Self {
         Self {
             places: HashMap::new(),
-            followers: Vec::new(),
+            servers: Vec::new(),
             blocks: HashMap::new(),
             sweep: VecDeque::new(),
             bound: DEFAULT_BOUND,
@@ -67,20 +67,20 @@
     /// must ask the server for its whole content.
     pub fn update(&mut self, update: &CacheUpdate<'_>) -> bool {
         let place = self.place(update.server);
-        let follower = &mut self.followers[place as usize];
-        if update.incarnation < follower.cursor.incarnation() {
+        let tracked = &mut self.servers[place as usize];
+        if update.incarnation < tracked.cursor.incarnation() {
             return false;
         }
         let len = update.ops.len() as u64;
-        if update.whole || update.incarnation > follower.cursor.incarnation() {
+        if update.snapshot || update.incarnation > tracked.cursor.incarnation() {
             // A whole content is numbered by the next event to come after it.
-            let next = update.first + if update.whole { 0 } else { len };
-            let complete = update.whole || update.first == 0;
-            follower.restart(update.incarnation, next, complete);
+            let next = update.first + if update.snapshot { 0 } else { len };
+            let complete = update.snapshot || update.first == 0;
+            tracked.reset(update.incarnation, next, complete);
             self.apply(place, update.ops);
             return !complete;
         }
-        let Some(known) = follower.cursor.advance(update.first, len) else {
+        let Some(known) = tracked.cursor.advance(update.first, len) else {
             return true;
         };
         self.apply(
@@ -91,17 +91,17 @@
     }
 
     /// Begins to follow a life of a server of which no news has come yet.
-    pub fn follow(&mut self, server: &ServerId, incarnation: Incarnation) {
+    pub fn track(&mut self, server: &ServerId, incarnation: Incarnation) {
         let place = self.place(server);
-        let follower = &mut self.followers[place as usize];
-        if incarnation > follower.cursor.incarnation() {
-            follower.restart(incarnation, 0, false);
+        let tracked = &mut self.servers[place as usize];
+        if incarnation > tracked.cursor.incarnation() {
+            tracked.reset(incarnation, 0, false);
         }
     }
 
     /// Notes that a server computes or has computed `blocks`. The server's own events are
     /// late, and until they come the next request would compute the blocks elsewhere again.
-    pub fn presume(&mut self, server: &ServerId, incarnation: Incarnation, blocks: &[Block]) {
+    pub fn assume_cached(&mut self, server: &ServerId, incarnation: Incarnation, blocks: &[Block]) {
         let Some(holder) = self.holder(server, incarnation) else {
             return;
         };
@@ -111,7 +111,7 @@
     }
 
     /// Returns how many tokens at the head of `blocks` the server is believed to hold.
-    pub fn cached(
+    pub fn cached_tokens(
         &mut self,
         server: &ServerId,
         incarnation: Incarnation,
@@ -121,13 +121,13 @@
     }
 
     /// Returns how many tokens at the head of `blocks` the server has told that it holds.
-    pub fn told(
+    pub fn confirmed_tokens(
         &mut self,
         server: &ServerId,
         incarnation: Incarnation,
         blocks: &[Block],
     ) -> TokenCount {
-        self.count(server, incarnation, blocks, |held| &held.told)
+        self.count(server, incarnation, blocks, |held| &held.confirmed)
     }
 
     fn count(
@@ -152,39 +152,39 @@
     }
 
     /// Tells whether all that the server holds has been heard.
-    pub fn knows(&self, server: &ServerId, incarnation: Incarnation) -> bool {
-        let follower = self.places.get(server);
-        let follower = follower.map(|place| self.followers[*place as usize]);
-        follower.is_some_and(|f| f.complete && f.follows(incarnation))
+    pub fn is_complete(&self, server: &ServerId, incarnation: Incarnation) -> bool {
+        let tracked = self.places.get(server);
+        let tracked = tracked.map(|place| self.servers[*place as usize]);
+        tracked.is_some_and(|f| f.complete && f.is_current(incarnation))
     }
 
     /// Forgets everything that the server was believed to hold.
-    pub fn forget(&mut self, server: &ServerId) {
+    pub fn invalidate(&mut self, server: &ServerId) {
         if let Some(&place) = self.places.get(server) {
-            self.followers[place as usize].restart(Incarnation::ZERO, 0, false);
+            self.servers[place as usize].reset(Incarnation::ZERO, 0, false);
         }
     }
 
     fn holder(&self, server: &ServerId, incarnation: Incarnation) -> Option<Holder> {
         let &place = self.places.get(server)?;
-        let follower = self.followers[place as usize];
-        follower
-            .follows(incarnation)
-            .then_some((place, follower.generation))
+        let tracked = self.servers[place as usize];
+        tracked
+            .is_current(incarnation)
+            .then_some((place, tracked.generation))
     }
 
     fn place(&mut self, server: &ServerId) -> u32 {
         if let Some(&place) = self.places.get(server) {
             return place;
         }
-        let place = u32::try_from(self.followers.len()).unwrap_or(u32::MAX);
+        let place = u32::try_from(self.servers.len()).unwrap_or(u32::MAX);
         self.places.insert(server.clone(), place);
-        self.followers.push(Follower::new());
+        self.servers.push(TrackedServer::new());
         place
     }
 
     fn apply(&mut self, place: u32, ops: &[CacheOp]) {
-        let generation = self.followers[place as usize].generation;
+        let generation = self.servers[place as usize].generation;
         for op in ops {
             match *op {
                 CacheOp::Stored(key) => self.store(key, (place, generation), true),
@@ -197,15 +197,15 @@
         }
     }
 
-    fn store(&mut self, key: BlockKey, holder: Holder, told: bool) {
+    fn store(&mut self, key: BlockKey, holder: Holder, confirmed: bool) {
         if let Some(held) = self.blocks.get_mut(&key) {
-            held.add(holder, told);
+            held.add(holder, confirmed);
             return;
         }
         self.make_room();
         // A new block has its first turn in the sweep to be looked up.
         let mut held = Holders::default();
-        held.add(holder, told);
+        held.add(holder, confirmed);
         held.used = false;
         self.blocks.insert(key, held);
         self.sweep.push_back(key);
@@ -218,10 +218,10 @@
                 return;
             };
             chances = chances.saturating_sub(1);
-            let followers = &self.followers;
+            let servers = &self.servers;
             let keep = self.blocks.get_mut(&key).is_some_and(|held| {
                 held.list
-                    .retain(|h| followers[h.0 as usize].generation == h.1);
+                    .retain(|h| servers[h.0 as usize].generation == h.1);
                 std::mem::take(&mut held.used) && chances > 0 && !held.list.is_empty()
             });
             if keep {
--- a/azureway-core/src/cache/follower.rs
+++ b/azureway-core/src/cache/tracked_server.rs
@@ -8,7 +8,7 @@
 ///
 /// A new generation makes every entry of the server unreachable in one step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Follower {
+pub struct TrackedServer {
     /// How far the events were heard.
     pub cursor: EventCursor,
     /// The generation of the entries that hold.
@@ -17,21 +17,21 @@
     pub complete: bool,
 }
 
-impl Follower {
+impl TrackedServer {
     /// Creates a follower that has heard nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Drops all entries and starts anew at event `next` of `incarnation`.
-    pub fn restart(&mut self, incarnation: Incarnation, next: u64, complete: bool) {
+    pub fn reset(&mut self, incarnation: Incarnation, next: u64, complete: bool) {
         self.cursor.reset(incarnation, next);
         self.generation = self.generation.wrapping_add(1);
         self.complete = complete;
     }
 
     /// Tells whether entries of `incarnation` can hold. None does for an unknown one.
-    pub fn follows(&self, incarnation: Incarnation) -> bool {
+    pub fn is_current(&self, incarnation: Incarnation) -> bool {
         incarnation > Incarnation::ZERO && incarnation == self.cursor.incarnation()
     }
 }
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -62,12 +62,12 @@
     /// Takes over the servers of a new configuration.
     pub fn adopt(&mut self, fleet: &Fleet, now: Timestamp) {
         for gone in self.servers.reconfigure(fleet) {
-            self.index.forget(&gone);
+            self.index.invalidate(&gone);
         }
         // Servers that only the list tells of have no news of their own to begin with.
         for server in fleet.servers.values() {
             if let Some(loaded) = server.loaded {
-                self.index.follow(&server.id, loaded.incarnation);
+                self.index.track(&server.id, loaded.incarnation);
                 self.guard.hear(&server.id, loaded.incarnation, now);
             }
         }
@@ -98,7 +98,7 @@
     /// Takes in that a server is about to load weights or has loaded them.
     pub fn load(&mut self, loading: &Loading, now: Timestamp) {
         if self.servers.apply_loading(loading, now) {
-            self.index.forget(&loading.server);
+            self.index.invalidate(&loading.server);
         }
     }
 
@@ -106,7 +106,7 @@
     pub fn sample(&mut self, sample: &LoadSample, now: Timestamp) -> Option<&PoolId> {
         let state = self.servers.get_mut(&sample.server)?;
         if state.apply_sample(sample, now) {
-            self.index.forget(&sample.server);
+            self.index.invalidate(&sample.server);
         }
         Some(&state.server.pool)
     }
@@ -191,7 +191,7 @@
         let state = self.servers.get_mut(&flight.server);
         let unknown = state.is_some_and(|s| s.record_failure(failure, now));
         if unknown {
-            self.index.forget(&flight.server);
+            self.index.invalidate(&flight.server);
         }
         Some((flight, unknown))
     }
@@ -217,7 +217,7 @@
             flight.begun = now;
             let blocks = want.request.chain.blocks();
             self.index
-                .presume(&flight.server, state.incarnation, blocks);
+                .assume_cached(&flight.server, state.incarnation, blocks);
         }
         self.scaler.begin(want.request.chain.prefix(), now);
         self.guard.begin(want.request, &flight.server, now);
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -230,10 +230,12 @@
     ) -> Candidate<'a> {
         let (id, incarnation) = (&state.server.id, state.incarnation);
         let replica = weight >= bound;
-        let mut cached = self.index.cached(id, incarnation, request.chain.blocks());
-        if replica && !self.config.shared && !self.index.knows(id, incarnation) {
+        let mut cached = self
+            .index
+            .cached_tokens(id, incarnation, request.chain.blocks());
+        if replica && !self.config.shared && !self.index.is_complete(id, incarnation) {
             // An entry that has just started takes a prefix to be where it is kept.
-            cached = cached.max(request.chain.shared());
+            cached = cached.max(request.chain.prefix_tokens());
         }
         let (link, traffic_cost) = match reach {
             Locality::Zone => (Duration::ZERO, Duration::ZERO),
@@ -265,7 +267,7 @@
 /// Takes the prefix to be where it is kept, if no server is known to hold it: whoever asks for it
 /// next then finds it there.
 fn presume(found: &mut Candidates<'_>, request: &Request) {
-    let shared = request.chain.shared();
+    let shared = request.chain.prefix_tokens();
     if found.iter().all(|c| c.cached < shared) {
         let replicas = found.iter_mut().filter(|c| c.replica);
         replicas.for_each(|c| c.cached = c.cached.max(shared));
--- a/azureway-core/src/router/placement_request.rs
+++ b/azureway-core/src/router/placement_request.rs
@@ -40,7 +40,7 @@
 
     /// Returns what a policy is told of the request.
     pub fn profile(&self, service: &ModelService) -> RequestProfile {
-        let shared = self.request.chain.shared();
+        let shared = self.request.chain.prefix_tokens();
         RequestProfile {
             prefix: self.request.chain.prefix(),
             rank: self.request.rank,
--- a/azureway-core/src/router/sharing.rs
+++ b/azureway-core/src/router/sharing.rs
@@ -31,21 +31,26 @@
             others.filter(same).filter(|s| s.accepts(now)).collect();
         let order = Rendezvous::new(request.chain.prefix());
         let blocks = request.chain.blocks();
-        let known = self.index.cached(&own.server.id, own.incarnation, blocks);
+        let known = self
+            .index
+            .cached_tokens(&own.server.id, own.incarnation, blocks);
         // A server that was only sent the prompt may not have computed it yet.
-        let mut told = |s: &ServerState| self.index.told(&s.server.id, s.incarnation, blocks);
+        let mut confirmed = |s: &ServerState| {
+            self.index
+                .confirmed_tokens(&s.server.id, s.incarnation, blocks)
+        };
         let most = others
             .into_iter()
-            .map(|s| (told(s), order.weight(&s.server.id), s.server.address))
+            .map(|s| (confirmed(s), order.weight(&s.server.id), s.server.address))
             .max_by_key(|(tokens, weight, _)| (*tokens, *weight))?;
-        let more = most.0 > known || known < request.chain.shared();
+        let more = most.0 > known || known < request.chain.prefix_tokens();
         more.then_some(most.2)
     }
 
     /// Tells whether a prompt is kept in one place for all regions: where entries share the
     /// servers, and computing the shared prefix once more takes longer than the way there.
     pub(super) fn is_wide(&self, request: &Request, service: &ModelService) -> bool {
-        let shared = request.chain.shared();
+        let shared = request.chain.prefix_tokens();
         let first = self.servers.in_pool(&service.pool).next();
         let prefill = first.map_or(Duration::ZERO, |s| s.server.prefill.time_for(shared));
         let way = self.config.far * 2 + self.toll(request);
--- a/azureway-core/tests/cache.rs
+++ b/azureway-core/tests/cache.rs
@@ -16,7 +16,7 @@
         server,
         incarnation: Incarnation::new(life),
         first,
-        whole: false,
+        snapshot: false,
         ops,
     }
 }
@@ -51,8 +51,9 @@
     let prompt = chain("a", 1, &["house"]);
     let ops = [CacheOp::Stored(prompt.blocks()[0].key)];
     expect_that!(index.update(&update(&server, 1, 0, &ops)), eq(false));
-    let held =
-        |i: &mut CacheIndex, life| i.cached(&server, Incarnation::new(life), prompt.blocks());
+    let held = |i: &mut CacheIndex, life| {
+        i.cached_tokens(&server, Incarnation::new(life), prompt.blocks())
+    };
     expect_that!(held(&mut index, 1), eq(prompt.tokens()));
     expect_that!(held(&mut index, 2), eq(TokenCount::ZERO));
     index.update(&update(&server, 2, 0, &[]));
@@ -87,7 +88,7 @@
     for number in 0..64_u64 {
         let cold = [CacheOp::Stored(BlockKey::new(u128::from(number)))];
         index.update(&update(&server, 1, 2 + number, &cold));
-        let held = index.cached(&server, Incarnation::new(1), prompt.blocks());
+        let held = index.cached_tokens(&server, Incarnation::new(1), prompt.blocks());
         expect_that!(held, eq(prompt.tokens()));
         expect_that!(index.len(), le(4));
     }
@@ -98,17 +99,17 @@
     let (mut index, server) = (CacheIndex::new(), ServerId::new("engine-1"));
     let prompt = chain("a", 1, &["house"]);
     let ops = [CacheOp::Stored(prompt.blocks()[0].key)];
-    let held = |i: &mut CacheIndex| i.cached(&server, Incarnation::new(1), prompt.blocks());
+    let held = |i: &mut CacheIndex| i.cached_tokens(&server, Incarnation::new(1), prompt.blocks());
     index.update(&update(&server, 1, 0, &ops));
-    index.forget(&server);
+    index.invalidate(&server);
     expect_that!(held(&mut index), eq(TokenCount::ZERO));
-    expect_that!(index.knows(&server, Incarnation::new(1)), eq(false));
-    index.presume(&server, Incarnation::new(1), prompt.blocks());
+    expect_that!(index.is_complete(&server, Incarnation::new(1)), eq(false));
+    index.assume_cached(&server, Incarnation::new(1), prompt.blocks());
     expect_that!(held(&mut index), eq(TokenCount::ZERO));
-    let whole = CacheUpdate {
-        whole: true,
+    let snapshot = CacheUpdate {
+        snapshot: true,
         ..update(&server, 1, 9, &ops)
     };
-    expect_that!(index.update(&whole), eq(false));
+    expect_that!(index.update(&snapshot), eq(false));
     expect_that!(held(&mut index), eq(prompt.tokens()));
 }
--- a/azureway-core/tests/routing/world.rs
+++ b/azureway-core/tests/routing/world.rs
@@ -113,7 +113,7 @@
             server: &id,
             incarnation: report.incarnation,
             first,
-            whole,
+            snapshot: whole,
             ops: &ops,
         };
         self.tell(entry, Event::Load(&report));
--- a/azureway-dev/benches/decisions.rs
+++ b/azureway-dev/benches/decisions.rs
@@ -68,7 +68,7 @@
             server: &server,
             incarnation: Incarnation::new(1),
             first,
-            whole: false,
+            snapshot: false,
             ops: &ops,
         };
         first += RUN;
@@ -88,7 +88,7 @@
             key: BlockKey::new(u128::from(first + n as u64)),
             tokens: TokenCount::new(1),
         });
-        index.cached(&server, Incarnation::new(1), &prompt)
+        index.cached_tokens(&server, Incarnation::new(1), &prompt)
     });
 }
 
--- a/azureway-dev/src/replay/news.rs
+++ b/azureway-dev/src/replay/news.rs
@@ -22,7 +22,7 @@
             server: self.server(),
             incarnation: self.incarnation(),
             first: self.first,
-            whole: self.whole,
+            snapshot: self.whole,
             ops: &self.ops,
         }
     }
--- a/azureway-dev/src/slopes/block_probe.rs
+++ b/azureway-dev/src/slopes/block_probe.rs
@@ -59,7 +59,7 @@
         server,
         incarnation: Incarnation::new(1),
         first,
-        whole: false,
+        snapshot: false,
         ops: &ops,
     });
 }
--- a/azureway-dev/src/slopes/lookup_probe.rs
+++ b/azureway-dev/src/slopes/lookup_probe.rs
@@ -33,7 +33,7 @@
                 key: BlockKey::new(u128::from(first + n as u64)),
                 tokens: TokenCount::new(1),
             });
-            black_box(index.cached(&server, Incarnation::new(1), &blocks));
+            black_box(index.cached_tokens(&server, Incarnation::new(1), &blocks));
         });
         Sample {
             size,
--- a/azureway-entry/src/decide/cache_run.rs
+++ b/azureway-entry/src/decide/cache_run.rs
@@ -24,7 +24,7 @@
             server: &self.server,
             incarnation: self.incarnation,
             first: self.first,
-            whole: self.whole,
+            snapshot: self.whole,
             ops: &self.ops,
         }
     }
