--- a/azureway-core/src/event/action.rs
+++ b/azureway-core/src/event/action.rs
@@ -3,7 +3,7 @@
 use super::Dispatch;
 use crate::claim::{ClaimCall, ShortAnswer};
 use crate::domain::{Attempt, Refusal, RequestId, ServerId};
-use crate::member::ServerNews;
+use crate::member::ServerUpdate;
 use crate::quarantine::Strike;
 
 /// What the router wants done.
@@ -20,7 +20,7 @@
     /// Stop a try.
     Cancel(Attempt),
     /// Tell the other entry instances of a backend server.
-    Server(ServerNews),
+    Server(ServerUpdate),
     /// Tell the other entry instances of a strike.
     Strike(Strike),
     /// Ask a backend server for the whole content of its cache.
--- a/azureway-core/src/event/input.rs
+++ b/azureway-core/src/event/input.rs
@@ -6,7 +6,7 @@
 use crate::claim::ClaimNews;
 use crate::domain::{Attempt, Request, RequestId, ServerId};
 use crate::fleet::{Fleet, LoadReport, LoadSample};
-use crate::member::{Loading, ServerNews};
+use crate::member::{LoadNotice, ServerUpdate};
 use crate::quarantine::Strike;
 
 /// What the router is told.
@@ -41,9 +41,9 @@
     /// Another entry instance told what client accounts ask for there.
     Demand(&'a Demand),
     /// Another entry instance told of a backend server.
-    Server(&'a ServerNews),
+    Server(&'a ServerUpdate),
     /// An entry instance is about to order a backend server to load weights.
-    Loading(&'a Loading),
+    Loading(&'a LoadNotice),
     /// Another entry instance told of a request that was running when a server broke.
     Strike(&'a Strike),
     /// The platform lists these backend servers as leaving, and no others. The list lags.
--- a/azureway-core/src/fleet/server_state.rs
+++ b/azureway-core/src/fleet/server_state.rs
@@ -7,7 +7,7 @@
     BackendServer, Incarnation, Loaded, Rank, Timestamp, TokenCount, WeightsVersion,
 };
 use crate::event::{Failure, FailureKind};
-use crate::member::{Loading, ServerNews, ServerSign};
+use crate::member::{LoadNotice, ServerStatus, ServerUpdate};
 
 /// How long a failed server is left alone.
 const SUSPECT_TIME: Duration = Duration::from_secs(2);
@@ -100,14 +100,14 @@
 
     /// Takes in that the server is about to load weights and takes no work meanwhile, or has
     /// loaded them. Returns whether what is known of its cache no longer holds.
-    pub fn apply_loading(&mut self, loading: &Loading, now: Timestamp) -> bool {
+    pub fn apply_loading(&mut self, loading: &LoadNotice, now: Timestamp) -> bool {
         let newer = self.weights.is_none_or(|had| had < loading.weights);
-        let done = loading.time.is_zero();
+        let done = loading.duration.is_zero();
         if newer && done {
             self.weights = Some(loading.weights);
         }
         if newer || done {
-            self.held = now + loading.time;
+            self.held = now + loading.duration;
         }
         newer && done
     }
@@ -157,8 +157,8 @@
 
     /// Takes in what another entry said. Only the server's own report takes it back, and news
     /// of an earlier incarnation is dropped.
-    pub fn apply_news(&mut self, news: &ServerNews) {
-        if news.sign == ServerSign::Leaving && news.incarnation >= self.incarnation {
+    pub fn apply_news(&mut self, news: &ServerUpdate) {
+        if news.status == ServerStatus::Leaving && news.incarnation >= self.incarnation {
             self.health = Health::Leaving;
         }
     }
--- a/azureway-core/src/fleet/server_table.rs
+++ b/azureway-core/src/fleet/server_table.rs
@@ -5,7 +5,7 @@
 
 use super::{Fleet, LoadReport, ServerState};
 use crate::domain::{PoolId, ServerId, Timestamp};
-use crate::member::{Loading, ServerNews};
+use crate::member::{LoadNotice, ServerUpdate};
 
 /// What is known of every backend server. The servers of a pool stand side by side, in the
 /// order of their names.
@@ -74,7 +74,7 @@
     }
 
     /// Takes in what another entry said of a server.
-    pub fn apply_news(&mut self, news: &ServerNews) {
+    pub fn apply_news(&mut self, news: &ServerUpdate) {
         if let Some(state) = self.get_mut(&news.server) {
             state.apply_news(news);
         }
@@ -82,7 +82,7 @@
 
     /// Takes in that a server is about to load weights or has loaded them. Returns whether
     /// what is known of its cache no longer holds.
-    pub fn apply_loading(&mut self, loading: &Loading, now: Timestamp) -> bool {
+    pub fn apply_loading(&mut self, loading: &LoadNotice, now: Timestamp) -> bool {
         let state = self.get_mut(&loading.server);
         state.is_some_and(|s| s.apply_loading(loading, now))
     }
--- a/azureway-core/src/member/news.rs
+++ b/azureway-core/src/member/gossip_update.rs
@@ -1,22 +1,22 @@
 //! What heartbeats carry from peer to peer.
 
-use super::{Loading, MemberNews, ServerNews};
+use super::{LoadNotice, MemberUpdate, ServerUpdate};
 use crate::quarantine::Strike;
 
 /// What heartbeats carry from peer to peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum GossipUpdate {
     /// News of an instance.
-    Member(MemberNews),
+    Member(MemberUpdate),
     /// News of a backend server.
-    Server(ServerNews),
+    Server(ServerUpdate),
     /// News of a request that was running when a backend server broke.
     Strike(Strike),
     /// News of a backend server that is about to load weights; it is not passed on.
-    Loading(Loading),
+    Loading(LoadNotice),
 }
 
-impl News {
+impl GossipUpdate {
     /// Tells whether both are about the same subject, so that only one of them is kept.
     pub fn is_about(&self, other: &Self) -> bool {
         match (self, other) {
--- a/azureway-core/src/member/heartbeat.rs
+++ b/azureway-core/src/member/heartbeat.rs
@@ -1,6 +1,6 @@
 //! The message between peers.
 
-use super::News;
+use super::GossipUpdate;
 use crate::domain::{AccountId, ConfigVersion, Instance, TokenRate};
 
 /// The message between peers: a heartbeat, and in the same shape the answer to one.
@@ -15,7 +15,7 @@
     /// Whether the sender asks for all news or, in an answer, gives all.
     pub whole: bool,
     /// News.
-    pub news: Vec<News>,
+    pub news: Vec<GossipUpdate>,
     /// The tokens a second that client accounts ask of the sender, the most first.
     pub demand: Vec<(AccountId, TokenRate)>,
 }
--- a/azureway-core/src/member/member_state.rs
+++ b/azureway-core/src/member/member_state.rs
@@ -1,13 +1,13 @@
 //! What is known of one peer.
 
-use super::MemberNews;
+use super::MemberUpdate;
 use crate::domain::Timestamp;
 
 /// What is known of one peer.
 #[derive(Clone, Debug)]
 pub struct MemberState {
     /// The latest news of it.
-    pub news: MemberNews,
+    pub news: MemberUpdate,
     /// When that news was taken in.
     pub since: Timestamp,
     /// The heartbeats in a row that it did not answer this instance.
@@ -18,7 +18,7 @@
 
 impl MemberState {
     /// Creates a member from its first news.
-    pub const fn new(news: MemberNews, since: Timestamp) -> Self {
+    pub const fn new(news: MemberUpdate, since: Timestamp) -> Self {
         Self {
             news,
             since,
--- a/azureway-core/src/member/member_news.rs
+++ b/azureway-core/src/member/member_update.rs
@@ -5,14 +5,14 @@
 
 /// News of an instance: what is believed of one of its incarnations.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemberNews {
+pub struct MemberUpdate {
     /// The instance, with the incarnation that the news is about.
     pub instance: Instance,
     /// What is believed.
     pub liveness: Liveness,
 }
 
-impl MemberNews {
+impl MemberUpdate {
     /// Creates the news.
     pub const fn new(instance: Instance, liveness: Liveness) -> Self {
         Self { instance, liveness }
--- a/azureway-core/src/member/membership.rs
+++ b/azureway-core/src/member/membership.rs
@@ -1,8 +1,8 @@
 //! The membership itself.
 
 use super::{
-    CatchUp, Gossip, Heartbeat, Liveness, MemberConfig, MemberNews, News, PeerAction, PeerEvent,
-    PeerTable, Refreshes, RoundTimer, Targets, TopDemand,
+    CatchUp, Gossip, GossipUpdate, Heartbeat, Liveness, MemberUpdate, MembershipConfig, PeerAction,
+    PeerEvent, PeerTable, Refreshes, RoundTimer, Targets, TopDemand,
 };
 use crate::admit::Demand;
 use crate::domain::{ConfigVersion, Instance, InstanceId, Timestamp};
@@ -10,7 +10,7 @@
 /// What one instance believes of its peers. Events and the time go in, actions come out.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    pub(super) config: MemberConfig,
+    pub(super) config: MembershipConfig,
     pub(super) me: Instance,
     pub(super) peers: PeerTable,
     pub(super) gossip: Gossip,
@@ -29,7 +29,7 @@
     /// Creates the membership of `me`, which starts at `now` and finds `known` peers in its
     /// settings. `seed` spreads instances that start together.
     pub fn new<'a>(
-        config: MemberConfig,
+        config: MembershipConfig,
         me: Instance,
         known: impl IntoIterator<Item = &'a Instance>,
         seed: u64,
@@ -67,8 +67,8 @@
             PeerEvent::Listed(list) => self.list(list, now),
             PeerEvent::Version(version) => self.catchup.adopt(version),
             PeerEvent::Demand(demand) => self.demand.note(demand, self.config.demand),
-            PeerEvent::Server(news) => self.tell(News::Server(news.clone()), now),
-            PeerEvent::Strike(strike) => self.tell(News::Strike(strike.clone()), now),
+            PeerEvent::Server(news) => self.tell(GossipUpdate::Server(news.clone()), now),
+            PeerEvent::Strike(strike) => self.tell(GossipUpdate::Strike(strike.clone()), now),
             PeerEvent::Loading(loading) => self.announce(loading, out),
             PeerEvent::Leaving => self.leave(out),
             PeerEvent::Tick => {}
@@ -145,7 +145,7 @@
         if self.returning || !near || member.news.liveness != Liveness::Alive {
             return;
         }
-        let news = MemberNews::new(member.news.instance.clone(), Liveness::Suspect);
+        let news = MemberUpdate::new(member.news.instance.clone(), Liveness::Suspect);
         self.note_member(&news, now);
     }
 
@@ -197,11 +197,11 @@
         let mut news = Vec::new();
         let told = to.and_then(|id| self.peers.get(id));
         if let Some(member) = told.filter(|m| m.news.liveness > Liveness::Alive) {
-            news.push(News::Member(member.news.clone()));
+            news.push(GossipUpdate::Member(member.news.clone()));
         }
         if self.left {
-            let left = MemberNews::new(self.me.clone(), Liveness::Left);
-            news.push(News::Member(left));
+            let left = MemberUpdate::new(self.me.clone(), Liveness::Left);
+            news.push(GossipUpdate::Member(left));
         }
         if whole {
             news.extend(self.gossip.everything(&self.peers, now));
@@ -221,16 +221,16 @@
 
     /// Takes over what a heartbeat says.
     fn absorb(&mut self, beat: &Heartbeat, now: Timestamp, out: &mut Vec<PeerAction>) {
-        let sender = MemberNews::new(beat.from.clone(), Liveness::Alive);
+        let sender = MemberUpdate::new(beat.from.clone(), Liveness::Alive);
         self.note_member(&sender, now);
         for news in &beat.news {
-            if let News::Member(member) = news {
+            if let GossipUpdate::Member(member) = news {
                 if member.instance.id == self.me.id {
                     self.contradict(member);
                 } else {
                     self.note_member(member, now);
                 }
-            } else if let News::Loading(loading) = news {
+            } else if let GossipUpdate::Loading(loading) = news {
                 out.push(PeerAction::Loading(loading.clone()));
             } else if self.gossip.merge(news, now) {
                 out.extend(PeerAction::of_news(news));
@@ -247,7 +247,7 @@
     }
 
     /// Takes in news of a peer, and passes it on if it was new.
-    fn note_member(&mut self, news: &MemberNews, now: Timestamp) {
+    fn note_member(&mut self, news: &MemberUpdate, now: Timestamp) {
         if self.peers.merge(news, now) {
             self.gossip.push(news);
         }
@@ -255,12 +255,12 @@
 
     /// Takes a greater incarnation if peers believe that this instance is not alive, or
     /// remember a later one than its own.
-    fn contradict(&mut self, news: &MemberNews) {
+    fn contradict(&mut self, news: &MemberUpdate) {
         let (mine, theirs) = (self.me.incarnation, news.instance.incarnation);
         let wrong = news.liveness > Liveness::Alive && theirs >= mine;
         if (wrong || theirs > mine) && !self.left {
             self.me.incarnation = theirs.next();
-            let alive = MemberNews::new(self.me.clone(), Liveness::Alive);
+            let alive = MemberUpdate::new(self.me.clone(), Liveness::Alive);
             self.gossip.push(&alive);
         }
     }
--- a/azureway-core/src/member/member_config.rs
+++ b/azureway-core/src/member/membership_config.rs
@@ -4,7 +4,7 @@
 
 /// The bounds of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemberConfig {
+pub struct MembershipConfig {
     /// The time between two rounds of heartbeats.
     pub interval: Duration,
     /// The peers of the zone that get a heartbeat in each round.
@@ -25,7 +25,7 @@
     pub refresh: Duration,
 }
 
-impl MemberConfig {
+impl MembershipConfig {
     /// Creates the default bounds.
     pub const fn new() -> Self {
         Self {
@@ -49,7 +49,7 @@
     }
 }
 
-impl Default for MemberConfig {
+impl Default for MembershipConfig {
     fn default() -> Self {
         Self::new()
     }
--- a/azureway-core/src/member/peer_action.rs
+++ b/azureway-core/src/member/peer_action.rs
@@ -1,6 +1,6 @@
 //! What the membership wants done.
 
-use super::{Heartbeat, Loading, News, ServerNews};
+use super::{GossipUpdate, Heartbeat, LoadNotice, ServerUpdate};
 use crate::admit::Demand;
 use crate::domain::{ConfigVersion, Instance};
 use crate::quarantine::Strike;
@@ -19,21 +19,21 @@
     /// Take over what client accounts ask of a peer.
     Demand(Demand),
     /// Take over news of a backend server.
-    Server(ServerNews),
+    Server(ServerUpdate),
     /// Take over a strike.
     Strike(Strike),
     /// A backend server is about to load weights.
-    Loading(Loading),
+    Loading(LoadNotice),
 }
 
 impl PeerAction {
     /// Returns the action that takes over news of a backend server or a request.
-    pub fn of_news(news: &News) -> Option<Self> {
+    pub fn of_news(news: &GossipUpdate) -> Option<Self> {
         match news {
-            News::Member(_) => None,
-            News::Server(news) => Some(Self::Server(news.clone())),
-            News::Strike(strike) => Some(Self::Strike(strike.clone())),
-            News::Loading(loading) => Some(Self::Loading(loading.clone())),
+            GossipUpdate::Member(_) => None,
+            GossipUpdate::Server(news) => Some(Self::Server(news.clone())),
+            GossipUpdate::Strike(strike) => Some(Self::Strike(strike.clone())),
+            GossipUpdate::Loading(loading) => Some(Self::Loading(loading.clone())),
         }
     }
 }
--- a/azureway-core/src/member/peer_event.rs
+++ b/azureway-core/src/member/peer_event.rs
@@ -1,6 +1,6 @@
 //! What the membership is told.
 
-use super::{Heartbeat, Loading, ServerNews};
+use super::{Heartbeat, LoadNotice, ServerUpdate};
 use crate::admit::Demand;
 use crate::domain::{ConfigVersion, Instance, InstanceId};
 use crate::quarantine::Strike;
@@ -23,11 +23,11 @@
     /// What client accounts ask of this entry.
     Demand(&'a Demand),
     /// This entry found something that speaks against a backend server.
-    Server(&'a ServerNews),
+    Server(&'a ServerUpdate),
     /// A request of this entry was running when a backend server broke, or was cleared.
     Strike(&'a Strike),
     /// This entry is about to order a backend server to load weights.
-    Loading(&'a Loading),
+    Loading(&'a LoadNotice),
     /// This instance shuts down.
     Leaving,
     /// Time passed.
--- a/azureway-core/src/member/peer_table.rs
+++ b/azureway-core/src/member/peer_table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Liveness, MemberNews, MemberState};
+use super::{Liveness, MemberState, MemberUpdate};
 use crate::domain::{Instance, InstanceId, PrefixKey, ServerId, Timestamp, ZoneId};
 use crate::route::Rendezvous;
 
@@ -22,13 +22,13 @@
     /// Takes in an instance that settings or the platform name. This never changes what is
     /// believed of a known one, since a list lags.
     pub fn list(&mut self, instance: &Instance, now: Timestamp) {
-        let news = MemberNews::new(instance.clone(), Liveness::Listed);
+        let news = MemberUpdate::new(instance.clone(), Liveness::Listed);
         let entry = self.members.entry(instance.id.clone());
         entry.or_insert_with(|| MemberState::new(news, now)).listed = true;
     }
 
     /// Takes in news. Returns whether it was new.
-    pub fn merge(&mut self, news: &MemberNews, now: Timestamp) -> bool {
+    pub fn merge(&mut self, news: &MemberUpdate, now: Timestamp) -> bool {
         let Some(member) = self.members.get_mut(&news.instance.id) else {
             // An unknown instance that is gone may just have been forgotten here.
             if news.liveness.is_gone() {
@@ -61,13 +61,13 @@
     }
 
     /// Returns the suspected members of `zone` whose time to contradict is over.
-    pub fn overdue(&self, zone: &ZoneId, time: Duration, now: Timestamp) -> Vec<MemberNews> {
+    pub fn overdue(&self, zone: &ZoneId, time: Duration, now: Timestamp) -> Vec<MemberUpdate> {
         let late = |m: &&MemberState| {
             m.news.liveness == Liveness::Suspect
                 && m.news.instance.zone == *zone
                 && now.since(m.since) >= time
         };
-        let dead = |m: &MemberState| MemberNews::new(m.news.instance.clone(), Liveness::Dead);
+        let dead = |m: &MemberState| MemberUpdate::new(m.news.instance.clone(), Liveness::Dead);
         self.members.values().filter(late).map(dead).collect()
     }
 
--- a/azureway-core/src/member/targets.rs
+++ b/azureway-core/src/member/targets.rs
@@ -1,6 +1,6 @@
 //! Whom a round of heartbeats goes to.
 
-use super::{Links, MemberConfig, MemberState, PeerTable};
+use super::{Links, MemberState, MembershipConfig, PeerTable};
 use crate::domain::{Instance, InstanceId, ZoneId};
 use crate::util::Xorshift;
 
@@ -33,7 +33,7 @@
         &mut self,
         peers: &PeerTable,
         me: &Instance,
-        config: &MemberConfig,
+        config: &MembershipConfig,
     ) -> Vec<Instance> {
         self.round += 1;
         let mut chosen = self.near(peers, &me.zone, config.fanout);
--- a/azureway-core/src/member/telling.rs
+++ b/azureway-core/src/member/telling.rs
@@ -1,11 +1,11 @@
 //! What a membership tells its peers by itself.
 
-use super::{Heartbeat, Loading, Membership, News, PeerAction};
+use super::{GossipUpdate, Heartbeat, LoadNotice, Membership, PeerAction};
 use crate::domain::Timestamp;
 
 impl Membership {
     /// Tells peers what was found here.
-    pub(super) fn tell(&mut self, news: News, now: Timestamp) {
+    pub(super) fn tell(&mut self, news: GossipUpdate, now: Timestamp) {
         if self.gossip.merge(&news, now) {
             // It is not kept until the next round: the request may come back elsewhere.
             self.pace.hurry(now);
@@ -13,7 +13,7 @@
     }
 
     /// Tells every peer at once that a backend server is about to load weights.
-    pub(super) fn announce(&mut self, loading: &Loading, out: &mut Vec<PeerAction>) {
+    pub(super) fn announce(&mut self, loading: &LoadNotice, out: &mut Vec<PeerAction>) {
         let there = self.peers.iter().filter(|m| !m.news.liveness.is_gone());
         for member in there {
             let beat = Heartbeat {
@@ -21,7 +21,7 @@
                 version: self.catchup.version(),
                 sum: self.peers.sum(&self.me),
                 whole: false,
-                news: vec![News::Loading(loading.clone())],
+                news: vec![GossipUpdate::Loading(loading.clone())],
                 demand: Vec::new(),
             };
             out.push(PeerAction::Send(member.news.instance.clone(), beat));
--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -21,8 +21,8 @@
     Lease, LeaseConfig, LeaseRecord, LeaseReply, LeaseState, LeaseStep, LeaseWrite,
 };
 pub use crate::member::{
-    Heartbeat, Liveness, Loading, MemberConfig, MemberNews, Membership, News, PeerAction,
-    PeerEvent, ServerNews, ServerSign,
+    GossipUpdate, Heartbeat, Liveness, LoadNotice, MemberUpdate, Membership, MembershipConfig,
+    PeerAction, PeerEvent, ServerStatus, ServerUpdate,
 };
 pub use crate::order::{LoadMode, LoadOrder, OrderConfig, OrderPlanner, StoreBudget};
 pub use crate::quarantine::{CrashSite, Quarantine, Strike, StrikeState, SuspectStatus};
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -5,7 +5,7 @@
 use crate::domain::{Attempt, Incarnation, PoolId, RequestId, Timestamp};
 use crate::event::{Dispatch, Failure};
 use crate::fleet::{Fleet, LoadReport, LoadSample, ServerTable};
-use crate::member::{Loading, ServerNews, ServerSign};
+use crate::member::{LoadNotice, ServerStatus, ServerUpdate};
 use crate::quarantine::{CrashSite, Guard};
 use crate::route::{Estimate, Policy, ReplicaScaler};
 
@@ -79,13 +79,13 @@
     }
 
     /// Returns what peers have to hear of a report: that a server leaves, when that is new.
-    pub fn leave_news(&self, report: &LoadReport) -> Option<ServerNews> {
+    pub fn leave_news(&self, report: &LoadReport) -> Option<ServerUpdate> {
         let state = self.servers.get(&report.server)?;
         let fresh = report.leaving && !state.is_leaving();
-        fresh.then(|| ServerNews {
+        fresh.then(|| ServerUpdate {
             server: report.server.clone(),
             incarnation: report.incarnation,
-            sign: ServerSign::Leaving,
+            status: ServerStatus::Leaving,
         })
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Takes in that a server is about to load weights or has loaded them.
-    pub fn load(&mut self, loading: &Loading, now: Timestamp) {
+    pub fn load(&mut self, loading: &LoadNotice, now: Timestamp) {
         if self.servers.apply_loading(loading, now) {
             self.index.invalidate(&loading.server);
         }
--- a/azureway-core/tests/group/mod.rs
+++ b/azureway-core/tests/group/mod.rs
@@ -27,7 +27,7 @@
     pub running: bool,
     pub paused_until: Timestamp,
     pub strikes: Vec<Strike>,
-    pub signs: Vec<ServerNews>,
+    pub signs: Vec<ServerUpdate>,
     pub demand: BTreeMap<InstanceId, Demand>,
     pub ready_at: Option<Timestamp>,
     pub started: Timestamp,
@@ -101,7 +101,7 @@
             .with_incarnation(Incarnation::new(self.now.as_micros()));
         let place = self.seeds.iter().position(|s| s.id == *id).expect("a seed");
         let seed = self.seed.wrapping_mul(1_000_003) + place as u64 * 7_919 + life * 104_729;
-        let core = Membership::new(MemberConfig::new(), me, &self.seeds, seed, self.now);
+        let core = Membership::new(MembershipConfig::new(), me, &self.seeds, seed, self.now);
         let node = Node {
             core,
             running: true,
--- a/azureway-core/tests/leaving.rs
+++ b/azureway-core/tests/leaving.rs
@@ -18,11 +18,11 @@
     }
 }
 
-fn news(life: u64) -> ServerNews {
-    ServerNews {
+fn news(life: u64) -> ServerUpdate {
+    ServerUpdate {
         server: ServerId::new("engine-1"),
         incarnation: Incarnation::new(life),
-        sign: ServerSign::Leaving,
+        status: ServerStatus::Leaving,
     }
 }
 
--- a/azureway-core/tests/weights.rs
+++ b/azureway-core/tests/weights.rs
@@ -100,10 +100,10 @@
     }
 
     fn load(&mut self, weights: u64, millis: u64) {
-        let loading = Loading {
+        let loading = LoadNotice {
             server: ServerId::new("s"),
             weights: WeightsVersion::new(weights),
-            time: Duration::from_millis(millis),
+            duration: Duration::from_millis(millis),
         };
         self.bench.tell(Event::Loading(&loading));
     }
--- a/azureway-dev/src/slopes/member_probe.rs
+++ b/azureway-dev/src/slopes/member_probe.rs
@@ -27,8 +27,8 @@
 
     /// Returns the heartbeat of a peer that tells of `members` others and of 12 accounts.
     pub fn heartbeat(number: u64, members: u64) -> Heartbeat {
-        let alive = |n| News::Member(MemberNews::new(Self::peer(n), Liveness::Alive));
-        let accounts = (0..MemberConfig::new().demand).map(crate::bench::World::account);
+        let alive = |n| GossipUpdate::Member(MemberUpdate::new(Self::peer(n), Liveness::Alive));
+        let accounts = (0..MembershipConfig::new().demand).map(crate::bench::World::account);
         Heartbeat {
             from: Self::peer(number),
             version: ConfigVersion::new(1),
@@ -50,7 +50,8 @@
         let beats: Vec<Heartbeat> = (1..=size).map(|n| Self::heartbeat(n, 0)).collect();
         let heap = Heap::now();
         let now = Timestamp::from_millis(1);
-        let mut membership = Membership::new(MemberConfig::new(), Self::peer(0), &peers, 1, now);
+        let mut membership =
+            Membership::new(MembershipConfig::new(), Self::peer(0), &peers, 1, now);
         let mut out = Vec::new();
         for beat in &beats {
             membership.handle(PeerEvent::Heard(beat), now, &mut out);
--- a/azureway-entry/src/daemon/parts.rs
+++ b/azureway-entry/src/daemon/parts.rs
@@ -28,7 +28,7 @@
     let me = me.with_incarnation(incarnation);
     let choice = ChoiceNotifier::new(me.id.clone(), rings.watch.clone(), rings.order.clone());
     let now = rings.clock.now();
-    let core = Membership::new(MemberConfig::new(), me, &settings.peers, mark, now);
+    let core = Membership::new(MembershipConfig::new(), me, &settings.peers, mark, now);
     let (runtime, duty) = (
         PeerDuty::runtime()?,
         PeerDuty::new(core, rings.peers(choice)),
--- a/azureway-entry/src/decide/peer_word.rs
+++ b/azureway-entry/src/decide/peer_word.rs
@@ -1,6 +1,6 @@
 //! What other entries told.
 
-use azureway_core::prelude::{Demand, Event, Loading, ServerNews, Strike};
+use azureway_core::prelude::{Demand, Event, LoadNotice, ServerUpdate, Strike};
 
 /// What other entries told, or what follows from it.
 #[derive(Clone, Debug)]
@@ -12,11 +12,11 @@
     /// What client accounts ask for at another entry.
     Demand(Demand),
     /// Another entry told of a backend server.
-    Server(ServerNews),
+    Server(ServerUpdate),
     /// Another entry told of a request that was running when a backend server broke.
     Strike(Strike),
     /// An entry is about to order a backend server to load weights.
-    Loading(Loading),
+    Loading(LoadNotice),
 }
 
 impl PeerWord {
--- a/azureway-entry/src/order/orderer.rs
+++ b/azureway-entry/src/order/orderer.rs
@@ -199,10 +199,10 @@
         let Some(peers) = &self.peers else {
             return;
         };
-        let loading = Loading {
+        let loading = LoadNotice {
             server: order.server.clone(),
             weights: order.weights,
-            time,
+            duration: time,
         };
         // The peer duty ends only with the process, and then nothing is ordered any more.
         let _ = peers.send(PeerMessage::Loading(loading));
--- a/azureway-entry/src/peer/peer_client.rs
+++ b/azureway-entry/src/peer/peer_client.rs
@@ -1,6 +1,6 @@
 //! What the deciding duty tells other entries.
 
-use azureway_core::prelude::{Demand, InstanceId, ServerNews, Strike};
+use azureway_core::prelude::{Demand, InstanceId, ServerUpdate, Strike};
 use flume::Sender;
 
 use super::PeerMessage;
@@ -30,7 +30,7 @@
     }
 
     /// Tells of a backend server.
-    pub fn server(&self, news: ServerNews) {
+    pub fn server(&self, news: ServerUpdate) {
         let _ = self.peer.try_send(PeerMessage::Server(news));
     }
 
--- a/azureway-entry/src/peer/peer_message.rs
+++ b/azureway-entry/src/peer/peer_message.rs
@@ -1,7 +1,7 @@
 //! What the peer duty is told.
 
 use azureway_core::prelude::{
-    ConfigVersion, Demand, Heartbeat, Instance, InstanceId, Loading, ServerNews, Strike,
+    ConfigVersion, Demand, Heartbeat, Instance, InstanceId, LoadNotice, ServerUpdate, Strike,
 };
 use flume::Sender;
 
@@ -19,9 +19,9 @@
     /// A request of this entry was running when a backend server broke, or was cleared.
     Strike(Strike),
     /// This entry is about to order a backend server to load weights.
-    Loading(Loading),
+    Loading(LoadNotice),
     /// This entry found something that speaks against a backend server.
-    Server(ServerNews),
+    Server(ServerUpdate),
     /// A peer sent a heartbeat; the answer goes into the ring.
     Heard(Box<Heartbeat>, Sender<Heartbeat>),
     /// A peer asked for a document newer than a version; it goes into the ring.
--- a/azureway-wire/src/peer/news.rs
+++ b/azureway-wire/src/peer/news.rs
@@ -4,27 +4,27 @@
 
 use azureway_core::prelude as core;
 use azureway_core::prelude::{
-    CrashSite, Error, Fingerprint, Incarnation, Liveness, MemberNews, ServerId, ServerNews,
-    ServerSign, StrikeState, WeightsVersion,
+    CrashSite, Error, Fingerprint, Incarnation, Liveness, MemberUpdate, ServerId, ServerStatus,
+    ServerUpdate, StrikeState, WeightsVersion,
 };
 
 use super::fault::fault;
 use super::{Loading, Member, News, Server, Strike, Subject};
 
-impl From<&core::News> for News {
-    fn from(news: &core::News) -> Self {
+impl From<&core::GossipUpdate> for News {
+    fn from(news: &core::GossipUpdate) -> Self {
         let subject = match news {
-            core::News::Member(news) => Subject::Member(Member {
+            core::GossipUpdate::Member(news) => Subject::Member(Member {
                 instance: Some((&news.instance).into()),
                 liveness: news.liveness as u32,
             }),
-            core::News::Server(news) => Subject::Server(Server {
+            core::GossipUpdate::Server(news) => Subject::Server(Server {
                 id: news.server.as_str().to_owned(),
                 incarnation: news.incarnation.get(),
-                sign: news.sign as u32,
+                sign: news.status as u32,
             }),
-            core::News::Strike(strike) => Subject::Strike(strike.into()),
-            core::News::Loading(loading) => Subject::Loading(loading.into()),
+            core::GossipUpdate::Strike(strike) => Subject::Strike(strike.into()),
+            core::GossipUpdate::Loading(loading) => Subject::Loading(loading.into()),
         };
         Self {
             subject: Some(subject),
@@ -44,27 +44,27 @@
     }
 }
 
-impl From<&core::Loading> for Loading {
-    fn from(loading: &core::Loading) -> Self {
+impl From<&core::LoadNotice> for Loading {
+    fn from(loading: &core::LoadNotice) -> Self {
         Self {
             server: loading.server.as_str().to_owned(),
             weights: loading.weights.get(),
-            time_ms: u32::try_from(loading.time.as_millis()).unwrap_or(u32::MAX),
+            time_ms: u32::try_from(loading.duration.as_millis()).unwrap_or(u32::MAX),
         }
     }
 }
 
-impl From<&Loading> for core::Loading {
+impl From<&Loading> for core::LoadNotice {
     fn from(message: &Loading) -> Self {
         Self {
             server: ServerId::new(&message.server),
             weights: WeightsVersion::new(message.weights),
-            time: Duration::from_millis(message.time_ms.into()),
+            duration: Duration::from_millis(message.time_ms.into()),
         }
     }
 }
 
-impl TryFrom<&News> for core::News {
+impl TryFrom<&News> for core::GossipUpdate {
     type Error = Error;
 
     fn try_from(message: &News) -> Result<Self, Error> {
@@ -77,7 +77,7 @@
     }
 }
 
-impl TryFrom<&Member> for MemberNews {
+impl TryFrom<&Member> for MemberUpdate {
     type Error = Error;
 
     fn try_from(message: &Member) -> Result<Self, Error> {
@@ -87,15 +87,15 @@
     }
 }
 
-impl TryFrom<&Server> for ServerNews {
+impl TryFrom<&Server> for ServerUpdate {
     type Error = Error;
 
     fn try_from(message: &Server) -> Result<Self, Error> {
-        let signs = [ServerSign::Failed, ServerSign::Leaving];
+        let signs = [ServerStatus::Failed, ServerStatus::Leaving];
         Ok(Self {
             server: ServerId::new(&message.id),
             incarnation: Incarnation::new(message.incarnation),
-            sign: pick(&signs, message.sign, "sign")?,
+            status: pick(&signs, message.sign, "sign")?,
         })
     }
 }
--- a/azureway-wire/tests/peer.rs
+++ b/azureway-wire/tests/peer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azureway_core::member::{MemberConfig, MemberNews};
+use azureway_core::member::{MemberUpdate, MembershipConfig};
 use azureway_core::prelude::*;
 use azureway_wire::peer;
 use googletest::prelude::*;
@@ -33,8 +33,8 @@
 
 /// A heartbeat that is as full as it gets.
 fn full() -> Heartbeat {
-    let config = MemberConfig::new();
-    let member = |n| News::Member(MemberNews::new(instance(n), Liveness::Suspect));
+    let config = MembershipConfig::new();
+    let member = |n| GossipUpdate::Member(MemberUpdate::new(instance(n), Liveness::Suspect));
     let news = (0..config.news as u64).map(member);
     let demand = (0..config.demand as u64).map(|n| {
         let account = AccountId::new(&format!("distributor-of-the-north-{n}"));
@@ -53,11 +53,11 @@
 #[gtest]
 fn a_heartbeat_survives_the_wire() {
     let mut beat = full();
-    beat.news.push(News::Strike(strike(7)));
-    beat.news.push(News::Server(ServerNews {
+    beat.news.push(GossipUpdate::Strike(strike(7)));
+    beat.news.push(GossipUpdate::Server(ServerUpdate {
         server: ServerId::new("engine-1"),
         incarnation: Incarnation::new(3),
-        sign: ServerSign::Leaving,
+        status: ServerStatus::Leaving,
     }));
     let bytes = peer::Heartbeat::from(&beat).encode_to_vec();
     let message = peer::Heartbeat::decode(bytes.as_slice()).expect("a message");
@@ -88,10 +88,11 @@
 /// once in a refresh to a node that asks, with all members, and as often comes back.
 #[gtest]
 fn a_node_stays_under_its_budget_at_360_nodes() {
-    let config = MemberConfig::new();
+    let config = MembershipConfig::new();
     let beat = peer::Heartbeat::from(&full()).encoded_len() + CALL_COST / 2;
     let mut everything = full();
-    let all = (0..360).map(|n| News::Member(MemberNews::new(instance(n), Liveness::Alive)));
+    let all =
+        (0..360).map(|n| GossipUpdate::Member(MemberUpdate::new(instance(n), Liveness::Alive)));
     everything.news = all.collect();
     let whole = peer::Heartbeat::from(&everything).encoded_len();
     let rounds = 1.0 / config.interval.as_secs_f64();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -147,7 +147,7 @@
 //!     Instance::new(InstanceId::new(name), ZoneId::new("kranj-a"), address)
 //! };
 //! let (me, peer) = (instance("entry-1", 8081), instance("entry-2", 8082));
-//! let mut members = Membership::new(MemberConfig::new(), me, [&peer], 1, Timestamp::ZERO);
+//! let mut members = Membership::new(MembershipConfig::new(), me, [&peer], 1, Timestamp::ZERO);
 //! let (mut now, mut out) = (Timestamp::ZERO, Vec::new());
 //! while !out.iter().any(|a| matches!(a, PeerAction::Send(to, _) if *to == peer)) {
 //!     now = members.next_wakeup();
