--- a/azureway-core/src/lease/config.rs
+++ b/azureway-core/src/lease/config.rs
@@ -10,9 +10,9 @@
     /// How long before the end the holder stops to order servers that check no fencing number.
     pub margin: Duration,
     /// How long servers that check no fencing number rest between orders of two holders.
-    pub rest: Duration,
+    pub cooldown: Duration,
     /// Whether an instance runs one process at a time: whatever an earlier one held is its own.
-    pub sole: bool,
+    pub single_process: bool,
 }
 
 /// The default term.
@@ -30,8 +30,8 @@
         Self {
             term: DEFAULT_TERM,
             margin: DEFAULT_MARGIN,
-            rest: Duration::ZERO,
-            sole: false,
+            cooldown: Duration::ZERO,
+            single_process: false,
         }
     }
 
@@ -45,26 +45,26 @@
     /// Sets how long servers that check no fencing number rest between orders of two holders, so
     /// that an order of the first that is carried out late is over when the next one comes.
     #[must_use]
-    pub const fn with_rest(mut self, rest: Duration) -> Self {
-        self.rest = rest;
+    pub const fn with_cooldown(mut self, cooldown: Duration) -> Self {
+        self.cooldown = cooldown;
         self
     }
 
     /// Lets a process take over at once what an earlier process of its instance held, where the
     /// platform runs one process of an instance at a time.
     #[must_use]
-    pub const fn with_sole(mut self) -> Self {
-        self.sole = true;
+    pub const fn with_single_process(mut self) -> Self {
+        self.single_process = true;
         self
     }
 
     /// Returns the time after which a lease is renewed, or looked at by others.
-    pub fn pace(&self) -> Duration {
+    pub fn renew_interval(&self) -> Duration {
         self.term / RENEWALS
     }
 
     /// Returns how long an entry must have seen a lease unchanged before it takes it over.
-    pub fn patience(&self) -> Duration {
+    pub fn takeover_delay(&self) -> Duration {
         self.term + self.term / DRIFT_PART
     }
 }
--- a/azureway-core/src/lease/holder.rs
+++ b/azureway-core/src/lease/holder.rs
@@ -11,27 +11,27 @@
 pub struct Lease {
     config: LeaseConfig,
     me: InstanceId,
-    mark: u64,
-    beat: u64,
+    process_id: u64,
+    sequence: u64,
     state: LeaseState,
     write: Option<LeaseWrite>,
     look: Timestamp,
     /// Until when servers that check no fencing number get no orders.
-    rest: Timestamp,
+    cooldown_end: Timestamp,
 }
 
 impl Lease {
     /// Creates the side of the process `mark` of instance `me`.
-    pub const fn new(config: LeaseConfig, me: InstanceId, mark: u64) -> Self {
+    pub const fn new(config: LeaseConfig, me: InstanceId, process_id: u64) -> Self {
         Self {
             config,
             me,
-            mark,
-            beat: 0,
+            process_id,
+            sequence: 0,
             state: LeaseState::Unknown,
             write: None,
             look: Timestamp::ZERO,
-            rest: Timestamp::ZERO,
+            cooldown_end: Timestamp::ZERO,
         }
     }
 
@@ -46,12 +46,12 @@
             LeaseState::Free => self.write(0, FencingNumber::new(1), now),
             LeaseState::Lapsed(version, number) => self.write(version, number.next(), now),
             LeaseState::Seen(version, number, since) => {
-                let over = since + self.config.patience();
+                let over = since + self.config.takeover_delay();
                 if now >= over {
                     // The holder before wrote at `since` at the latest, and ordered until the
                     // margin of that term.
                     let last = since + self.config.term.saturating_sub(self.config.margin);
-                    self.rest = last + self.config.rest;
+                    self.cooldown_end = last + self.config.cooldown;
                     return self.write(version, number.next(), now);
                 }
                 self.read_or_wait(now, over)
@@ -59,8 +59,8 @@
             LeaseState::Held(version, number, _) if self.write.is_none() && now >= self.look => {
                 self.write(version, number, now)
             }
-            LeaseState::Held(_, _, ends) if now < self.rest => {
-                self.read_or_wait(now, ends.min(self.rest))
+            LeaseState::Held(_, _, ends) if now < self.cooldown_end => {
+                self.read_or_wait(now, ends.min(self.cooldown_end))
             }
             LeaseState::Held(_, _, ends) => self.read_or_wait(now, ends),
             LeaseState::Unknown => LeaseStep::Wait(self.look),
@@ -68,8 +68,8 @@
     }
 
     /// Takes in the reply to the last step.
-    pub fn hear(&mut self, reply: &LeaseReply, now: Timestamp) {
-        self.look = now + self.config.pace();
+    pub fn handle_reply(&mut self, reply: &LeaseReply, now: Timestamp) {
+        self.look = now + self.config.renew_interval();
         match reply {
             LeaseReply::Written(version) => self.hold(*version),
             LeaseReply::Conflict => {
@@ -77,7 +77,7 @@
                 self.look = now;
                 self.state = LeaseState::Unknown;
             }
-            LeaseReply::Lost => self.lose(now),
+            LeaseReply::NoAnswer => self.lose(now),
             LeaseReply::Found(version, record) => self.find(*version, record, now),
             LeaseReply::Absent => {
                 self.write = None;
@@ -88,13 +88,13 @@
 
     /// Returns the fencing number of an order that may be sent at `now`, to a server that checks
     /// it or not.
-    pub fn allows(&self, now: Timestamp, fenced: bool) -> Option<FencingNumber> {
+    pub fn fencing_number(&self, now: Timestamp, fenced: bool) -> Option<FencingNumber> {
         let LeaseState::Held(_, number, ends) = self.state else {
             return None;
         };
         let (last, rests) = match fenced {
             true => (now, false),
-            false => (now + self.config.margin, now < self.rest),
+            false => (now + self.config.margin, now < self.cooldown_end),
         };
         (last < ends && !rests).then_some(number)
     }
@@ -107,18 +107,18 @@
     }
 
     fn write(&mut self, expected: u64, number: FencingNumber, now: Timestamp) -> LeaseStep {
-        self.beat += 1;
+        self.sequence += 1;
         self.write = Some(LeaseWrite {
-            sent: now,
-            beat: self.beat,
+            started: now,
+            sequence: self.sequence,
             number,
         });
         let record = LeaseRecord {
             holder: self.me.clone(),
-            mark: self.mark,
-            beat: self.beat,
+            process_id: self.process_id,
+            sequence: self.sequence,
             number,
-            rest: self.rest.since(now),
+            cooldown: self.cooldown_end.since(now),
         };
         LeaseStep::Write(expected, record)
     }
@@ -133,29 +133,29 @@
 
     fn hold(&mut self, version: u64) {
         if let Some(write) = self.write.take() {
-            let ends = write.sent + self.config.term;
-            self.look = write.sent + self.config.pace();
+            let ends = write.started + self.config.term;
+            self.look = write.started + self.config.renew_interval();
             self.state = LeaseState::Held(version, write.number, ends);
         }
     }
 
     /// Keeps what is held until its end, and looks again soon.
     fn lose(&mut self, now: Timestamp) {
-        self.look = now + self.config.pace() / 4;
+        self.look = now + self.config.renew_interval() / 4;
         if !matches!(self.state, LeaseState::Held(..)) {
             self.state = LeaseState::Unknown;
         }
     }
 
     fn find(&mut self, version: u64, record: &LeaseRecord, now: Timestamp) {
-        let mine = record.mark == self.mark;
-        let before = self.config.sole && record.holder == self.me;
-        if mine && self.write.is_some_and(|w| w.beat == record.beat) {
+        let mine = record.process_id == self.process_id;
+        let before = self.config.single_process && record.holder == self.me;
+        if mine && self.write.is_some_and(|w| w.sequence == record.sequence) {
             return self.hold(version);
         }
         self.write = None;
         if before && !mine {
-            self.rest = now + record.rest;
+            self.cooldown_end = now + record.cooldown;
         }
         self.state = match self.state {
             LeaseState::Held(_, number, ends) if mine && number == record.number => {
--- a/azureway-core/src/lease/record.rs
+++ b/azureway-core/src/lease/record.rs
@@ -11,11 +11,11 @@
     pub holder: InstanceId,
     /// The mark of the holder's process; a restarted holder does not know its lease again, unless
     /// its instance runs one process at a time.
-    pub mark: u64,
+    pub process_id: u64,
     /// The number of the write, by which the holder knows it again after a lost answer.
-    pub beat: u64,
+    pub sequence: u64,
     /// The fencing number, higher for each new holder.
     pub number: FencingNumber,
     /// How long after the write servers that check no fencing number still rest.
-    pub rest: Duration,
+    pub cooldown: Duration,
 }
--- a/azureway-core/src/lease/reply.rs
+++ b/azureway-core/src/lease/reply.rs
@@ -10,7 +10,7 @@
     /// The object has another version, and the write did not take effect.
     Conflict,
     /// No answer came, or none that tells whether a write took effect.
-    Lost,
+    NoAnswer,
     /// The object exists with this version.
     Found(u64, LeaseRecord),
     /// The object does not exist.
--- a/azureway-core/src/lease/write.rs
+++ b/azureway-core/src/lease/write.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseWrite {
     /// When the write was decided, before it was sent.
-    pub sent: Timestamp,
+    pub started: Timestamp,
     /// The number of the write.
-    pub beat: u64,
+    pub sequence: u64,
     /// The fencing number that it writes.
     pub number: FencingNumber,
 }
--- a/azureway-core/src/order/config.rs
+++ b/azureway-core/src/order/config.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderConfig {
     /// The loads that the weight store takes in a second, over all pools.
-    pub store: u32,
+    pub store_rate: u32,
     /// How long a load counts as running if nothing is heard of its end.
-    pub limit: Duration,
+    pub load_timeout: Duration,
     /// How long a load holds up the next one if nothing is heard of its end.
-    pub busy: Duration,
+    pub slot_timeout: Duration,
     /// What becomes of the runs of a server that loads.
     pub mode: LoadMode,
 }
@@ -26,24 +26,24 @@
     /// Creates the default bounds.
     pub const fn new() -> Self {
         Self {
-            store: DEFAULT_STORE,
-            limit: DEFAULT_LIMIT,
-            busy: DEFAULT_LIMIT,
+            store_rate: DEFAULT_STORE,
+            load_timeout: DEFAULT_LIMIT,
+            slot_timeout: DEFAULT_LIMIT,
             mode: LoadMode::Drain,
         }
     }
 
     /// Sets the loads that the weight store takes in a second.
     #[must_use]
-    pub const fn with_store(mut self, store: u32) -> Self {
-        self.store = store;
+    pub const fn with_store_rate(mut self, store_rate: u32) -> Self {
+        self.store_rate = store_rate;
         self
     }
 
     /// Sets how long a load holds up the next one if nothing is heard of its end.
     #[must_use]
-    pub const fn with_busy(mut self, busy: Duration) -> Self {
-        self.busy = busy;
+    pub const fn with_slot_timeout(mut self, slot_timeout: Duration) -> Self {
+        self.slot_timeout = slot_timeout;
         self
     }
 
--- a/azureway-core/src/order/mod.rs
+++ b/azureway-core/src/order/mod.rs
@@ -6,7 +6,7 @@
 mod load_order;
 mod planner;
 mod pool_view;
-mod store_budget;
+mod store_limiter;
 
 pub use config::OrderConfig;
 pub use load::Load;
@@ -14,4 +14,4 @@
 pub use load_order::LoadOrder;
 pub use planner::OrderPlanner;
 pub use pool_view::PoolView;
-pub use store_budget::StoreBudget;
+pub use store_limiter::StoreLimiter;
--- a/azureway-core/src/order/planner.rs
+++ b/azureway-core/src/order/planner.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Load, LoadOrder, OrderConfig, PoolView, StoreBudget};
+use super::{Load, LoadOrder, OrderConfig, PoolView, StoreLimiter};
 use crate::domain::{
     BackendServer, BackendServerPool, ConfigVersion, ModelId, ModelService, ServerId, ServiceKind,
     Timestamp, WeightsVersion,
@@ -22,7 +22,7 @@
     fleet: Fleet,
     reported: BTreeMap<ServerId, WeightsVersion>,
     loads: BTreeMap<ServerId, Load>,
-    budget: StoreBudget,
+    budget: StoreLimiter,
     /// The loads that held up the next one when an order was last looked for.
     busy: usize,
     /// Whether something has changed since no order was found.
@@ -33,7 +33,7 @@
     /// Creates a planner that knows no configuration yet.
     pub fn new(config: OrderConfig) -> Self {
         Self {
-            budget: StoreBudget::new(config.store),
+            budget: StoreLimiter::new(config.store_rate),
             config,
             fleet: Fleet::new(),
             reported: BTreeMap::new(),
@@ -80,7 +80,7 @@
     }
 
     /// Takes in what a server says of its weights. One that is leaving gets no orders.
-    pub fn report(&mut self, report: &LoadReport, now: Timestamp) {
+    pub fn apply_report(&mut self, report: &LoadReport, now: Timestamp) {
         let (server, weights) = (&report.server, report.weights);
         if report.leaving {
             self.changed |= self.reported.remove(server).is_some();
@@ -95,8 +95,8 @@
         }
         // A server that has just lost its weights is loading, also on an earlier holder's order.
         if weights == WeightsVersion::ZERO && had != Some(weights) {
-            let until = now + self.config.limit;
-            let busy = now + self.config.busy;
+            let until = now + self.config.load_timeout;
+            let busy = now + self.config.slot_timeout;
             let load = Load {
                 weights,
                 busy,
@@ -107,7 +107,7 @@
     }
 
     /// Takes in the weights that a server answered with.
-    pub fn observe(&mut self, server: &ServerId, weights: WeightsVersion) {
+    pub fn observe_weights(&mut self, server: &ServerId, weights: WeightsVersion) {
         let newer = self.reported.get(server).is_none_or(|had| *had < weights);
         if newer && self.fleet.servers.contains_key(server) {
             self.reported.insert(server.clone(), weights);
@@ -118,7 +118,7 @@
 
     /// Takes in that an order failed: it holds up no other one, and is given again in a while
     /// unless the server turns out to have carried it out.
-    pub fn fail(&mut self, server: &ServerId, now: Timestamp) {
+    pub fn record_failure(&mut self, server: &ServerId, now: Timestamp) {
         if let Some(load) = self.loads.get_mut(server) {
             load.busy = now;
             load.until = now + RETRY_TIME;
@@ -127,7 +127,7 @@
     }
 
     /// Returns the next order, if one may be sent at `now`, and counts its load as running.
-    pub fn next(&mut self, now: Timestamp) -> Option<LoadOrder> {
+    pub fn next_order(&mut self, now: Timestamp) -> Option<LoadOrder> {
         let loads = self.loads.len();
         self.loads.retain(|_, load| load.until > now);
         let busy = self.loads.values().filter(|l| l.busy > now).count();
@@ -141,8 +141,8 @@
         let order = order?;
         let load = Load {
             weights: order.weights,
-            busy: now + self.config.busy,
-            until: now + self.config.limit,
+            busy: now + self.config.slot_timeout,
+            until: now + self.config.load_timeout,
         };
         self.loads.insert(order.server.clone(), load);
         self.busy += 1;
--- a/azureway-core/src/order/store_budget.rs
+++ b/azureway-core/src/order/store_limiter.rs
@@ -4,7 +4,7 @@
 
 /// The weight store's rate: loads are spread evenly, with none saved up.
 #[derive(Clone, Copy, Debug)]
-pub struct StoreBudget {
+pub struct StoreLimiter {
     gap: u64,
     free: Timestamp,
 }
@@ -12,7 +12,7 @@
 /// The microseconds of a second.
 const SECOND: u64 = 1_000_000;
 
-impl StoreBudget {
+impl StoreLimiter {
     /// Creates a budget of `rate` loads a second.
     pub fn new(rate: u32) -> Self {
         Self {
--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -24,7 +24,7 @@
     GossipUpdate, Heartbeat, Liveness, LoadNotice, MemberUpdate, Membership, MembershipConfig,
     PeerAction, PeerEvent, ServerStatus, ServerUpdate,
 };
-pub use crate::order::{LoadMode, LoadOrder, OrderConfig, OrderPlanner, StoreBudget};
+pub use crate::order::{LoadMode, LoadOrder, OrderConfig, OrderPlanner, StoreLimiter};
 pub use crate::quarantine::{CrashSite, Quarantine, Strike, StrikeState, SuspectStatus};
 pub use crate::retry::{Backoff, RetryBudget, RetryBudgets, RetrySlack};
 pub use crate::route::{
--- a/azureway-core/tests/orders/cluster.rs
+++ b/azureway-core/tests/orders/cluster.rs
@@ -27,7 +27,7 @@
     /// Creates the process `mark`. Only where an instance runs one process at a time do names
     /// tell entries apart.
     fn new(config: LeaseConfig, mark: u64) -> Self {
-        let name = match config.sole {
+        let name = match config.single_process {
             true => format!("entry-{}", mark % 2),
             false => "entry".to_owned(),
         };
@@ -203,7 +203,7 @@
                 pending: TokenCount::ZERO,
                 leaving: false,
             };
-            planner.report(&report, self.now);
+            planner.apply_report(&report, self.now);
         }
     }
 
@@ -212,19 +212,19 @@
         let step = self.candidates[at].lease.next(now);
         let reply = match step {
             LeaseStep::Wait(_) => return,
-            _ if self.candidates[at].cut => LeaseReply::Lost,
+            _ if self.candidates[at].cut => LeaseReply::NoAnswer,
             LeaseStep::Read => self.read(),
             LeaseStep::Write(expected, record) => self.write(expected, record),
         };
         let written = matches!(reply, LeaseReply::Written(_));
         if written && std::mem::take(&mut self.candidates[at].lose) {
-            return self.hear(at, LeaseReply::Lost);
+            return self.hear(at, LeaseReply::NoAnswer);
         }
         self.hear(at, reply);
     }
 
     fn hear(&mut self, at: usize, reply: LeaseReply) {
-        self.candidates[at].lease.hear(&reply, self.now);
+        self.candidates[at].lease.handle_reply(&reply, self.now);
     }
 
     fn read(&self) -> LeaseReply {
@@ -245,13 +245,13 @@
 
     fn order(&mut self, at: usize) {
         let candidate = &mut self.candidates[at];
-        if candidate.lease.allows(self.now, false).is_none() {
+        if candidate.lease.fencing_number(self.now, false).is_none() {
             return;
         }
-        let Some(order) = candidate.planner.next(self.now) else {
+        let Some(order) = candidate.planner.next_order(self.now) else {
             return;
         };
-        let Some(number) = candidate.lease.allows(self.now, order.fenced) else {
+        let Some(number) = candidate.lease.fencing_number(self.now, order.fenced) else {
             return;
         };
         if std::mem::take(&mut candidate.hold) {
@@ -271,7 +271,7 @@
         if !server.fenced && !late {
             let before = self.last.insert(order.server.clone(), (at, self.now));
             let close = before
-                .is_some_and(|(by, when)| by != at && self.now.since(when) < self.config.rest);
+                .is_some_and(|(by, when)| by != at && self.now.since(when) < self.config.cooldown);
             self.hasty |= close;
         }
         server.highest = server.highest.max(number);
--- a/azureway-core/tests/orders/main.rs
+++ b/azureway-core/tests/orders/main.rs
@@ -75,8 +75,8 @@
 /// whole one between two holders, and one process of an instance at a time.
 const SITE_LEASE: LeaseConfig = LeaseConfig::new()
     .with_term(Duration::from_secs(3), Duration::from_secs(1))
-    .with_rest(Duration::from_secs(3))
-    .with_sole();
+    .with_cooldown(Duration::from_secs(3))
+    .with_single_process();
 
 #[gtest]
 fn every_row_of_the_table_holds() {
@@ -191,23 +191,26 @@
     let config = LeaseConfig::new();
     let mut lease = Lease::new(config, InstanceId::new("a"), 1);
     let start = Timestamp::from_millis(100);
-    lease.hear(&LeaseReply::Absent, start);
+    lease.handle_reply(&LeaseReply::Absent, start);
     expect_that!(
         lease.next(start),
         matches_pattern!(LeaseStep::Write(eq(&0), anything()))
     );
     // The answer is slow; the term counts from before the write was sent.
-    lease.hear(&LeaseReply::Written(1), start + config.margin);
+    lease.handle_reply(&LeaseReply::Written(1), start + config.margin);
     let end = start + config.term;
     let early = start + (config.term - config.margin);
     let just = Duration::from_micros(1);
-    expect_that!(lease.allows(early, false), none());
+    expect_that!(lease.fencing_number(early, false), none());
     expect_that!(
-        lease.allows(start + (config.term - config.margin - just), false),
+        lease.fencing_number(start + (config.term - config.margin - just), false),
         some(anything())
     );
-    expect_that!(lease.allows(early, true), some(eq(FencingNumber::new(1))));
-    expect_that!(lease.allows(end, true), none());
+    expect_that!(
+        lease.fencing_number(early, true),
+        some(eq(FencingNumber::new(1)))
+    );
+    expect_that!(lease.fencing_number(end, true), none());
 }
 
 #[gtest]
--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -221,7 +221,7 @@
     mark: u64,
 ) -> Orderer<HttpObjects, HttpOrders> {
     let lease = Lease::new(LeaseConfig::new(), settings.instance.clone(), mark);
-    let config = OrderConfig::new().with_store(settings.bounds.loads);
+    let config = OrderConfig::new().with_store_rate(settings.bounds.loads);
     let (link, messages) = (HttpOrders::new(), rings.order_messages.clone());
     let orderer = Orderer::new(api.clone(), link, messages, rings.clock, lease, config);
     orderer.with_sweeps(api, mark)
--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -259,12 +259,12 @@
     let margin = served.term / MARGIN_PART;
     let config = LeaseConfig::new()
         .with_term(served.term, margin)
-        .with_rest(served.term)
-        .with_sole();
+        .with_cooldown(served.term)
+        .with_single_process();
     let lease = Lease::new(config, settings.instance.clone(), mark);
     let config = OrderConfig::new()
-        .with_store(settings.bounds.loads)
-        .with_busy(LOAD_TIME)
+        .with_store_rate(settings.bounds.loads)
+        .with_slot_timeout(LOAD_TIME)
         .with_mode(LoadMode::Swap);
     let messages = rings.order_messages.clone();
     let orderer = Orderer::new(api.clone(), link, messages, rings.clock, lease, config);
--- a/azureway-entry/src/order/lease_calls.rs
+++ b/azureway-entry/src/order/lease_calls.rs
@@ -29,7 +29,7 @@
     /// Writes the lease if it has the expected version.
     pub fn write(&self, expected: u64, record: &LeaseRecord) -> LeaseReply {
         let Ok(value) = serde_json::to_string(&LeaseBody::from(record)) else {
-            return LeaseReply::Lost;
+            return LeaseReply::NoAnswer;
         };
         let put = Put {
             kind: LEASE_KIND,
@@ -56,5 +56,5 @@
         return LeaseReply::Conflict;
     }
     log::warn!(step = error.step().as_str(), error:% = error; "the lease's call failed");
-    LeaseReply::Lost
+    LeaseReply::NoAnswer
 }
--- a/azureway-entry/src/order/orderer.rs
+++ b/azureway-entry/src/order/orderer.rs
@@ -57,7 +57,7 @@
             chosen: true,
             wake: Timestamp::ZERO,
             peers: None,
-            time: config.busy,
+            time: config.slot_timeout,
             checks: LoadChecks::new(),
             announced: Vec::new(),
         }
@@ -102,8 +102,10 @@
     fn take(&mut self, message: OrderMessage) {
         match message {
             OrderMessage::Adopt(fleet) => self.planner.adopt(&fleet),
-            OrderMessage::Report(report) => self.planner.report(&report, self.clock.now()),
-            OrderMessage::Observed(server, weights) => self.planner.observe(&server, weights),
+            OrderMessage::Report(report) => self.planner.apply_report(&report, self.clock.now()),
+            OrderMessage::Observed(server, weights) => {
+                self.planner.observe_weights(&server, weights)
+            }
             OrderMessage::Chosen(chosen) => self.chosen = chosen,
         }
     }
@@ -115,8 +117,8 @@
         self.check();
         self.renew();
         self.send_announced();
-        while self.lease.allows(self.clock.now(), false).is_some() {
-            let Some(order) = self.planner.next(self.clock.now()) else {
+        while self.lease.fencing_number(self.clock.now(), false).is_some() {
+            let Some(order) = self.planner.next_order(self.clock.now()) else {
                 break;
             };
             if self.peers.is_some() {
@@ -137,7 +139,7 @@
 
     /// Deletes an old claim if one is due. Returns when the next call is due, for the holder.
     fn sweep(&mut self, now: Timestamp) -> Option<Timestamp> {
-        self.lease.allows(now, false)?;
+        self.lease.fencing_number(now, false)?;
         let sweeper = self.sweeper.as_mut()?;
         sweeper.step(now, Clock::unix());
         Some(sweeper.due())
@@ -153,7 +155,7 @@
                 LeaseStep::Read => self.calls.read(),
                 LeaseStep::Write(expected, record) => self.calls.write(expected, &record),
             };
-            self.lease.hear(&reply, self.clock.now());
+            self.lease.handle_reply(&reply, self.clock.now());
         }
     }
 
@@ -169,7 +171,7 @@
             };
             log::info!(step = "order", peer:% = order.server, weights:% = weights; "loaded");
             self.checks.end(&order);
-            self.planner.observe(&order.server, weights);
+            self.planner.observe_weights(&order.server, weights);
             self.tell(&order, Duration::ZERO);
         }
     }
@@ -210,8 +212,8 @@
 
     fn send(&mut self, order: &LoadOrder) {
         // Looked at once more: this thread may have been paused since the order was planned.
-        let Some(number) = self.lease.allows(self.clock.now(), order.fenced) else {
-            self.planner.fail(&order.server, self.clock.now());
+        let Some(number) = self.lease.fencing_number(self.clock.now(), order.fenced) else {
+            self.planner.record_failure(&order.server, self.clock.now());
             return;
         };
         let answer = self.link.send(order, number);
@@ -219,7 +221,7 @@
         match answer {
             OrderAnswer::Taken => self.checks.push(order.clone(), self.clock.now()),
             OrderAnswer::Fenced | OrderAnswer::Failed => {
-                self.planner.fail(&order.server, self.clock.now());
+                self.planner.record_failure(&order.server, self.clock.now());
             }
         }
         if answer == OrderAnswer::Fenced {
--- a/azureway-wire/src/order/lease_body.rs
+++ b/azureway-wire/src/order/lease_body.rs
@@ -26,10 +26,10 @@
     fn from(record: &LeaseRecord) -> Self {
         Self {
             holder: record.holder.to_string(),
-            mark: record.mark,
-            beat: record.beat,
+            mark: record.process_id,
+            beat: record.sequence,
             number: record.number.get(),
-            rest: u64::try_from(record.rest.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX),
+            rest: u64::try_from(record.cooldown.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX),
         }
     }
 }
@@ -38,10 +38,10 @@
     fn from(body: LeaseBody) -> Self {
         Self {
             holder: InstanceId::new(&body.holder),
-            mark: body.mark,
-            beat: body.beat,
+            process_id: body.mark,
+            sequence: body.beat,
             number: FencingNumber::new(body.number),
-            rest: Duration::from_millis(body.rest),
+            cooldown: Duration::from_millis(body.rest),
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -86,12 +86,12 @@
 //! let mut lease = Lease::new(LeaseConfig::new(), me, 1);
 //! let now = Timestamp::from_millis(10);
 //! assert_eq!(lease.next(now), LeaseStep::Read);
-//! lease.hear(&LeaseReply::Absent, now);
+//! lease.handle_reply(&LeaseReply::Absent, now);
 //! assert!(matches!(lease.next(now), LeaseStep::Write(0, _)));
-//! lease.hear(&LeaseReply::Written(1), now);
-//! assert_eq!(lease.allows(now, true), Some(FencingNumber::new(1)));
+//! lease.handle_reply(&LeaseReply::Written(1), now);
+//! assert_eq!(lease.fencing_number(now, true), Some(FencingNumber::new(1)));
 //! let late = now + LeaseConfig::new().term;
-//! assert_eq!(lease.allows(late, true), None);
+//! assert_eq!(lease.fencing_number(late, true), None);
 //! ```
 //!
 //! Versions of a configuration: only ever newer ones come into force, and each is judged once.
