--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -32,7 +32,7 @@
     ReplicaScaler, RequestProfile, RoundRobin, StaticSplit,
 };
 pub use crate::router::{Obstacle, Overview, RouteOption, Router, RouterConfig};
-pub use crate::site::{NamedWeights, ServerEntry, SiteDocument, SiteService, SiteState};
+pub use crate::site::{ListedServer, NamedWeights, SiteDocument, SiteService, SiteState};
 pub use crate::stream::{Delivery, StreamProgress};
 pub use crate::tally::{Count, Outcome, Tally};
-pub use crate::watch::{WatchChoice, WatchPlan, WatchStep};
+pub use crate::watch::{EntrySelector, WatchSchedule, WatchStep};
--- a/azureway-core/src/site/server_entry.rs
+++ b/azureway-core/src/site/listed_server.rs
@@ -6,7 +6,7 @@
 
 /// A backend server as the platform's list has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServerEntry {
+pub struct ListedServer {
     /// The name.
     pub id: ServerId,
     /// The service that it belongs to.
--- a/azureway-core/src/site/mod.rs
+++ b/azureway-core/src/site/mod.rs
@@ -5,13 +5,13 @@
 //! [`Fleet`](crate::fleet::Fleet) of them.
 
 mod document;
+mod listed_server;
 mod named_weights;
-mod server_entry;
 mod service;
 mod state;
 
 pub use document::SiteDocument;
+pub use listed_server::ListedServer;
 pub use named_weights::NamedWeights;
-pub use server_entry::ServerEntry;
 pub use service::SiteService;
 pub use state::{ANONYMOUS, SiteState};
--- a/azureway-core/src/site/state.rs
+++ b/azureway-core/src/site/state.rs
@@ -5,7 +5,7 @@
 
 use smallvec::SmallVec;
 
-use super::{NamedWeights, ServerEntry, SiteDocument, SiteService};
+use super::{ListedServer, NamedWeights, SiteDocument, SiteService};
 use crate::domain::{
     AccountId, AvailabilityZone, BackendServer, BackendServerPool, ClientAccount, ConfigVersion,
     Loaded, ModelId, ModelService, PoolId, Rollout, ServerId, ServiceKind, Timestamp, TokenRate,
@@ -19,7 +19,7 @@
     zones: Vec<AvailabilityZone>,
     grace: Duration,
     document: Option<SiteDocument>,
-    servers: BTreeMap<ServerId, ServerEntry>,
+    servers: BTreeMap<ServerId, ListedServer>,
     /// The servers that were missing when the platform came back, until they count as gone.
     missing: BTreeMap<ServerId, Timestamp>,
     named: BTreeMap<ModelId, Named>,
@@ -81,14 +81,14 @@
     }
 
     /// Takes over a server's entry.
-    pub fn put(&mut self, entry: ServerEntry) {
+    pub fn update_server(&mut self, entry: ListedServer) {
         self.missing.remove(&entry.id);
         self.servers.insert(entry.id.clone(), entry);
     }
 
     /// Takes in that a server's entry is gone. Where the platform has just come back, at
     /// `back`, the entry may have lapsed while it was away.
-    pub fn remove(&mut self, id: &ServerId, back: Option<Timestamp>, now: Timestamp) {
+    pub fn remove_server(&mut self, id: &ServerId, back: Option<Timestamp>, now: Timestamp) {
         let until = back.map(|at| at + LAPSE_TIME).filter(|t| *t > now);
         let leaving = self.servers.get(id).is_none_or(|s| s.leaving);
         match until {
@@ -103,19 +103,24 @@
     }
 
     /// Takes in the whole list of servers.
-    pub fn list(&mut self, entries: Vec<ServerEntry>, back: Option<Timestamp>, now: Timestamp) {
+    pub fn set_servers(
+        &mut self,
+        entries: Vec<ListedServer>,
+        back: Option<Timestamp>,
+        now: Timestamp,
+    ) {
         let known: Vec<_> = self.servers.keys().cloned().collect();
         for id in known {
             if !entries.iter().any(|e| e.id == id) {
-                self.remove(&id, back, now);
+                self.remove_server(&id, back, now);
             }
         }
-        entries.into_iter().for_each(|e| self.put(e));
+        entries.into_iter().for_each(|e| self.update_server(e));
     }
 
     /// Takes in weights that an operator named, at `since` at the earliest. Returns whether
     /// they are newer.
-    pub fn name(&mut self, named: NamedWeights, since: Timestamp) -> bool {
+    pub fn add_named(&mut self, named: NamedWeights, since: Timestamp) -> bool {
         let known = self.named.entry(named.model).or_default();
         let newer = known.last().is_none_or(|(v, _)| *v < named.version);
         if newer {
@@ -128,13 +133,13 @@
 
     /// Returns the earliest time at which weights count as named that a process finds when it
     /// starts. It cannot know for how long they have been named: older ones answer for `time`.
-    pub fn found(&self, start: Timestamp, time: Duration) -> Timestamp {
+    pub fn named_since(&self, start: Timestamp, time: Duration) -> Timestamp {
         let grace = u64::try_from(self.grace.as_micros()).unwrap_or(u64::MAX);
         Timestamp::from_micros((start + time).as_micros().saturating_sub(grace))
     }
 
     /// Drops the servers that did not come back in time. Returns whether any is gone.
-    pub fn expire(&mut self, now: Timestamp) -> bool {
+    pub fn remove_expired(&mut self, now: Timestamp) -> bool {
         let late: Vec<_> = self
             .missing
             .iter()
@@ -155,7 +160,7 @@
 
     /// Composes the fleet, once there is a configuration. Each has a greater version than the
     /// one before.
-    pub fn fleet(&mut self) -> Option<Fleet> {
+    pub fn build_fleet(&mut self) -> Option<Fleet> {
         let document = self.document.as_ref()?;
         self.revision = self.revision.next();
         let mut fleet = Fleet::new().with_version(self.revision);
@@ -209,7 +214,7 @@
     }
 }
 
-fn server(entry: &ServerEntry) -> BackendServer {
+fn server(entry: &ListedServer) -> BackendServer {
     let pool = PoolId::new(entry.service.as_str());
     let server = BackendServer::new(entry.id.clone(), pool, entry.zone.clone(), entry.address);
     let mut server = server.with_slots(entry.slots).with_prefill(PREFILL);
--- a/azureway-core/src/watch/watch_choice.rs
+++ b/azureway-core/src/watch/entry_selector.rs
@@ -8,12 +8,12 @@
 /// Every entry makes the same choice from the same live entries. Where two disagree on who is
 /// alive, more or fewer do the work for a while, and no promise depends on the number.
 #[derive(Clone, Copy, Debug)]
-pub struct WatchChoice {
+pub struct EntrySelector {
     count: usize,
     order: Rendezvous,
 }
 
-impl WatchChoice {
+impl EntrySelector {
     /// Creates the choice of `count` entries. Choices of different `seed` spread over entries.
     pub const fn new(count: usize, seed: u128) -> Self {
         Self {
--- a/azureway-core/src/watch/mod.rs
+++ b/azureway-core/src/watch/mod.rs
@@ -1,9 +1,9 @@
 //! Which entries ask the platform for the configuration, and when.
 
-mod watch_choice;
-mod watch_plan;
+mod entry_selector;
+mod watch_schedule;
 mod watch_step;
 
-pub use watch_choice::WatchChoice;
-pub use watch_plan::WatchPlan;
+pub use entry_selector::EntrySelector;
+pub use watch_schedule::WatchSchedule;
 pub use watch_step::WatchStep;
--- a/azureway-core/src/watch/watch_plan.rs
+++ b/azureway-core/src/watch/watch_schedule.rs
@@ -12,7 +12,7 @@
 /// A chosen entry keeps a watch. Another one asks once when it starts, so that it serves at
 /// once, then hears from its peers and only checks now and then that it has missed nothing.
 #[derive(Clone, Debug)]
-pub struct WatchPlan {
+pub struct WatchSchedule {
     chosen: bool,
     after: Option<u64>,
     /// Whether the last call failed.
@@ -33,7 +33,7 @@
 /// The longest time between two checks of an entry that does not watch.
 const CHECK_TIME: Duration = Duration::from_secs(60);
 
-impl WatchPlan {
+impl WatchSchedule {
     /// Creates the plan of an entry that is chosen until it hears otherwise. `seed` spreads
     /// entries that fail together.
     pub const fn new(seed: u64) -> Self {
@@ -52,14 +52,14 @@
     /// Sets how long the platform keeps a watch that has no news, how long changes are
     /// gathered before the next watch, and the longest wait after a failure.
     #[must_use]
-    pub fn with_pace(mut self, wait: Duration, gap: Duration, cap: Duration) -> Self {
+    pub fn with_timing(mut self, wait: Duration, gap: Duration, cap: Duration) -> Self {
         (self.wait, self.gap) = (wait, gap);
         self.backoff = self.backoff.with_cap(cap);
         self
     }
 
     /// Notes whether the entry is chosen to watch.
-    pub fn choose(&mut self, chosen: bool, now: Timestamp) {
+    pub fn set_selected(&mut self, chosen: bool, now: Timestamp) {
         if chosen && !self.chosen {
             self.due = self.due.min(now);
         }
@@ -81,7 +81,7 @@
     }
 
     /// Notes an answer that is complete up to `version`.
-    pub fn answered(&mut self, version: u64, now: Timestamp) {
+    pub fn record_success(&mut self, version: u64, now: Timestamp) {
         self.backoff.reset();
         self.failing = false;
         self.after = Some(version);
@@ -93,7 +93,7 @@
     }
 
     /// Notes a failure. A platform that does not understand the version is asked for all.
-    pub fn failed(&mut self, kind: ErrorKind, now: Timestamp) {
+    pub fn record_failure(&mut self, kind: ErrorKind, now: Timestamp) {
         self.failing = true;
         if !matches!(kind, ErrorKind::Unavailable | ErrorKind::Limited) {
             self.after = None;
--- a/azureway-core/tests/orders/main.rs
+++ b/azureway-core/tests/orders/main.rs
@@ -218,7 +218,7 @@
     let live: Vec<InstanceId> = (0..9)
         .map(|n| InstanceId::new(&format!("entry-{n}")))
         .collect();
-    let choice = WatchChoice::new(2, 1);
+    let choice = EntrySelector::new(2, 1);
     let chosen = |live: &[InstanceId]| -> Vec<InstanceId> {
         live.iter()
             .filter(|id| choice.includes(id, live))
--- a/azureway-core/tests/platform/crowd.rs
+++ b/azureway-core/tests/platform/crowd.rs
@@ -11,7 +11,7 @@
 /// The availability zones of that plan.
 const ZONES: usize = 7;
 /// The entries of a zone that watch.
-const WATCHERS: WatchChoice = WatchChoice::new(2, 1);
+const WATCHERS: EntrySelector = EntrySelector::new(2, 1);
 /// The time of a call that is served or refused.
 const CALL_TIME: Duration = Duration::from_millis(5);
 /// The time of a call that is not answered.
@@ -31,7 +31,7 @@
 /// An entry that asks for the configuration.
 struct Entry {
     id: InstanceId,
-    plan: WatchPlan,
+    plan: WatchSchedule,
     version: u64,
 }
 
@@ -86,8 +86,8 @@
                 let zone = ids.iter().skip(n % ZONES).step_by(ZONES).cloned();
                 let live: Vec<_> = zone.collect();
                 let seed = self.generation * 1_000_003 + n as u64 * 7_919;
-                let mut plan = WatchPlan::new(seed);
-                plan.choose(WATCHERS.includes(id, &live), self.now);
+                let mut plan = WatchSchedule::new(seed);
+                plan.set_selected(WATCHERS.includes(id, &live), self.now);
                 Entry {
                     id: id.clone(),
                     plan,
@@ -149,10 +149,10 @@
         let entry = &mut self.entries[at];
         match self.replies[at].take() {
             Some(Ok(version)) => {
-                entry.plan.answered(version, self.now);
+                entry.plan.record_success(version, self.now);
                 self.adopt(at, version);
             }
-            Some(Err(kind)) => entry.plan.failed(kind, self.now),
+            Some(Err(kind)) => entry.plan.record_failure(kind, self.now),
             None => {}
         }
         match self.entries[at].plan.next(self.now) {
--- a/azureway-core/tests/site.rs
+++ b/azureway-core/tests/site.rs
@@ -9,8 +9,8 @@
 /// platform promises.
 const LAPSE: Duration = Duration::from_secs(2);
 
-fn entry(name: &str, leaving: bool) -> ServerEntry {
-    ServerEntry {
+fn entry(name: &str, leaving: bool) -> ListedServer {
+    ListedServer {
         id: ServerId::new(name),
         service: ServiceId::new("orders"),
         address: ([127, 0, 0, 1], 9_001).into(),
@@ -36,15 +36,15 @@
 }
 
 fn listed(state: &mut SiteState) -> Vec<String> {
-    let fleet = state.fleet().expect("a configuration");
+    let fleet = state.build_fleet().expect("a configuration");
     fleet.servers.keys().map(ToString::to_string).collect()
 }
 
 #[gtest]
 fn nothing_is_composed_before_there_is_a_configuration() {
     let mut state = SiteState::new(Vec::new(), Duration::ZERO);
-    state.put(entry("s", false));
-    expect_that!(state.fleet(), none());
+    state.update_server(entry("s", false));
+    expect_that!(state.build_fleet(), none());
 }
 
 #[gtest]
@@ -58,8 +58,8 @@
 #[gtest]
 fn each_fleet_has_a_greater_version_than_the_one_before() {
     let mut state = state();
-    let first = state.fleet().expect("a fleet").version;
-    let second = state.fleet().expect("a fleet").version;
+    let first = state.build_fleet().expect("a fleet").version;
+    let second = state.build_fleet().expect("a fleet").version;
     expect_that!(second, gt(first));
 }
 
@@ -76,9 +76,9 @@
     ];
     for (back, at, leaving, kept) in rows {
         let mut state = state();
-        state.put(entry("s", leaving));
+        state.update_server(entry("s", leaving));
         let back = back.map(Timestamp::from_millis);
-        state.remove(&ServerId::new("s"), back, Timestamp::from_millis(at));
+        state.remove_server(&ServerId::new("s"), back, Timestamp::from_millis(at));
         let until = kept.map(Timestamp::from_millis);
         expect_that!(state.next_wakeup(), eq(until), "{back:?} {at} {leaving}");
         expect_that!(listed(&mut state).is_empty(), eq(kept.is_none()));
@@ -89,11 +89,11 @@
 fn a_lapsed_entry_that_does_not_come_back_is_gone() {
     let (back, now) = (Timestamp::from_millis(5_000), Timestamp::from_millis(5_010));
     let mut state = state();
-    state.put(entry("s", false));
-    state.put(entry("t", false));
-    state.list(Vec::new(), Some(back), now);
-    state.put(entry("t", false));
-    expect_that!(state.expire(back + LAPSE), eq(true));
+    state.update_server(entry("s", false));
+    state.update_server(entry("t", false));
+    state.set_servers(Vec::new(), Some(back), now);
+    state.update_server(entry("t", false));
+    expect_that!(state.remove_expired(back + LAPSE), eq(true));
     expect_that!(listed(&mut state), elements_are![eq("t")]);
 }
 
@@ -112,13 +112,13 @@
     });
     let mut newer = entry("s", false);
     newer.weights = Some(WeightsVersion::new(3));
-    state.put(newer);
+    state.update_server(newer);
     let named = NamedWeights {
         model: ModelId::new("m"),
         version: WeightsVersion::new(2),
     };
-    state.name(named, Timestamp::ZERO);
-    let fleet = state.fleet().expect("a fleet");
+    state.add_named(named, Timestamp::ZERO);
+    let fleet = state.build_fleet().expect("a fleet");
     expect_that!(fleet.services["orders"].weights, eq(WeightsVersion::new(3)));
 }
 
@@ -194,7 +194,7 @@
         (6_000, 6_000, false),
     ] {
         let state = SiteState::new(Vec::new(), grace);
-        let since = state.found(start, Duration::from_millis(settle));
+        let since = state.named_since(start, Duration::from_millis(settle));
         let rollout = Rollout {
             model: ModelId::new("m"),
             named: [(WeightsVersion::new(2), since)].into_iter().collect(),
--- a/azureway-core/tests/site_runs/entry.rs
+++ b/azureway-core/tests/site_runs/entry.rs
@@ -66,12 +66,12 @@
                 model: ModelId::new(MODEL),
                 version: store.named.0,
             };
-            self.site.name(named, since);
+            self.site.add_named(named, since);
             let entries = store.entries.values().cloned().collect();
-            self.site.list(entries, self.back, now);
+            self.site.set_servers(entries, self.back, now);
         }
-        self.site.expire(now);
-        if let Some(fleet) = self.site.fleet() {
+        self.site.remove_expired(now);
+        if let Some(fleet) = self.site.build_fleet() {
             self.router.handle(Event::Configured(&fleet), now, out);
         }
     }
--- a/azureway-core/tests/site_runs/replica.rs
+++ b/azureway-core/tests/site_runs/replica.rs
@@ -47,8 +47,8 @@
     }
 
     /// Returns its entry in the platform's list.
-    pub fn entry(&self) -> ServerEntry {
-        ServerEntry {
+    pub fn entry(&self) -> ListedServer {
+        ListedServer {
             id: self.id.clone(),
             service: ServiceId::new(SERVICE),
             address: self.address,
--- a/azureway-core/tests/site_runs/store.rs
+++ b/azureway-core/tests/site_runs/store.rs
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 pub struct Store {
     pub document: SiteDocument,
-    pub entries: BTreeMap<ServerId, ServerEntry>,
+    pub entries: BTreeMap<ServerId, ListedServer>,
     /// The newest weights, and when they were named.
     pub named: (WeightsVersion, Timestamp),
     /// Since when each replica has been listed as leaving.
--- a/azureway-core/tests/watch_plan.rs
+++ b/azureway-core/tests/watch_schedule.rs
@@ -11,9 +11,9 @@
 const CAP: Duration = Duration::from_millis(500);
 const START: Timestamp = Timestamp::from_millis(3_600_000);
 
-fn plan() -> WatchPlan {
-    let mut plan = WatchPlan::new(7).with_pace(WAIT, Duration::ZERO, CAP);
-    plan.answered(5, START);
+fn plan() -> WatchSchedule {
+    let mut plan = WatchSchedule::new(7).with_timing(WAIT, Duration::ZERO, CAP);
+    plan.record_success(5, START);
     plan
 }
 
@@ -29,10 +29,10 @@
     let mut plan = plan();
     let mut now = START;
     for _ in 0..6 {
-        plan.failed(ErrorKind::Unavailable, now);
+        plan.record_failure(ErrorKind::Unavailable, now);
         now = now + CAP;
         expect_that!(plan.next(now), eq(WatchStep::Watch(5, Duration::ZERO)));
     }
-    plan.answered(6, now);
+    plan.record_success(6, now);
     expect_that!(plan.next(now), eq(WatchStep::Watch(6, WAIT)));
 }
--- a/azureway-core/tests/weights.rs
+++ b/azureway-core/tests/weights.rs
@@ -40,12 +40,12 @@
     }
 
     fn list(&mut self, weights: u64) {
-        self.state.put(entry(self.life, weights));
+        self.state.update_server(entry(self.life, weights));
         self.adopt();
     }
 
     fn adopt(&mut self) {
-        let fleet = self.state.fleet().expect("a configuration");
+        let fleet = self.state.build_fleet().expect("a configuration");
         // The bench's own first fleet has version 1.
         let version = ConfigVersion::new(fleet.version.get() + 1);
         let fleet = fleet.with_version(version);
@@ -62,7 +62,7 @@
                     version: WeightsVersion::new(number(1)),
                 };
                 let since = self.bench.now.as_micros() - number(2) * 1_000;
-                self.state.name(named, Timestamp::from_micros(since));
+                self.state.add_named(named, Timestamp::from_micros(since));
                 self.adopt();
             }
             "pass" => drop(self.bench.pass(Duration::from_millis(number(1)))),
@@ -127,8 +127,8 @@
     }
 }
 
-fn entry(life: u64, weights: u64) -> ServerEntry {
-    ServerEntry {
+fn entry(life: u64, weights: u64) -> ListedServer {
+    ListedServer {
         id: ServerId::new("s"),
         service: ServiceId::new("advice"),
         address: ([127, 0, 0, 1], 9_001).into(),
--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -207,12 +207,12 @@
     let (news, messages): (Sender<SiteNews>, _) = flume::bounded(SITE_RING);
     let grace = served.rollout.saturating_sub(ROLLOUT_MARGIN);
     let state = SiteState::new(served.zones.clone(), grace);
-    let first = state.found(
+    let first = state.named_since(
         rings.clock.now(),
         served.settle.saturating_sub(ROLLOUT_MARGIN),
     );
     for kind in SiteKind::ALL {
-        let plan = WatchPlan::new(mark).with_pace(SITE_WAIT, WATCH_GAP, WATCH_CAP);
+        let plan = WatchSchedule::new(mark).with_timing(SITE_WAIT, WATCH_GAP, WATCH_CAP);
         let (api, news) = (api.clone(), news.clone());
         let watcher = SiteWatcher::new(api, site.clone(), kind, news, rings.clock, plan, first);
         spawn(kind.as_str(), move || watcher.run())?;
--- a/azureway-entry/src/site/codec.rs
+++ b/azureway-entry/src/site/codec.rs
@@ -1,6 +1,6 @@
 //! How a site's platform spells what it holds.
 
-use azureway_core::prelude::{Error, NamedWeights, ServerEntry, SiteDocument};
+use azureway_core::prelude::{Error, ListedServer, NamedWeights, SiteDocument};
 use azureway_wire::object::ObjectBody;
 
 use super::SiteKind;
@@ -22,7 +22,7 @@
     /// # Errors
     ///
     /// Returns an error if the object names no server that can be used.
-    fn server(&self, object: &ObjectBody) -> Result<ServerEntry, Error>;
+    fn server(&self, object: &ObjectBody) -> Result<ListedServer, Error>;
 
     /// Reads weights that an operator named.
     ///
--- a/azureway-entry/src/site/duty.rs
+++ b/azureway-entry/src/site/duty.rs
@@ -50,7 +50,7 @@
                 None => self.news.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             let now = self.clock.now();
-            let mut changed = self.state.expire(now);
+            let mut changed = self.state.remove_expired(now);
             match first {
                 Ok(news) => changed |= self.take(news, now),
                 Err(RecvTimeoutError::Timeout) => {}
@@ -78,7 +78,7 @@
             }
             SiteNews::Servers(entries, back) => {
                 log::info!(step = "read site", servers = entries.len(); "the list of servers was read");
-                self.state.list(entries, back, now);
+                self.state.set_servers(entries, back, now);
             }
             SiteNews::Server(entry) => {
                 log::info!(
@@ -86,23 +86,23 @@
                     leaving = entry.leaving, incarnation:% = entry.incarnation,
                     weights:? = entry.weights; "a server was listed"
                 );
-                self.state.put(*entry);
+                self.state.update_server(*entry);
             }
             SiteNews::Gone(id, back) => {
                 log::info!(step = "read site", peer:% = id; "a server is no longer listed");
-                self.state.remove(&id, back, now);
+                self.state.remove_server(&id, back, now);
             }
             SiteNews::Weights(named, since) => {
                 let age = u64::try_from(now.since(since).as_millis()).unwrap_or(u64::MAX);
                 log::info!(step = "read site", model:% = named.model, weights:% = named.version, age_ms = age; "weights were named");
-                return self.state.name(named, since);
+                return self.state.add_named(named, since);
             }
         }
         true
     }
 
     fn pass_on(&mut self) {
-        let Some(fleet) = self.state.fleet() else {
+        let Some(fleet) = self.state.build_fleet() else {
             return;
         };
         self.gate.adopt(fleet.limits);
--- a/azureway-entry/src/site/news.rs
+++ b/azureway-entry/src/site/news.rs
@@ -1,6 +1,6 @@
 //! What was read of a site.
 
-use azureway_core::prelude::{NamedWeights, ServerEntry, ServerId, SiteDocument, Timestamp};
+use azureway_core::prelude::{ListedServer, NamedWeights, ServerId, SiteDocument, Timestamp};
 
 /// What was read of a site. The time, where there is one, is when the platform came back after
 /// it could not be asked.
@@ -9,9 +9,9 @@
     /// A version of the configuration.
     Document(Box<SiteDocument>),
     /// The whole list of backend servers.
-    Servers(Vec<ServerEntry>, Option<Timestamp>),
+    Servers(Vec<ListedServer>, Option<Timestamp>),
     /// The entry of one backend server.
-    Server(Box<ServerEntry>),
+    Server(Box<ListedServer>),
     /// The entry of a backend server is gone.
     Gone(ServerId, Option<Timestamp>),
     /// Weights that an operator named, at this time at the earliest.
--- a/azureway-entry/src/site/watcher.rs
+++ b/azureway-entry/src/site/watcher.rs
@@ -19,7 +19,7 @@
     kind: SiteKind,
     news: Sender<SiteNews>,
     clock: Clock,
-    plan: WatchPlan,
+    plan: WatchSchedule,
     /// Since when the platform cannot be asked.
     away: Option<Timestamp>,
     /// When the platform was last back.
@@ -40,7 +40,7 @@
         kind: SiteKind,
         news: Sender<SiteNews>,
         clock: Clock,
-        plan: WatchPlan,
+        plan: WatchSchedule,
         first: Timestamp,
     ) -> Self {
         Self {
@@ -93,12 +93,12 @@
             Ok(list) => {
                 self.note_back(now);
                 self.answered = now;
-                self.plan.answered(list.version, now);
+                self.plan.record_success(list.version, now);
                 self.pass_on(&list)
             }
             Err(e) => {
                 self.note_away(&e, now);
-                self.plan.failed(e.kind(), now);
+                self.plan.record_failure(e.kind(), now);
                 true
             }
         }
--- a/azureway-entry/src/watch/choice_notifier.rs
+++ b/azureway-entry/src/watch/choice_notifier.rs
@@ -1,6 +1,6 @@
 //! Telling the duties whether this entry is chosen.
 
-use azureway_core::prelude::{InstanceId, WatchChoice};
+use azureway_core::prelude::{EntrySelector, InstanceId};
 use flume::Sender;
 
 use super::WatchMessage;
@@ -16,9 +16,9 @@
 }
 
 /// The entries of a zone that watch.
-const WATCHERS: WatchChoice = WatchChoice::new(2, u128::from_be_bytes(*b"config watchers."));
+const WATCHERS: EntrySelector = EntrySelector::new(2, u128::from_be_bytes(*b"config watchers."));
 /// The entries of a zone that contend for the lease of orders.
-const CANDIDATES: WatchChoice = WatchChoice::new(2, u128::from_be_bytes(*b"lease candidates"));
+const CANDIDATES: EntrySelector = EntrySelector::new(2, u128::from_be_bytes(*b"lease candidates"));
 
 impl ChoiceNotifier {
     /// Creates the notifier of instance `me`.
--- a/azureway-entry/src/watch/watcher.rs
+++ b/azureway-entry/src/watch/watcher.rs
@@ -28,7 +28,7 @@
     peer: Sender<PeerMessage>,
     messages: Receiver<WatchMessage>,
     clock: Clock,
-    plan: WatchPlan,
+    plan: WatchSchedule,
     gate: VersionGate,
     listed: Timestamp,
 }
@@ -55,7 +55,7 @@
             peer,
             messages,
             clock: Clock::new(),
-            plan: WatchPlan::new(seed),
+            plan: WatchSchedule::new(seed),
             gate: VersionGate::new(),
             listed: Timestamp::ZERO,
         }
@@ -86,7 +86,7 @@
     fn heed(&mut self, until: Timestamp) -> bool {
         match self.messages.recv_deadline(self.clock.instant(until)) {
             Ok(WatchMessage::Chosen(chosen)) => {
-                self.plan.choose(chosen, self.clock.now());
+                self.plan.set_selected(chosen, self.clock.now());
                 true
             }
             Ok(WatchMessage::Stop) | Err(RecvTimeoutError::Disconnected) => false,
@@ -97,12 +97,12 @@
     fn take(&mut self, answer: Result<ObjectList, Error>, now: Timestamp) {
         match answer {
             Ok(list) => {
-                self.plan.answered(list.version, now);
+                self.plan.record_success(list.version, now);
                 self.pass_on(&list);
             }
             Err(e) => {
                 log::warn!(step = e.step().as_str(), error:% = e; "the platform does not answer");
-                self.plan.failed(e.kind(), now);
+                self.plan.record_failure(e.kind(), now);
             }
         }
     }
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -85,10 +85,10 @@
         }))
     }
 
-    fn server(&self, object: &ObjectBody) -> Result<ServerEntry, Error> {
+    fn server(&self, object: &ObjectBody) -> Result<ListedServer, Error> {
         let address = object.value.parse();
         let bad = |e| Error::new(ErrorKind::Protocol, Step::new("read server"), e);
-        Ok(ServerEntry {
+        Ok(ListedServer {
             id: ServerId::new(&object.name),
             service: ServiceId::new("orders"),
             address: address.map_err(|e: std::net::AddrParseError| bad(e.to_string()))?,
