--- a/azureway-config/src/document/parse.rs
+++ b/azureway-config/src/document/parse.rs
@@ -127,8 +127,8 @@
 
 fn pool(name: &str, reader: &mut SectionReader<'_, '_>) -> BackendServerPool {
     let base = BackendServerPool::new(PoolId::new(name));
-    let loads = reader.number("loads", base.loads, 1, 100, "servers");
-    base.with_loads(loads)
+    let loads = reader.number("loads", base.max_loads, 1, 100, "servers");
+    base.with_max_loads(loads)
 }
 
 fn server(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<BackendServer> {
@@ -143,7 +143,7 @@
     let id = ServerId::new(name);
     let mut server = BackendServer::new(id, PoolId::new(pool?), ZoneId::new(zone?), address?);
     server.fenced = fenced;
-    server.keyed = keyed;
+    server.deduplicates = keyed;
     server.leaving = leaving;
     Some(
         server
--- a/azureway-core/src/domain/backend_server.rs
+++ b/azureway-core/src/domain/backend_server.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Loaded, PoolId, ServerId, TokenRate, ZoneId};
+use super::{ListedState, PoolId, ServerId, TokenRate, ZoneId};
 
 /// A backend server, as the configuration gives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,11 +23,11 @@
     pub fenced: bool,
     /// Whether it refuses a second call with the same idempotency key by itself, whichever
     /// server of its pool ran the first.
-    pub keyed: bool,
+    pub deduplicates: bool,
     /// Whether operators take it out: it ends what it runs and gets no new work.
     pub leaving: bool,
     /// What the platform's list says of it, where it is listed there.
-    pub loaded: Option<Loaded>,
+    pub listed: Option<ListedState>,
 }
 
 /// The slots of a server where the document names none.
@@ -47,9 +47,9 @@
             slots,
             prefill,
             fenced: false,
-            keyed: false,
+            deduplicates: false,
             leaving: false,
-            loaded: None,
+            listed: None,
         }
     }
 
--- a/azureway-core/src/domain/server_pool.rs
+++ b/azureway-core/src/domain/backend_server_pool.rs
@@ -8,25 +8,25 @@
     /// The name.
     pub id: PoolId,
     /// The servers that may load weights at once.
-    pub loads: u32,
+    pub max_loads: u32,
 }
 
 /// The servers of a pool that may load weights at once where the document names no number.
 const DEFAULT_LOADS: u32 = 2;
 
 impl BackendServerPool {
-    /// Creates a pool with the default bound on loads.
+    /// Creates a pool with the default bound on concurrent loads.
     pub fn new(id: PoolId) -> Self {
         Self {
             id,
-            loads: DEFAULT_LOADS,
+            max_loads: DEFAULT_LOADS,
         }
     }
 
     /// Sets how many servers may load weights at once.
     #[must_use]
-    pub fn with_loads(mut self, loads: u32) -> Self {
-        self.loads = loads;
+    pub fn with_max_loads(mut self, max_loads: u32) -> Self {
+        self.max_loads = max_loads;
         self
     }
 }
--- a/azureway-core/src/fleet/server_state.rs
+++ b/azureway-core/src/fleet/server_state.rs
@@ -4,7 +4,7 @@
 
 use super::{Health, LoadReport, LoadSample, LocalWork, ReportedWork, SlotShare, Work};
 use crate::domain::{
-    BackendServer, Incarnation, Loaded, Rank, Timestamp, TokenCount, WeightsVersion,
+    BackendServer, Incarnation, ListedState, Rank, Timestamp, TokenCount, WeightsVersion,
 };
 use crate::event::{Failure, FailureKind};
 use crate::member::{LoadNotice, ServerStatus, ServerUpdate};
@@ -53,8 +53,8 @@
     pub fn new(server: BackendServer, entries: u32) -> Self {
         Self {
             share: SlotShare::new(server.slots, entries),
-            incarnation: server.loaded.map_or(Incarnation::ZERO, |l| l.incarnation),
-            weights: server.loaded.and_then(|l| l.weights),
+            incarnation: server.listed.map_or(Incarnation::ZERO, |l| l.incarnation),
+            weights: server.listed.and_then(|l| l.weights),
             server,
             own: LocalWork::new(),
             told: ReportedWork::default(),
@@ -71,8 +71,8 @@
     /// of its cache no longer holds.
     pub fn reconfigure(&mut self, server: &BackendServer, entries: u32) -> bool {
         self.share.resize(server.slots, entries);
-        let old = std::mem::replace(&mut self.server, server.clone()).loaded;
-        match server.loaded {
+        let old = std::mem::replace(&mut self.server, server.clone()).listed;
+        match server.listed {
             Some(loaded) if old != Some(loaded) => self.apply_listing(loaded),
             _ => false,
         }
@@ -80,7 +80,7 @@
 
     /// Takes in what the platform's list says anew. Returns whether what is known of the
     /// server's cache no longer holds.
-    pub fn apply_listing(&mut self, loaded: Loaded) -> bool {
+    pub fn apply_listing(&mut self, loaded: ListedState) -> bool {
         if loaded.incarnation < self.incarnation {
             return false;
         }
@@ -195,7 +195,7 @@
     pub fn record_failure(&mut self, failure: &Failure, now: Timestamp) -> bool {
         match failure.kind {
             // Its weights have changed since they were listed, or the server is another one.
-            FailureKind::Mismatch if self.server.loaded.is_some() => {
+            FailureKind::Mismatch if self.server.listed.is_some() => {
                 return match self.weights.take() {
                     Some(_) => true,
                     None => {
@@ -301,7 +301,7 @@
     /// Returns how many times this entry's unseen work is counted. Where each answer tells of
     /// the load, little is unseen, and other entries are as likely to have chosen other servers.
     fn unseen_weight(&self) -> u32 {
-        match self.server.loaded {
+        match self.server.listed {
             Some(_) => self.share.entries().min(UNSEEN_WEIGHT_MAX),
             None => self.share.entries(),
         }
@@ -323,7 +323,7 @@
 
     /// Tells whether a listed server should have slots, as far as its load is known.
     fn has_slots(&self, now: Timestamp) -> bool {
-        self.server.loaded.is_some() && self.load(now) < self.server.slots
+        self.server.listed.is_some() && self.load(now) < self.server.slots
     }
 
     fn suspect(&mut self, now: Timestamp) {
--- a/azureway-core/src/fleet/server_table.rs
+++ b/azureway-core/src/fleet/server_table.rs
@@ -126,7 +126,7 @@
     /// Tells whether every server of a pool refuses a second call with the same key by itself.
     pub fn all_keyed(&self, pool: &PoolId) -> bool {
         let mut servers = self.in_pool(pool).peekable();
-        servers.peek().is_some() && servers.all(|s| s.server.keyed)
+        servers.peek().is_some() && servers.all(|s| s.server.deduplicates)
     }
 
     fn arrange(&mut self) {
--- a/azureway-core/src/order/planner.rs
+++ b/azureway-core/src/order/planner.rs
@@ -63,7 +63,7 @@
     /// Takes in what the platform's list says of the servers' weights.
     fn read_list(&mut self) {
         for server in self.fleet.servers.values() {
-            let Some(weights) = server.loaded.and_then(|l| l.weights) else {
+            let Some(weights) = server.listed.and_then(|l| l.weights) else {
                 continue;
             };
             // The list lags behind the answers, and weights only become newer.
@@ -159,7 +159,7 @@
 
     fn order(&self, pool: &BackendServerPool, now: Timestamp) -> Option<LoadOrder> {
         let view = self.view(pool);
-        let bound = usize::try_from(pool.loads).unwrap_or(usize::MAX);
+        let bound = usize::try_from(pool.max_loads).unwrap_or(usize::MAX);
         if view.wanted.is_empty() || view.loading(now) >= bound {
             return None;
         }
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -66,7 +66,7 @@
         }
         // Servers that only the list tells of have no news of their own to begin with.
         for server in fleet.servers.values() {
-            if let Some(loaded) = server.loaded {
+            if let Some(loaded) = server.listed {
                 self.index.track(&server.id, loaded.incarnation);
                 self.guard.hear(&server.id, loaded.incarnation, now);
             }
--- a/azureway-core/src/site/state.rs
+++ b/azureway-core/src/site/state.rs
@@ -8,8 +8,8 @@
 use super::{ListedServer, NamedWeights, SiteDocument, SiteService};
 use crate::domain::{
     AccountId, AvailabilityZone, BackendServer, BackendServerPool, ClientAccount, ConfigVersion,
-    Loaded, ModelId, ModelService, PoolId, Rollout, ServerId, ServiceKind, Timestamp, TokenRate,
-    WeightsVersion,
+    ListedState, ModelId, ModelService, PoolId, Rollout, ServerId, ServiceKind, Timestamp,
+    TokenRate, WeightsVersion,
 };
 use crate::fleet::Fleet;
 
@@ -179,7 +179,7 @@
             let servers = self.servers.values().filter(|s| s.service == service.id);
             let loads = servers.count().div_ceil(LOAD_ROUNDS);
             let loads = u32::try_from(loads).unwrap_or(u32::MAX).max(LOADS_MIN);
-            fleet = fleet.with_pool(BackendServerPool::new(pool).with_loads(loads));
+            fleet = fleet.with_pool(BackendServerPool::new(pool).with_max_loads(loads));
             fleet = fleet.with_service(self.service(service));
         }
         let servers = self.servers.values().map(server);
@@ -219,7 +219,7 @@
     let server = BackendServer::new(entry.id.clone(), pool, entry.zone.clone(), entry.address);
     let mut server = server.with_slots(entry.slots).with_prefill(PREFILL);
     server.leaving = entry.leaving;
-    server.loaded = Some(Loaded {
+    server.listed = Some(ListedState {
         incarnation: entry.incarnation,
         weights: entry.weights,
     });
--- a/azureway-core/tests/farm/mod.rs
+++ b/azureway-core/tests/farm/mod.rs
@@ -135,7 +135,7 @@
             let version = self.entries[entry].router.fleet().version.next();
             let mut fleet = fleet(self.lives.len(), 32).with_version(version);
             for server in fleet.servers.values_mut() {
-                server.loaded = Some(Loaded {
+                server.listed = Some(ListedState {
                     incarnation: Incarnation::new(self.lives[&server.id]),
                     weights: None,
                 });
--- a/azureway-entry/src/news/news_readers.rs
+++ b/azureway-entry/src/news/news_readers.rs
@@ -33,7 +33,7 @@
 
     fn start(&mut self, server: &BackendServer) {
         let listening = Arc::new(ReaderControl::new(server.address));
-        listening.list(server.loaded.map_or(Incarnation::ZERO, |l| l.incarnation));
+        listening.list(server.listed.map_or(Incarnation::ZERO, |l| l.incarnation));
         let reader = NewsReader::new(
             self.link.clone(),
             server.id.clone(),
@@ -66,7 +66,7 @@
             kept
         });
         for server in engines {
-            let listed = server.loaded.map_or(Incarnation::ZERO, |l| l.incarnation);
+            let listed = server.listed.map_or(Incarnation::ZERO, |l| l.incarnation);
             if let Some(listening) = self.listening.get(&server.id) {
                 listening.list(listed);
             }
