--- a/azureway-config/src/document/parse.rs
+++ b/azureway-config/src/document/parse.rs
@@ -163,13 +163,13 @@
         let default = u64::try_from(default.as_millis()).unwrap_or(u64::MAX);
         Duration::from_millis(reader.number(key, default, 1, 3_600_000, "milliseconds"))
     };
-    let urgent = millis("urgent", base.urgent);
-    let drafting = millis("drafting", base.drafting);
-    let floor = reader.number("floor", base.floor, 0, 90, "percent");
+    let urgent = millis("urgent", base.urgent_timeout);
+    let drafting = millis("drafting", base.drafting_timeout);
+    let floor = reader.number("floor", base.drafting_share, 0, 90, "percent");
     RankRules {
-        floor,
-        urgent,
-        drafting,
+        drafting_share: floor,
+        urgent_timeout: urgent,
+        drafting_timeout: drafting,
     }
 }
 
--- a/azureway-config/tests/document.rs
+++ b/azureway-config/tests/document.rs
@@ -36,7 +36,7 @@
     expect_that!(fleet.servers["kranj-1"].slots, eq(4));
     expect_that!(fleet.services["advice"].weights, eq(WeightsVersion::new(3)));
     expect_that!(fleet.accounts["wax-desk"].limit, eq(TokenRate::new(500)));
-    expect_that!(fleet.rules.floor, eq(15));
+    expect_that!(fleet.rules.drafting_share, eq(15));
 }
 
 #[gtest]
--- a/azureway-core/src/admit/fair_queue.rs
+++ b/azureway-core/src/admit/fair_queue.rs
@@ -68,7 +68,8 @@
         self.finish.insert(account, queued.start + queued.charge());
         self.backlog += queued.request.cost().get();
         let (id, class) = (queued.request.id, ServiceClass::of(&queued.request));
-        self.deadlines.insert((queued.request.deadline.point(), id));
+        self.deadlines
+            .insert((queued.request.deadline.timestamp(), id));
         self.places.insert(id, (class.clone(), queued.start));
         let order = self.classes.entry(class).or_default();
         order.insert((queued.start, id), queued);
@@ -130,7 +131,7 @@
         }
         self.backlog -= queued.request.cost().get();
         self.deadlines
-            .remove(&(queued.request.deadline.point(), id));
+            .remove(&(queued.request.deadline.timestamp(), id));
         Some(queued)
     }
 }
--- a/azureway-core/src/claim/book.rs
+++ b/azureway-core/src/claim/book.rs
@@ -59,7 +59,7 @@
         if !self.gate.allows(now) {
             return Action::Refuse(request.id, ClaimVerdict::unavailable());
         }
-        let until = request.deadline.point().min(now + PATIENCE);
+        let until = request.deadline.timestamp().min(now + PATIENCE);
         let claim = HeldClaim::Asking(Box::new(request.clone()));
         self.claims.insert(request.id, claim);
         self.names.insert(name, request.id);
@@ -191,7 +191,7 @@
                 let claim = HeldClaim::Held(ticket(&request, version));
                 self.claims.insert(id, claim);
                 // After a long pause the claim could be gone: it is not used then.
-                let last = request.deadline.point().min(now + USE_TIME);
+                let last = request.deadline.timestamp().min(now + USE_TIME);
                 request.deadline = Deadline::new(last);
                 ClaimVerdict::Go(request)
             }
--- a/azureway-core/src/domain/caller_limits.rs
+++ b/azureway-core/src/domain/caller_limits.rs
@@ -6,23 +6,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// The bytes of a request's head.
-    pub head: usize,
+    pub head_bytes: usize,
     /// The bytes of a request's body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// The time in which a head must have arrived.
-    pub arrival: Duration,
+    pub head_timeout: Duration,
     /// How long a connection may stay idle between two requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl CallerLimits {
     /// Creates the limits that hold before a configuration names any.
     pub const fn new() -> Self {
         Self {
-            head: 16 * 1024,
-            body: 4 * 1024 * 1024,
-            arrival: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            head_bytes: 16 * 1024,
+            body_bytes: 4 * 1024 * 1024,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/azureway-core/src/domain/client_account.rs
+++ b/azureway-core/src/domain/client_account.rs
@@ -59,7 +59,7 @@
     }
 
     /// Tells whether `key` is the digest of one of the account's keys.
-    pub fn admits(&self, key: &KeyHash) -> bool {
+    pub fn has_key(&self, key: &KeyHash) -> bool {
         // Every stored digest is compared, so that the time does not tell which one matched.
         self.keys
             .iter()
--- a/azureway-core/src/domain/deadline.rs
+++ b/azureway-core/src/domain/deadline.rs
@@ -9,13 +9,13 @@
 pub struct Deadline(Timestamp);
 
 impl Deadline {
-    /// Creates a deadline at `point`.
-    pub const fn new(point: Timestamp) -> Self {
-        Self(point)
+    /// Creates a deadline at `timestamp`.
+    pub const fn new(timestamp: Timestamp) -> Self {
+        Self(timestamp)
     }
 
     /// Returns the point.
-    pub const fn point(self) -> Timestamp {
+    pub const fn timestamp(self) -> Timestamp {
         self.0
     }
 
--- a/azureway-core/src/domain/rank_rules.rs
+++ b/azureway-core/src/domain/rank_rules.rs
@@ -6,15 +6,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RankRules {
     /// The share of the work, in percent, that drafting keeps in a flood of urgent work.
-    pub floor: u8,
+    pub drafting_share: u8,
     /// The time to first token that urgent work is given where the caller sets no deadline.
-    pub urgent: Duration,
+    pub urgent_timeout: Duration,
     /// The time to first token that drafting is given where the caller sets no deadline.
-    pub drafting: Duration,
+    pub drafting_timeout: Duration,
 }
 
 /// The share that drafting keeps, in percent, where the document names none.
-const DEFAULT_FLOOR: u8 = 10;
+const DEFAULT_SHARE: u8 = 10;
 /// The default time to first token of urgent work.
 const DEFAULT_URGENT: Duration = Duration::from_secs(10);
 /// The default time to first token of drafting.
@@ -24,17 +24,17 @@
     /// Creates the default rules.
     pub const fn new() -> Self {
         Self {
-            floor: DEFAULT_FLOOR,
-            urgent: DEFAULT_URGENT,
-            drafting: DEFAULT_DRAFTING,
+            drafting_share: DEFAULT_SHARE,
+            urgent_timeout: DEFAULT_URGENT,
+            drafting_timeout: DEFAULT_DRAFTING,
         }
     }
 
     /// Returns the time to first token that work of `rank` is given by default.
-    pub const fn patience(&self, rank: super::Rank) -> Duration {
+    pub const fn default_timeout(&self, rank: super::Rank) -> Duration {
         match rank {
-            super::Rank::Urgent => self.urgent,
-            super::Rank::Drafting => self.drafting,
+            super::Rank::Urgent => self.urgent_timeout,
+            super::Rank::Drafting => self.drafting_timeout,
         }
     }
 }
--- a/azureway-core/src/fleet/configured.rs
+++ b/azureway-core/src/fleet/configured.rs
@@ -101,8 +101,9 @@
     /// Returns the account that the digest of an API key belongs to.
     pub fn account_of(&self, key: &KeyHash) -> Option<&ClientAccount> {
         // All accounts are looked at, so that the time does not tell which one matched.
-        self.accounts
-            .values()
-            .fold(None, |found, a| if a.admits(key) { Some(a) } else { found })
+        self.accounts.values().fold(
+            None,
+            |found, a| if a.has_key(key) { Some(a) } else { found },
+        )
     }
 }
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -198,7 +198,7 @@
         self.fleet = fleet.clone();
         self.sender.adopt(fleet, now);
         self.limits.retain(|id| fleet.accounts.contains_key(id));
-        self.queues.set_floor(fleet.rules.floor);
+        self.queues.set_floor(fleet.rules.drafting_share);
         self.queues.mark_all();
     }
 
--- a/azureway-core/src/router/retry.rs
+++ b/azureway-core/src/router/retry.rs
@@ -34,7 +34,7 @@
         };
         let begun = plan.position > StreamPosition::ZERO;
         // The deadline is for the first token; a stream that has begun has met it.
-        let deadline = flight.request.deadline.point();
+        let deadline = flight.request.deadline.timestamp();
         let until = if begun {
             now + RESUME_PATIENCE
         } else {
@@ -51,7 +51,7 @@
     /// Creates the retry of a suspect that has to wait for a server of its own.
     pub fn held(request: Request, plan: Plan) -> Self {
         Self {
-            until: request.deadline.point(),
+            until: request.deadline.timestamp(),
             request,
             plan,
             failed: None,
--- a/azureway-entry/src/admit/reader.rs
+++ b/azureway-entry/src/admit/reader.rs
@@ -177,7 +177,7 @@
         let expected = "a whole number of milliseconds";
         let millis = self.header(header::DEADLINE, expected, |t| i64::from_str(t).ok())?;
         let patience = match millis.map(u64::try_from) {
-            None => self.fleet.rules.patience(rank),
+            None => self.fleet.rules.default_timeout(rank),
             Some(Ok(millis)) if millis > 0 => Duration::from_millis(millis),
             Some(_) => {
                 let detail = "the deadline has passed";
--- a/azureway-entry/src/routed/calls.rs
+++ b/azureway-entry/src/routed/calls.rs
@@ -110,7 +110,7 @@
             once: route.kind == RequestKind::AtMostOnce,
             headers: self.headers(call),
             priority: route.precedence(account),
-            until: request.deadline.point(),
+            until: request.deadline.timestamp(),
             patience,
             tries: match route.kind {
                 RequestKind::Repeatable => route.tries,
--- a/azureway-entry/src/routed/connection.rs
+++ b/azureway-entry/src/routed/connection.rs
@@ -74,7 +74,7 @@
         if !self.early.is_empty() {
             return true;
         }
-        let idle = self.gate.limits().idle;
+        let idle = self.gate.limits().idle_timeout;
         let seen = self
             .stream
             .set_read_timeout(Some(idle))
@@ -93,9 +93,9 @@
     }
 
     fn receive(&mut self, limits: CallerLimits) -> Result<(Head, Vec<u8>), BadInput> {
-        let mut stream = TimedStream::new(&self.stream, Instant::now() + limits.arrival);
+        let mut stream = TimedStream::new(&self.stream, Instant::now() + limits.head_timeout);
         let early = std::mem::take(&mut self.early);
-        let reader = HeadReader::new(limits.head).with_bytes(early);
+        let reader = HeadReader::new(limits.head_bytes).with_bytes(early);
         let (head, early) = reader.read(&mut stream)?;
         let body = BodyReader::new(&head)?;
         if head
@@ -106,7 +106,7 @@
             sent.map_err(|_| BadInput::Closed)?;
         }
         let mut rest = Leftover::new(early, stream);
-        let body = body.read(&[], &mut rest, limits.body)?;
+        let body = body.read(&[], &mut rest, limits.body_bytes)?;
         self.early = rest.into_rest();
         Ok((head, body))
     }
