--- a/azureway-config/src/document/parse.rs
+++ b/azureway-config/src/document/parse.rs
@@ -121,7 +121,7 @@
         service
             .with_kind(kind)
             .with_weights(WeightsVersion::new(weights))
-            .with_calls(calls),
+            .with_request_kind(calls),
     )
 }
 
--- a/azureway-core/src/claim/book.rs
+++ b/azureway-core/src/claim/book.rs
@@ -44,7 +44,7 @@
     /// repeat, has no key, or goes to servers that check keys themselves.
     pub fn covers(&self, request: &Request, service: &ModelService, servers: &ServerTable) -> bool {
         let claim = self.claims.get(&request.id);
-        !request.is_claimed()
+        !request.needs_claim()
             || matches!(claim, Some(HeldClaim::Held(_) | HeldClaim::Sent(..)))
             || servers.all_keyed(&service.pool)
     }
--- a/azureway-core/src/claim/held.rs
+++ b/azureway-core/src/claim/held.rs
@@ -25,7 +25,10 @@
     ///
     /// Panics if the request has no idempotency key.
     pub fn name_of(request: &Request) -> ClaimName {
-        let key = request.key.as_ref().expect("a claim is asked for a key");
+        let key = request
+            .idempotency_key
+            .as_ref()
+            .expect("a claim is asked for a key");
         ClaimName::of(&request.account, key)
     }
 
--- a/azureway-core/src/domain/model_service.rs
+++ b/azureway-core/src/domain/model_service.rs
@@ -14,12 +14,12 @@
     /// The weights version that answers must come from.
     pub weights: WeightsVersion,
     /// Whether its calls may run more than once.
-    pub calls: RequestKind,
+    pub request_kind: RequestKind,
     /// How it is brought to newly named weights. Without one, answers come from exactly
     /// the weights above.
     pub rollout: Option<Rollout>,
     /// Whether its servers can fetch blocks from one another.
-    pub fetches: bool,
+    pub peer_fetch: bool,
 }
 
 impl ModelService {
@@ -31,9 +31,9 @@
             kind: ServiceKind::Model,
             pool,
             weights,
-            calls: RequestKind::Repeatable,
+            request_kind: RequestKind::Repeatable,
             rollout: None,
-            fetches: false,
+            peer_fetch: false,
         }
     }
 
@@ -53,8 +53,8 @@
 
     /// Sets whether its calls may run more than once.
     #[must_use]
-    pub fn with_calls(mut self, calls: RequestKind) -> Self {
-        self.calls = calls;
+    pub fn with_request_kind(mut self, kind: RequestKind) -> Self {
+        self.request_kind = kind;
         self
     }
 
@@ -67,13 +67,18 @@
 
     /// Sets whether its servers can fetch blocks from one another.
     #[must_use]
-    pub fn with_fetches(mut self, fetches: bool) -> Self {
-        self.fetches = fetches;
+    pub fn with_peer_fetch(mut self, enabled: bool) -> Self {
+        self.peer_fetch = enabled;
         self
     }
 
     /// Tells whether a server with weights `loaded` may answer a request that wants `wanted`.
-    pub fn takes(&self, loaded: WeightsVersion, wanted: WeightsVersion, now: Timestamp) -> bool {
+    pub fn accepts_weights(
+        &self,
+        loaded: WeightsVersion,
+        wanted: WeightsVersion,
+        now: Timestamp,
+    ) -> bool {
         match &self.rollout {
             _ if self.kind == ServiceKind::Plain => true,
             None => loaded == wanted,
--- a/azureway-core/src/domain/request.rs
+++ b/azureway-core/src/domain/request.rs
@@ -30,23 +30,23 @@
     /// The blocks of the prompt.
     pub chain: BlockChain,
     /// The most tokens that the answer may have.
-    pub output: TokenCount,
+    pub max_output: TokenCount,
     /// The caller's idempotency key.
-    pub key: Option<IdempotencyKey>,
+    pub idempotency_key: Option<IdempotencyKey>,
     /// What it has in common with the same request sent again.
     pub fingerprint: Fingerprint,
     /// The backend servers that it may be sent to, where its route bounds them.
-    pub tries: Option<u32>,
+    pub max_attempts: Option<u32>,
 }
 
 impl Request {
     /// Tells whether the request runs at most once and its caller may send it again.
-    pub fn is_claimed(&self) -> bool {
-        self.kind == RequestKind::AtMostOnce && self.key.is_some()
+    pub fn needs_claim(&self) -> bool {
+        self.kind == RequestKind::AtMostOnce && self.idempotency_key.is_some()
     }
 
     /// Returns the tokens that the request may cost: its prompt and its longest answer.
     pub fn cost(&self) -> TokenCount {
-        self.chain.tokens() + self.output
+        self.chain.tokens() + self.max_output
     }
 }
--- a/azureway-core/src/domain/request_id.rs
+++ b/azureway-core/src/domain/request_id.rs
@@ -10,7 +10,7 @@
 }
 
 /// An odd number near 2^64 over the golden ratio, which spreads successive numbers.
-const DRAW_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl RequestId {
     /// Creates the identity of request `sequence` of the entry process `entry`.
@@ -19,8 +19,8 @@
     }
 
     /// Returns a number that differs between requests and between entries.
-    pub const fn draw(self) -> u64 {
-        self.entry ^ self.sequence.wrapping_mul(DRAW_STEP)
+    pub const fn seed(self) -> u64 {
+        self.entry ^ self.sequence.wrapping_mul(GOLDEN_RATIO)
     }
 
     /// Returns the sequence number.
--- a/azureway-core/src/domain/rollout.rs
+++ b/azureway-core/src/domain/rollout.rs
@@ -15,30 +15,31 @@
     pub model: ModelId,
     /// The versions in the order of their names, each with the earliest time at which it can
     /// have been named.
-    pub named: SmallVec<[(WeightsVersion, Timestamp); 4]>,
+    pub versions: SmallVec<[(WeightsVersion, Timestamp); 4]>,
     /// How long older weights may still answer.
     pub grace: Duration,
 }
 
 /// How long answers from older weights are worth as much as others, which gives a rollout time
 /// to begin.
-const FREE_TIME: Duration = Duration::from_millis(1_500);
+const FULL_VALUE_PERIOD: Duration = Duration::from_millis(1_500);
 
 impl Rollout {
     /// Tells whether answers from weights `loaded` are worth less at `now`.
-    pub fn is_due(&self, loaded: WeightsVersion, now: Timestamp) -> bool {
-        self.replaced(loaded)
-            .is_some_and(|at| now >= at + FREE_TIME)
+    pub fn is_outdated(&self, loaded: WeightsVersion, now: Timestamp) -> bool {
+        self.superseded_at(loaded)
+            .is_some_and(|at| now >= at + FULL_VALUE_PERIOD)
     }
 
     /// Tells whether weights `loaded` may answer a request that is sent at `now`.
     pub fn allows(&self, loaded: WeightsVersion, now: Timestamp) -> bool {
-        self.replaced(loaded).is_none_or(|at| now < at + self.grace)
+        self.superseded_at(loaded)
+            .is_none_or(|at| now < at + self.grace)
     }
 
     /// Returns when the first weights that are newer than `loaded` were named.
-    fn replaced(&self, loaded: WeightsVersion) -> Option<Timestamp> {
-        let newer = self.named.iter().find(|(version, _)| *version > loaded);
+    fn superseded_at(&self, loaded: WeightsVersion) -> Option<Timestamp> {
+        let newer = self.versions.iter().find(|(version, _)| *version > loaded);
         newer.map(|(_, at)| *at)
     }
 }
--- a/azureway-core/src/domain/route.rs
+++ b/azureway-core/src/domain/route.rs
@@ -28,22 +28,22 @@
     /// The priority; lower goes first.
     pub priority: u8,
     /// The backend servers that one request may be sent to.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// How long a caller is kept waiting at most.
     pub timeout: Duration,
     /// The time in which an answer, or the first event of a stream, is on time.
-    pub target: Duration,
+    pub target_latency: Duration,
 }
 
 /// The priorities of routes that are told apart within one priority of an account. Backend
 /// servers know ten priorities, which leaves three accounts' priorities three each.
-const ROUTE_LEVELS: u8 = 3;
+const ROUTE_PRIORITIES: u8 = 3;
 
 impl Route {
-    /// Chooses a service by weight. `draw` differs between requests.
-    pub fn service(&self, draw: u64) -> Option<&ServiceId> {
+    /// Chooses a service by weight. `seed` differs between requests.
+    pub fn choose_service(&self, seed: u64) -> Option<&ServiceId> {
         let total: u64 = self.splits.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut place = draw.checked_rem(total)?;
+        let mut place = seed.checked_rem(total)?;
         for (service, weight) in &self.splits {
             let weight = u64::from(*weight);
             if place < weight {
@@ -57,8 +57,8 @@
     /// Returns the priority that backend servers are told for a request of `account`; lower goes
     /// first. The account's goes before the route's.
     pub fn precedence(&self, account: &ClientAccount) -> u8 {
-        let own = self.priority.min(ROUTE_LEVELS - 1);
+        let own = self.priority.min(ROUTE_PRIORITIES - 1);
         let first = account.priority.map_or(own, |(_, priority)| priority);
-        first.saturating_mul(ROUTE_LEVELS).saturating_add(own)
+        first.saturating_mul(ROUTE_PRIORITIES).saturating_add(own)
     }
 }
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -190,7 +190,7 @@
                 candidate.traffic_cost = Duration::ZERO;
             }
             let rollout = service.rollout.as_ref().zip(state.weights);
-            if rollout.is_some_and(|(r, loaded)| r.is_due(loaded, now)) {
+            if rollout.is_some_and(|(r, loaded)| r.is_outdated(loaded, now)) {
                 candidate.traffic_cost += OLD_WEIGHTS_TOLL;
             }
             found.push(candidate);
--- a/azureway-core/src/router/placement_request.rs
+++ b/azureway-core/src/router/placement_request.rs
@@ -45,12 +45,12 @@
             prefix: self.request.chain.prefix(),
             rank: self.request.rank,
             prompt: self.request.chain.tokens(),
-            fetchable: if service.fetches {
+            fetchable: if service.peer_fetch {
                 shared
             } else {
                 TokenCount::ZERO
             },
-            seed: self.request.id.draw(),
+            seed: self.request.id.seed(),
         }
     }
 
@@ -61,7 +61,7 @@
 
     /// Tells whether a server is alive and has what a request to `service` needs.
     pub fn fits(&self, state: &ServerState, service: &ModelService, now: Timestamp) -> bool {
-        let takes = |loaded| service.takes(loaded, self.request.weights, now);
+        let takes = |loaded| service.accepts_weights(loaded, self.request.weights, now);
         let weights = service.kind == ServiceKind::Plain || state.weights.is_none_or(takes);
         weights && state.accepts(now)
     }
--- a/azureway-core/src/router/sharing.rs
+++ b/azureway-core/src/router/sharing.rs
@@ -21,7 +21,7 @@
         best: &Candidate<'_>,
         now: Timestamp,
     ) -> Option<SocketAddr> {
-        if !service.fetches || request.chain.blocks().is_empty() {
+        if !service.peer_fetch || request.chain.blocks().is_empty() {
             return None;
         }
         let own = best.state;
--- a/azureway-core/src/router/verdict.rs
+++ b/azureway-core/src/router/verdict.rs
@@ -36,7 +36,10 @@
         // The deadline is for the first token: a stream that has begun is finished.
         let begun = failure.position > StreamPosition::ZERO;
         let late = !begun && flight.request.deadline.is_past(now);
-        let tries = flight.request.tries.map_or(tries, |own| own.min(tries));
+        let tries = flight
+            .request
+            .max_attempts
+            .map_or(tries, |own| own.min(tries));
         if !late && flight.attempt.number - flight.bounced < tries {
             return Self::Retry;
         }
--- a/azureway-core/src/site/state.rs
+++ b/azureway-core/src/site/state.rs
@@ -194,13 +194,13 @@
         let named = self.named.get(model).cloned().unwrap_or_default();
         let rollout = Rollout {
             model: model.clone(),
-            named,
+            versions: named,
             grace: self.grace,
         };
         service
             .with_weights(self.wanted(site, model))
             .with_rollout(rollout)
-            .with_fetches(site.fetches)
+            .with_peer_fetch(site.fetches)
     }
 
     /// Returns the weights that a service is to have. A server may have newer ones than were
--- a/azureway-core/tests/claims/world.rs
+++ b/azureway-core/tests/claims/world.rs
@@ -83,7 +83,7 @@
         let mut request = self.entries[at].bench.request("small", &[body]);
         request.id = RequestId::new(at as u64 + 1, sequence);
         request.kind = RequestKind::AtMostOnce;
-        request.key = Some(IdempotencyKey::new(key));
+        request.idempotency_key = Some(IdempotencyKey::new(key));
         let sending = Sending {
             entry: at,
             key: key.to_owned(),
--- a/azureway-core/tests/precedence.rs
+++ b/azureway-core/tests/precedence.rs
@@ -16,9 +16,9 @@
         public: false,
         rank: Rank::Drafting,
         priority,
-        tries: 1,
+        max_attempts: 1,
         timeout: Duration::from_secs(1),
-        target: Duration::from_secs(1),
+        target_latency: Duration::from_secs(1),
     }
 }
 
--- a/azureway-core/tests/routing/world.rs
+++ b/azureway-core/tests/routing/world.rs
@@ -57,7 +57,7 @@
         let request = Request {
             id: RequestId::new(entry as u64, sequence),
             fingerprint: Fingerprint::of(account.as_str(), "advice", prompt.as_bytes()),
-            tries: None,
+            max_attempts: None,
             chain: BlockChain::new(salt, levels),
             account,
             service,
@@ -67,8 +67,8 @@
             deadline: Deadline::new(self.now + Duration::from_secs(10)),
             arrived: self.now,
             weights,
-            output: TokenCount::new(10),
-            key: None,
+            max_output: TokenCount::new(10),
+            idempotency_key: None,
         };
         self.requests.insert(request.id, request.clone());
         self.seen.insert(request.id, String::new());
--- a/azureway-core/tests/site.rs
+++ b/azureway-core/tests/site.rs
@@ -134,9 +134,9 @@
         public: false,
         rank: Rank::Urgent,
         priority: 0,
-        tries: 2,
+        max_attempts: 2,
         timeout: Duration::from_secs(1),
-        target: Duration::from_millis(200),
+        target_latency: Duration::from_millis(200),
     }
 }
 
@@ -165,7 +165,7 @@
 #[gtest]
 fn a_split_route_gives_each_service_its_weight() {
     let route = route("one", "/", &[("old", 3), ("new", 1), ("off", 0)]);
-    let names = (0..400).map(|draw| route.service(draw).expect("a service").as_str());
+    let names = (0..400).map(|draw| route.choose_service(draw).expect("a service").as_str());
     let names: Vec<&str> = names.collect();
     let count = |name: &str| names.iter().filter(|n| **n == name).count();
     expect_that!(
@@ -176,8 +176,8 @@
 
 #[gtest]
 fn a_route_without_weights_has_no_service() {
-    expect_that!(route("one", "/", &[("off", 0)]).service(5), none());
-    expect_that!(route("one", "/", &[]).service(5), none());
+    expect_that!(route("one", "/", &[("off", 0)]).choose_service(5), none());
+    expect_that!(route("one", "/", &[]).choose_service(5), none());
 }
 
 /// A process that starts finds weights 2 named, and the server still has weights 1.
@@ -197,7 +197,7 @@
         let since = state.named_since(start, Duration::from_millis(settle));
         let rollout = Rollout {
             model: ModelId::new("m"),
-            named: [(WeightsVersion::new(2), since)].into_iter().collect(),
+            versions: [(WeightsVersion::new(2), since)].into_iter().collect(),
             grace,
         };
         let now = start + Duration::from_millis(after);
--- a/azureway-core/tests/site_runs/world/mod.rs
+++ b/azureway-core/tests/site_runs/world/mod.rs
@@ -160,7 +160,7 @@
         let request = Request {
             id: RequestId::new(entry.epoch, entry.sequence),
             fingerprint: Fingerprint::of(ACCOUNTS[account], SERVICE, level.as_bytes()),
-            tries: Some(if once { 1 } else { 3 }),
+            max_attempts: Some(if once { 1 } else { 3 }),
             chain: BlockChain::new(salt, [level.as_bytes()]),
             account: AccountId::new(ACCOUNTS[account]),
             service: service.id,
@@ -174,8 +174,8 @@
             deadline: Deadline::new(self.now + Duration::from_secs(10)),
             arrived: self.now,
             weights: service.weights,
-            output: TokenCount::new(100),
-            key: None,
+            max_output: TokenCount::new(100),
+            idempotency_key: None,
         };
         let record = Record {
             epoch: entry.epoch,
--- a/azureway-core/tests/support/mod.rs
+++ b/azureway-core/tests/support/mod.rs
@@ -47,7 +47,7 @@
         Request {
             id: RequestId::new(1, self.sequence),
             fingerprint: Fingerprint::of(account.as_str(), "advice", levels.concat().as_bytes()),
-            tries: None,
+            max_attempts: None,
             chain: BlockChain::new(salt, levels.iter().map(|l| l.as_bytes())),
             account,
             service,
@@ -57,8 +57,8 @@
             deadline: Deadline::new(self.now + std::time::Duration::from_secs(10)),
             arrived: self.now,
             weights,
-            output: TokenCount::new(100),
-            key: None,
+            max_output: TokenCount::new(100),
+            idempotency_key: None,
         }
     }
 }
--- a/azureway-dev/src/bench/world.rs
+++ b/azureway-dev/src/bench/world.rs
@@ -96,10 +96,10 @@
             arrived: self.now,
             weights,
             chain: BlockChain::from_blocks(salt, blocks(prefix * PROMPT_BLOCKS), 2),
-            output: TokenCount::new(100),
-            key: None,
+            max_output: TokenCount::new(100),
+            idempotency_key: None,
             fingerprint: Fingerprint::from_bytes(u128::from(self.sequence).to_be_bytes()),
-            tries: None,
+            max_attempts: None,
         }
     }
 
--- a/azureway-dev/src/replay/requests.rs
+++ b/azureway-dev/src/replay/requests.rs
@@ -47,10 +47,10 @@
             arrived: now,
             weights: self.weights,
             fingerprint: Fingerprint::of(&ask.account, ask.kind.as_str(), own.as_bytes()),
-            tries: None,
+            max_attempts: None,
             chain,
-            output: TokenCount::new(ask.output),
-            key: once.then(|| IdempotencyKey::new(&own)),
+            max_output: TokenCount::new(ask.output),
+            idempotency_key: once.then(|| IdempotencyKey::new(&own)),
         }
     }
 
--- a/azureway-dev/src/trace/header.rs
+++ b/azureway-dev/src/trace/header.rs
@@ -96,7 +96,9 @@
         });
         let services = WorkKind::ALL.into_iter().fold(zoned, |fleet, kind| {
             let service = ModelService::new(Self::service(kind), pool.clone());
-            let service = service.with_weights(weights).with_calls(kind.calls());
+            let service = service
+                .with_weights(weights)
+                .with_request_kind(kind.calls());
             fleet.with_service(service)
         });
         let accounts = self.accounts.iter().fold(services, |fleet, name| {
--- a/azureway-entry/src/admit/reader.rs
+++ b/azureway-entry/src/admit/reader.rs
@@ -146,12 +146,14 @@
             arrived: self.call.arrived,
             weights: service.weights,
             chain,
-            output,
-            key: self.header(header::IDEMPOTENCY_KEY, "a key that is not empty", |t| {
-                (!t.is_empty()).then(|| IdempotencyKey::new(t))
-            })?,
+            max_output: output,
+            idempotency_key: self.header(
+                header::IDEMPOTENCY_KEY,
+                "a key that is not empty",
+                |t| (!t.is_empty()).then(|| IdempotencyKey::new(t)),
+            )?,
             fingerprint: Fingerprint::of(account.id.as_str(), &target, &self.call.body),
-            tries: None,
+            max_attempts: None,
         })
     }
 
@@ -162,7 +164,7 @@
         let configured = if reads {
             RequestKind::Repeatable
         } else {
-            service.calls
+            service.request_kind
         };
         // A caller can only make the rule stricter than the operator's.
         let strict = [asked, Some(configured)].contains(&Some(RequestKind::AtMostOnce));
@@ -220,7 +222,7 @@
                 .unwrap_or("application/json")
                 .into(),
             account: request.account.clone(),
-            key: request.key.clone(),
+            key: request.idempotency_key.clone(),
             body: body.into(),
             passage: None,
         }
--- a/azureway-entry/src/routed/calls.rs
+++ b/azureway-entry/src/routed/calls.rs
@@ -59,7 +59,7 @@
         call: &Call,
         terms: &CallTerms<'_>,
     ) -> Result<Request, Refusal> {
-        let service = route.service(call.id.draw());
+        let service = route.choose_service(call.id.seed());
         let service = service.and_then(|id| fleet.services.get(id));
         let none = || {
             Refusal::not_run(
@@ -88,10 +88,10 @@
             arrived: call.arrived,
             weights: service.weights,
             chain: chain(salt, terms),
-            output: terms.output,
-            key: None,
+            max_output: terms.output,
+            idempotency_key: None,
             fingerprint: Fingerprint::of(account.id.as_str(), &target, &call.body),
-            tries: Some(route.tries),
+            max_attempts: Some(route.max_attempts),
         })
     }
 
@@ -104,7 +104,7 @@
         kind: ServiceKind,
         call: &mut Call,
     ) -> UpstreamRequest {
-        let patience = (route.target * PATIENCE).clamp(PATIENCE_MIN, PATIENCE_MAX);
+        let patience = (route.target_latency * PATIENCE).clamp(PATIENCE_MIN, PATIENCE_MAX);
         let passage = Passage {
             attempt,
             once: route.kind == RequestKind::AtMostOnce,
@@ -113,7 +113,7 @@
             until: request.deadline.timestamp(),
             patience,
             tries: match route.kind {
-                RequestKind::Repeatable => route.tries,
+                RequestKind::Repeatable => route.max_attempts,
                 RequestKind::AtMostOnce => 1,
             },
         };
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -129,9 +129,9 @@
         public,
         rank: Rank::Urgent,
         priority: 0,
-        tries: 2,
+        max_attempts: 2,
         timeout: GUARD,
-        target: GUARD,
+        target_latency: GUARD,
     }
 }
 
