--- a/azureway-core/src/event/action.rs
+++ b/azureway-core/src/event/action.rs
@@ -14,15 +14,15 @@
     /// Tell the caller that the request is refused, or that its stream has ended early.
     Refuse(RequestId, Refusal),
     /// Give the caller the answer of an earlier sending again.
-    Repeat(RequestId, ShortAnswer),
+    ReplayAnswer(RequestId, ShortAnswer),
     /// Ask the platform for a claim, or settle one. Each call must be followed by its news.
     Claim(ClaimCall),
     /// Stop a try.
     Cancel(Attempt),
     /// Tell the other entry instances of a backend server.
-    Server(ServerUpdate),
+    BroadcastServer(ServerUpdate),
     /// Tell the other entry instances of a strike.
-    Strike(Strike),
+    BroadcastStrike(Strike),
     /// Ask a backend server for the whole content of its cache.
     Resync(ServerId),
 }
--- a/azureway-core/src/event/input.rs
+++ b/azureway-core/src/event/input.rs
@@ -15,7 +15,7 @@
     /// A request arrived.
     Arrived(&'a Request),
     /// The caller of a request hung up.
-    HungUp(RequestId),
+    CallerDisconnected(RequestId),
     /// A backend server began to answer a try.
     Started(Attempt),
     /// A try ended well.
@@ -29,15 +29,15 @@
     /// A backend server told of its load.
     Load(&'a LoadReport),
     /// An answer told something of its backend server.
-    Sampled(&'a LoadSample),
+    LoadSample(&'a LoadSample),
     /// A version of the configuration was read.
     Configured(&'a Fleet),
     /// The number of live entry instances of this availability zone changed; it counts
     /// this one.
-    Peers(u32),
+    ZoneEntries(u32),
     /// The number of entry instances of all availability zones that the platform lists
     /// changed; it counts this one, and those that are not heard of.
-    Listed(u32),
+    ListedEntries(u32),
     /// Another entry instance told what client accounts ask for there.
     Demand(&'a Demand),
     /// Another entry instance told of a backend server.
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -52,18 +52,18 @@
         let start = out.len();
         match event {
             Event::Arrived(request) => self.arrive(request, now, out),
-            Event::HungUp(id) => self.hang_up(id, now, out),
+            Event::CallerDisconnected(id) => self.hang_up(id, now, out),
             Event::Started(attempt) => self.start(attempt, now),
             Event::Finished(finish) => self.finish(finish, now, out),
             Event::Failed(failure) => self.fail(failure, now, out),
             Event::Claim(news) => self.claimed(news, now, out),
             Event::Cache(update) => self.hear(update, out),
             Event::Load(report) => self.report(report, now, out),
-            Event::Sampled(sample) => self.sample(sample, now),
+            Event::LoadSample(sample) => self.sample(sample, now),
             Event::Configured(fleet) => self.configure(fleet, now),
-            Event::Peers(_) if self.config.shared => {}
-            Event::Peers(count) => self.sender.servers_mut().set_entries(count),
-            Event::Listed(count) => self.list(count),
+            Event::ZoneEntries(_) if self.config.shared => {}
+            Event::ZoneEntries(count) => self.sender.servers_mut().set_entries(count),
+            Event::ListedEntries(count) => self.list(count),
             Event::Demand(demand) => self.limits.share_mut().hear(demand, now),
             Event::Server(news) => self.sender.servers_mut().apply_news(news),
             Event::Loading(loading) => {
@@ -125,7 +125,7 @@
     fn claimed(&mut self, news: &ClaimNews, now: Timestamp, out: &mut Vec<Action>) {
         match self.claims.hear(news, now, out) {
             ClaimVerdict::Go(request) => self.enqueue(&request, now, out),
-            ClaimVerdict::Repeat(answer) => out.push(Action::Repeat(news.id(), answer)),
+            ClaimVerdict::Repeat(answer) => out.push(Action::ReplayAnswer(news.id(), answer)),
             ClaimVerdict::Refuse(refusal) => out.push(Action::Refuse(news.id(), refusal)),
             ClaimVerdict::Nothing => {}
         }
--- a/azureway-core/src/router/hearing.rs
+++ b/azureway-core/src/router/hearing.rs
@@ -15,7 +15,7 @@
     }
 
     pub(super) fn report(&mut self, report: &LoadReport, now: Timestamp, out: &mut Vec<Action>) {
-        out.extend(self.sender.leave_news(report).map(Action::Server));
+        out.extend(self.sender.leave_news(report).map(Action::BroadcastServer));
         if let Some(pool) = self.sender.report(report, now) {
             self.queues.mark(pool);
         }
--- a/azureway-core/src/router/suspects.rs
+++ b/azureway-core/src/router/suspects.rs
@@ -77,6 +77,6 @@
     /// Appends what peers have to hear of strikes.
     pub(super) fn tell_strikes(&mut self, out: &mut Vec<Action>) {
         let news = self.sender.guard_mut().take_news();
-        out.extend(news.into_iter().map(Action::Strike));
+        out.extend(news.into_iter().map(Action::BroadcastStrike));
     }
 }
--- a/azureway-core/src/tally/book.rs
+++ b/azureway-core/src/tally/book.rs
@@ -58,7 +58,7 @@
             match action {
                 Action::Refuse(id, refusal) if refusal.not_run => self.close(*id, Outcome::Refused),
                 Action::Refuse(id, _) => self.close(*id, Outcome::Broken),
-                Action::Repeat(id, _) => self.finish(*id, now),
+                Action::ReplayAnswer(id, _) => self.finish(*id, now),
                 _ => {}
             }
         }
--- a/azureway-core/tests/claims/world.rs
+++ b/azureway-core/tests/claims/world.rs
@@ -159,7 +159,7 @@
             if sending.fate == Fate::None {
                 sending.fate = Fate::Left;
             }
-            self.tell(at, Event::HungUp(id));
+            self.tell(at, Event::CallerDisconnected(id));
         }
     }
 
@@ -223,7 +223,7 @@
             }
             Action::Dispatch(order) => entry.tries.push_back(order.attempt),
             Action::Refuse(id, refusal) => self.settle(id, Fate::Refused(refusal)),
-            Action::Repeat(id, _) => self.settle(id, Fate::Repeat),
+            Action::ReplayAnswer(id, _) => self.settle(id, Fate::Repeat),
             _ => {}
         }
     }
--- a/azureway-core/tests/farm/mod.rs
+++ b/azureway-core/tests/farm/mod.rs
@@ -225,7 +225,7 @@
                     self.running
                         .retain(|t| (t.0, t.2.attempt) != (entry, attempt));
                 }
-                Action::Strike(strike) => self.news.push((entry, strike)),
+                Action::BroadcastStrike(strike) => self.news.push((entry, strike)),
                 _ => {}
             }
         }
--- a/azureway-core/tests/leaving.rs
+++ b/azureway-core/tests/leaving.rs
@@ -59,7 +59,7 @@
     let mut bench = Bench::new(1, 4);
     bench.tell(Event::Load(&report(2, false)));
     let told = bench.tell(Event::Load(&report(2, true)));
-    expect_that!(told, elements_are![eq(&Action::Server(news(2)))]);
+    expect_that!(told, elements_are![eq(&Action::BroadcastServer(news(2)))]);
     expect_that!(bench.tell(Event::Load(&report(2, true))), is_empty());
 }
 
@@ -71,7 +71,7 @@
         let request = bench.request("small", &["house"]);
         let sent = bench.tell(Event::Arrived(&request));
         let count = orders(&sent).len();
-        bench.tell(Event::HungUp(request.id));
+        bench.tell(Event::CallerDisconnected(request.id));
         count == 1
     };
     let mut bench = Bench::new(1, 4);
--- a/azureway-core/tests/promises.rs
+++ b/azureway-core/tests/promises.rs
@@ -215,7 +215,7 @@
         };
         self.end(live[place]);
         self.open.retain(|o| o.attempt.id != live[place]);
-        self.bench.tell(Event::HungUp(live[place]))
+        self.bench.tell(Event::CallerDisconnected(live[place]))
     }
 
     fn report(&mut self, number: usize, restart: bool, leaving: bool) -> Vec<Action> {
--- a/azureway-core/tests/router.rs
+++ b/azureway-core/tests/router.rs
@@ -64,7 +64,7 @@
         let broken = failure(order, FailureKind::Broken, SendState::MaybeRun, 5);
         // Peers hear of the break; nothing is sent or refused.
         let told = bench.tell(Event::Failed(&broken));
-        expect_that!(told, each(pat!(Action::Strike(_))));
+        expect_that!(told, each(pat!(Action::BroadcastStrike(_))));
     }
     let rest = sent
         .iter()
--- a/azureway-core/tests/sharing.rs
+++ b/azureway-core/tests/sharing.rs
@@ -130,7 +130,7 @@
     let mut counts: BTreeMap<ServerId, usize> = BTreeMap::new();
     for entry in 1..=4 {
         let mut bench = Bench::new(3, 16);
-        bench.tell(Event::Peers(4));
+        bench.tell(Event::ZoneEntries(4));
         for server in 1..=3 {
             let mut load = report(&[0], 16);
             load.server = ServerId::new(&format!("engine-{server}"));
--- a/azureway-core/tests/site_runs/entry.rs
+++ b/azureway-core/tests/site_runs/entry.rs
@@ -35,7 +35,7 @@
     pub fn new(epoch: u64, entries: u32, now: Timestamp) -> Self {
         let config = RouterConfig::new(ZoneId::new("a")).with_retries(SHARE, SLACK);
         let mut router = Router::new(config.with_shared(), PrefixLoad::new());
-        router.handle(Event::Listed(entries), now, &mut Vec::new());
+        router.handle(Event::ListedEntries(entries), now, &mut Vec::new());
         let zone = AvailabilityZone::new(ZoneId::new("a"), "r");
         Self {
             router,
--- a/azureway-core/tests/site_runs/world/faults.rs
+++ b/azureway-core/tests/site_runs/world/faults.rs
@@ -102,7 +102,7 @@
         self.end(id);
         self.running.retain(|(_, o)| o.attempt.id != id);
         match self.entries.iter().position(|e| e.epoch == epoch) {
-            Some(at) => self.tell(at, Event::HungUp(id)),
+            Some(at) => self.tell(at, Event::CallerDisconnected(id)),
             None => Ok(()),
         }
     }
--- a/azureway-core/tests/weights.rs
+++ b/azureway-core/tests/weights.rs
@@ -77,7 +77,7 @@
                     load: Some((0, 0)),
                     weights: Some(WeightsVersion::new(number(1))),
                 };
-                self.bench.tell(Event::Sampled(&sample));
+                self.bench.tell(Event::LoadSample(&sample));
             }
             "busy" => {
                 let sample = LoadSample {
@@ -85,7 +85,7 @@
                     load: Some((number(1) as u32, 0)),
                     weights: None,
                 };
-                self.bench.tell(Event::Sampled(&sample));
+                self.bench.tell(Event::LoadSample(&sample));
             }
             "load" => self.load(number(1), number(2)),
             "loaded" => self.load(number(1), 0),
@@ -93,7 +93,7 @@
                 let order = self.ask().expect("the request is sent");
                 let failed = failure(&order, FailureKind::Busy, SendState::Rejected, 0);
                 self.bench.tell(Event::Failed(&failed));
-                self.bench.tell(Event::HungUp(order.attempt.id));
+                self.bench.tell(Event::CallerDisconnected(order.attempt.id));
             }
             word => panic!("unknown step {word}"),
         }
--- a/azureway-dev/src/replay/replay_driver.rs
+++ b/azureway-dev/src/replay/replay_driver.rs
@@ -157,7 +157,7 @@
     fn configure(&mut self) {
         let fleet = self.trace.header.fleet(self.version, self.requests.weights);
         self.tell_core(Event::Configured(&fleet));
-        self.tell_core(Event::Peers(ENTRIES));
+        self.tell_core(Event::ZoneEntries(ENTRIES));
     }
 
     /// Starts the entry anew: what it knew is gone, and its connections break.
@@ -255,7 +255,7 @@
             }
             // No request of a trace is sent again with its key, and the entries of a replay
             // do not talk to one another.
-            Action::Repeat(..) | Action::Server(_) | Action::Strike(_) => {}
+            Action::ReplayAnswer(..) | Action::BroadcastServer(_) | Action::BroadcastStrike(_) => {}
             Action::Resync(server) => {
                 if let Some(place) = self.scene.engines.place(server.as_str()) {
                     let delay = self.scene.delay(place);
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -100,7 +100,7 @@
             DecideMessage::Arrived(admitted) => self.arrive(*admitted),
             DecideMessage::HungUp(id) => {
                 self.callers.remove(id);
-                self.tell(Event::HungUp(id));
+                self.tell(Event::CallerDisconnected(id));
             }
             DecideMessage::Started(attempt) => self.start(attempt),
             DecideMessage::Finished(finish) => self.finish(&finish),
@@ -118,7 +118,7 @@
                 if let Some(weights) = sample.weights {
                     self.orders.observe(&sample.server, weights);
                 }
-                self.tell(Event::Sampled(&sample));
+                self.tell(Event::LoadSample(&sample));
             }
             DecideMessage::Cache(run) => self.tell(Event::Cache(&run.view())),
             DecideMessage::Adopt(fleet) => self.adopt(&fleet),
@@ -227,14 +227,14 @@
                     self.measure(Measure::Refused(refusal.reason));
                     self.callers.refuse(id, refusal);
                 }
-                Action::Repeat(id, answer) => self.callers.repeat(id, answer),
+                Action::ReplayAnswer(id, answer) => self.callers.repeat(id, answer),
                 Action::Claim(call) => unplaced.extend(self.claims.place(call)),
                 Action::Cancel(attempt) => {
                     self.launcher.cancel(attempt);
                     self.measure(Measure::Cancelled(attempt));
                 }
-                Action::Server(news) => self.peers.server(news),
-                Action::Strike(strike) => self.peers.strike(strike),
+                Action::BroadcastServer(news) => self.peers.server(news),
+                Action::BroadcastStrike(strike) => self.peers.strike(strike),
                 Action::Resync(server) => self.readers.resync(&server),
             }
         }
--- a/azureway-entry/src/decide/peer_word.rs
+++ b/azureway-entry/src/decide/peer_word.rs
@@ -23,8 +23,8 @@
     /// Returns what the core is told.
     pub const fn event(&self) -> Event<'_> {
         match self {
-            Self::Count(count) => Event::Peers(*count),
-            Self::Round(known) => Event::Listed(*known),
+            Self::Count(count) => Event::ZoneEntries(*count),
+            Self::Round(known) => Event::ListedEntries(*known),
             Self::Demand(demand) => Event::Demand(demand),
             Self::Server(news) => Event::Server(news),
             Self::Strike(strike) => Event::Strike(strike),
