--- a/azureway-core/src/event/dispatch.rs
+++ b/azureway-core/src/event/dispatch.rs
@@ -30,7 +30,7 @@
     /// The prompt tokens that the server is believed to hold.
     pub cached: TokenCount,
     /// A server that is believed to hold more of the prompt, to fetch it from.
-    pub source: Option<SocketAddr>,
+    pub fetch_from: Option<SocketAddr>,
     /// The time to the first token that was estimated.
-    pub expected: Duration,
+    pub expected_ttft: Duration,
 }
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -123,8 +123,8 @@
         let (mut placement, policy) = self.placement(config, fleet);
         let best = placement.choose(policy, want, service, now)?;
         let mut order = want.plan.order(want.request, service, &best);
-        order.source = placement.source(want.request, service, &best, now);
-        order.expected = Estimate::new(want.profile(service), &best, now).total();
+        order.fetch_from = placement.source(want.request, service, &best, now);
+        order.expected_ttft = Estimate::new(want.profile(service), &best, now).total();
         self.track(want, service.pool.clone(), &order, now);
         Some(order)
     }
--- a/azureway-core/src/router/plan.rs
+++ b/azureway-core/src/router/plan.rs
@@ -50,8 +50,8 @@
             weights: loaded.unwrap_or(request.weights),
             position: self.position,
             cached: best.cached,
-            source: None,
-            expected: Duration::ZERO,
+            fetch_from: None,
+            expected_ttft: Duration::ZERO,
         }
     }
 }
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -255,10 +255,10 @@
         let now = self.clock.now();
         log::info!(
             request:% = id, step = "dispatch", attempt = order.attempt.number,
-            waited = caller.since(now), expected:? = order.expected,
+            waited = caller.since(now), expected:? = order.expected_ttft,
             peer:% = order.server, weights:% = order.weights, prompt = caller.prompt.get(),
             prefix:% = caller.prefix, cached = order.cached.get(), position:% = order.position,
-            source:? = order.source; "sent"
+            source:? = order.fetch_from; "sent"
         );
         let attempt = order.attempt;
         let measure = caller.sent(attempt, now);
--- a/azureway-entry/src/exchange/asking.rs
+++ b/azureway-entry/src/exchange/asking.rs
@@ -64,7 +64,7 @@
         let last = self.order.attempt.number >= passage.tries;
         // A busy server is silent for long and works all the same: asking another one as well
         // would double the work when there is most of it.
-        let patience = passage.patience.max(self.order.expected * PATIENCE);
+        let patience = passage.patience.max(self.order.expected_ttft * PATIENCE);
         let patience = if last { left } else { left.min(patience) };
         let failed = |e: &io::Error| RelayError::of_read(e);
         connection.set_patience(patience).map_err(|e| failed(&e))?;
--- a/azureway-entry/tests/exchange.rs
+++ b/azureway-entry/tests/exchange.rs
@@ -69,8 +69,8 @@
         weights: WeightsVersion::new(1),
         position,
         cached: TokenCount::ZERO,
-        source: None,
-        expected: Duration::ZERO,
+        fetch_from: None,
+        expected_ttft: Duration::ZERO,
     }
 }
 
