--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -32,7 +32,7 @@
     /// Creates a router that knows no configuration yet.
     pub fn new(config: RouterConfig, policy: P) -> Self {
         Self {
-            budgets: RetryBudgets::new(config.retries, config.slack),
+            budgets: RetryBudgets::new(config.retry_percent, config.retry_slack),
             retries: Retries::new(),
             config,
             fleet: Fleet::new(),
@@ -61,7 +61,7 @@
             Event::Load(report) => self.report(report, now, out),
             Event::LoadSample(sample) => self.sample(sample, now),
             Event::Configured(fleet) => self.configure(fleet, now),
-            Event::ZoneEntries(_) if self.config.shared => {}
+            Event::ZoneEntries(_) if self.config.shared_servers => {}
             Event::ZoneEntries(count) => self.sender.servers_mut().set_entries(count),
             Event::ListedEntries(count) => self.list(count),
             Event::Demand(demand) => self.limits.share_mut().hear(demand, now),
@@ -93,7 +93,7 @@
             queues: &self.queues,
             limits: &mut self.limits,
             guard: self.sender.guard(),
-            bound: self.config.queue,
+            bound: self.config.queue_limit,
             draining: self.draining,
         };
         let servers = self.sender.servers();
--- a/azureway-core/src/router/hearing.rs
+++ b/azureway-core/src/router/hearing.rs
@@ -25,7 +25,7 @@
     pub(super) fn list(&mut self, count: u32) {
         self.limits.share_mut().set_entries(count);
         self.budgets.set_entries(count);
-        if self.config.shared && self.sender.servers().entries() != count {
+        if self.config.shared_servers && self.sender.servers().entries() != count {
             self.sender.servers_mut().set_entries(count);
         }
     }
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -145,14 +145,14 @@
             // Traffic to another region is paid: it is for a region without any server, and
             // for requests that have waited.
             // So is a second try, which a server that has failed the first would get otherwise.
-            let waited = now.since(want.request.arrived) >= self.config.abroad
-                || (self.config.shared && want.failed.is_some());
+            let waited = now.since(want.request.arrived) >= self.config.remote_delay
+                || (self.config.shared_servers && want.failed.is_some());
             if reach == Locality::Remote && alive && !waited {
                 break;
             }
             alive |= self.survey(Some(reach), quiet, want, service, now, found);
             let time = |c: &Candidate<'_>| Estimate::new(profile, c, now).total();
-            let shared = self.config.shared;
+            let shared = self.config.shared_servers;
             let other = |c: &Candidate<'_>| !shared || Some(&c.state.server.id) != want.failed;
             if found.iter().any(|c| time(c) <= SPILL && other(c)) {
                 break;
@@ -195,7 +195,7 @@
             }
             found.push(candidate);
         }
-        if self.config.shared {
+        if self.config.shared_servers {
             presume(found, want.request);
         }
         bound < u64::MAX
@@ -233,14 +233,14 @@
         let mut cached = self
             .index
             .cached_tokens(id, incarnation, request.chain.blocks());
-        if replica && !self.config.shared && !self.index.is_complete(id, incarnation) {
+        if replica && !self.config.shared_servers && !self.index.is_complete(id, incarnation) {
             // An entry that has just started takes a prefix to be where it is kept.
             cached = cached.max(request.chain.prefix_tokens());
         }
         let (link, traffic_cost) = match reach {
             Locality::Zone => (Duration::ZERO, Duration::ZERO),
-            Locality::Region => (self.config.link, Duration::ZERO),
-            Locality::Remote => (self.config.far, self.toll(request)),
+            Locality::Region => (self.config.zone_latency, Duration::ZERO),
+            Locality::Remote => (self.config.remote_latency, self.toll(request)),
         };
         Candidate {
             state,
--- a/azureway-core/src/router/sharing.rs
+++ b/azureway-core/src/router/sharing.rs
@@ -53,12 +53,12 @@
         let shared = request.chain.prefix_tokens();
         let first = self.servers.in_pool(&service.pool).next();
         let prefill = first.map_or(Duration::ZERO, |s| s.server.prefill.time_for(shared));
-        let way = self.config.far * 2 + self.toll(request);
-        self.config.shared && prefill > way
+        let way = self.config.remote_latency * 2 + self.toll(request);
+        self.config.shared_servers && prefill > way
     }
 
     /// Returns what sending a request to another region costs, as time.
     pub(super) fn toll(&self, request: &Request) -> Duration {
-        self.config.toll.time_for(request.chain.tokens())
+        self.config.traffic_rate.time_for(request.chain.tokens())
     }
 }
--- a/azureway-core/src/router/suspects.rs
+++ b/azureway-core/src/router/suspects.rs
@@ -31,7 +31,7 @@
                 return Verdict::Refuse(Verdict::give_up(begun, untouched));
             }
         }
-        Verdict::new(flight, failure, self.config.tries, now)
+        Verdict::new(flight, failure, self.config.max_attempts, now)
     }
 
     /// Takes in a strike of another entry.
--- a/azureway-core/src/router/views.rs
+++ b/azureway-core/src/router/views.rs
@@ -14,7 +14,7 @@
         let limits = [self.queues.earliest(), self.retries.earliest()];
         let limit = limits.into_iter().flatten().min();
         // A server that is tried again, one abroad, or a refilled budget can help what waits.
-        let abroad = self.queues.oldest().map(|t| t + self.config.abroad);
+        let abroad = self.queues.oldest().map(|t| t + self.config.remote_delay);
         let abroad = abroad.filter(|t| *t > self.seen && self.fleet.has_regions());
         let trial = limit.and_then(|_| self.sender.servers().next_retry(self.seen));
         let claims = self.claims.earliest();
--- a/azureway-core/tests/site_runs/entry.rs
+++ b/azureway-core/tests/site_runs/entry.rs
@@ -33,8 +33,8 @@
 impl Entry {
     /// Creates an entry that has heard of nothing, as one of `entries`.
     pub fn new(epoch: u64, entries: u32, now: Timestamp) -> Self {
-        let config = RouterConfig::new(ZoneId::new("a")).with_retries(SHARE, SLACK);
-        let mut router = Router::new(config.with_shared(), PrefixLoad::new());
+        let config = RouterConfig::new(ZoneId::new("a")).with_retry_budget(SHARE, SLACK);
+        let mut router = Router::new(config.with_shared_servers(), PrefixLoad::new());
         router.handle(Event::ListedEntries(entries), now, &mut Vec::new());
         let zone = AvailabilityZone::new(ZoneId::new("a"), "r");
         Self {
--- a/azureway-dev/src/bench/world.rs
+++ b/azureway-dev/src/bench/world.rs
@@ -32,7 +32,7 @@
 impl World {
     /// Creates a router that has the fleet of `size` in force.
     pub fn new(size: Size, slots: u32) -> Self {
-        let config = RouterConfig::new(ZoneId::new("zone-0")).with_queue(usize::MAX);
+        let config = RouterConfig::new(ZoneId::new("zone-0")).with_queue_limit(usize::MAX);
         let mut world = Self {
             router: Router::new(config, PrefixLoad::new()),
             size,
--- a/azureway-dev/src/trace/header.rs
+++ b/azureway-dev/src/trace/header.rs
@@ -72,9 +72,9 @@
         let mut config = RouterConfig::new(ZoneId::new(zone));
         let link = Duration::from_micros(self.link);
         if self.is_one_region() {
-            config.link = link;
+            config.zone_latency = link;
         } else {
-            config.far = link;
+            config.remote_latency = link;
         }
         config
     }
--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -202,7 +202,7 @@
     settings: &EntrySettings,
     rings: &Rings,
 ) -> Decider<PrefixLoad, Launcher, NewsReaders<HttpNews>> {
-    let config = RouterConfig::new(settings.zone.clone()).with_queue(settings.bounds.queue);
+    let config = RouterConfig::new(settings.zone.clone()).with_queue_limit(settings.bounds.queue);
     let router = Router::new(config, PrefixLoad::new());
     let launcher = Launcher::new(
         rings.decide.clone(),
--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -183,11 +183,11 @@
         window: served.window,
     };
     let config = RouterConfig::new(settings.zone.clone())
-        .with_queue(settings.bounds.queue)
-        .with_retries(served.retries, slack)
-        .with_abroad(ABROAD_WAIT)
-        .with_toll(ABROAD_TOLL)
-        .with_shared();
+        .with_queue_limit(settings.bounds.queue)
+        .with_retry_budget(served.retries, slack)
+        .with_remote_delay(ABROAD_WAIT)
+        .with_traffic_rate(ABROAD_TOLL)
+        .with_shared_servers();
     let router = Router::new(config, PrefixLoad::new());
     let (decide, bounds) = (rings.decide.clone(), settings.bounds.clone());
     let launcher = ExchangeLauncher::new(site, decide, bounds, rings.clock);
