--- a/azureway-core/src/admit/queued.rs
+++ b/azureway-core/src/admit/queued.rs
@@ -1,7 +1,7 @@
 //! A request that waits.
 
 use crate::domain::{Request, Timestamp};
-use crate::router::Plan;
+use crate::router::AttemptPlan;
 
 /// A request that waits, with its place in the fair order.
 #[derive(Clone, Debug)]
@@ -13,7 +13,7 @@
     /// The share of its account.
     pub weight: u32,
     /// What is to be tried next.
-    pub plan: Plan,
+    pub plan: AttemptPlan,
     /// The request.
     pub request: Request,
 }
@@ -21,12 +21,12 @@
 impl Queued {
     /// Creates a request that waits for its first try.
     pub fn new(request: Request, weight: u32) -> Self {
-        let plan = Plan::first(request.id);
+        let plan = AttemptPlan::first(request.id);
         Self::again(request, weight, plan)
     }
 
     /// Creates a request that waits for a later try.
-    pub fn again(request: Request, weight: u32, plan: Plan) -> Self {
+    pub fn again(request: Request, weight: u32, plan: AttemptPlan) -> Self {
         Self {
             start: 0,
             since: Timestamp::ZERO,
--- a/azureway-core/src/event/failure.rs
+++ b/azureway-core/src/event/failure.rs
@@ -18,7 +18,7 @@
 
 impl Failure {
     /// Tells whether the server itself said that it has no room.
-    pub fn is_full(&self) -> bool {
+    pub fn is_capacity_rejection(&self) -> bool {
         self.kind == FailureKind::Busy && self.sent == SendState::Rejected
     }
 }
--- a/azureway-core/src/fleet/server_state.rs
+++ b/azureway-core/src/fleet/server_state.rs
@@ -210,10 +210,10 @@
                 return known;
             }
             // It has slots and rejects all the same: it is loading weights or about to leave.
-            FailureKind::Busy if failure.is_full() && self.has_slots(now) => {
+            FailureKind::Busy if failure.is_capacity_rejection() && self.has_slots(now) => {
                 self.held = now + HOLD_TIME;
             }
-            FailureKind::Busy if failure.is_full() => self.share.refused(self.in_flight(), now),
+            FailureKind::Busy if failure.is_capacity_rejection() => self.share.refused(self.in_flight(), now),
             // A silent connection says nothing of the server: something between the two ends
             // may have lost track of it while new connections work.
             FailureKind::Busy | FailureKind::Silent | FailureKind::Declined => {}
--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -34,5 +34,5 @@
 pub use crate::router::{Obstacle, Overview, RouteOption, Router, RouterConfig};
 pub use crate::site::{ListedServer, NamedWeights, SiteDocument, SiteService, SiteState};
 pub use crate::stream::{Delivery, StreamProgress};
-pub use crate::tally::{Count, Outcome, Tally};
+pub use crate::tally::{Outcome, OutcomeCount, OutcomeTally};
 pub use crate::watch::{EntrySelector, WatchSchedule, WatchStep};
--- a/azureway-core/src/router/plan.rs
+++ b/azureway-core/src/router/attempt_plan.rs
@@ -8,7 +8,7 @@
 
 /// What is to be tried next for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct AttemptPlan {
     /// The try.
     pub attempt: Attempt,
     /// The position to resume at.
@@ -19,7 +19,7 @@
     pub bounced: u32,
 }
 
-impl Plan {
+impl AttemptPlan {
     /// Creates the plan of a first try.
     pub const fn first(id: RequestId) -> Self {
         Self {
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::retry::RetryBudgets;
 use crate::route::Policy;
-use crate::tally::{Outcome, Tally};
+use crate::tally::{Outcome, OutcomeTally};
 
 /// The decisions of one entry instance. Events and the time go in, actions come out.
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     pub(super) claims: ClaimBook,
     pub(super) retries: Retries,
     pub(super) budgets: RetryBudgets,
-    pub(super) tally: Tally,
+    pub(super) tally: OutcomeTally,
     pub(super) draining: bool,
     pub(super) seen: Timestamp,
 }
@@ -40,7 +40,7 @@
             limits: Limits::new(),
             queues: Queues::new(),
             claims: ClaimBook::new(),
-            tally: Tally::new(),
+            tally: OutcomeTally::new(),
             draining: false,
             seen: Timestamp::ZERO,
         }
--- a/azureway-core/src/router/in_flight.rs
+++ b/azureway-core/src/router/in_flight.rs
@@ -1,6 +1,6 @@
 //! A request that a backend server is running.
 
-use super::Plan;
+use super::AttemptPlan;
 use crate::domain::{
     Attempt, Incarnation, PoolId, Request, ServerId, StreamPosition, Timestamp, TokenCount,
 };
@@ -37,7 +37,7 @@
 
 impl InFlight {
     /// Creates the flight that an order begins by `plan`.
-    pub fn new(request: &Request, pool: PoolId, order: &Dispatch, plan: Plan) -> Self {
+    pub fn new(request: &Request, pool: PoolId, order: &Dispatch, plan: AttemptPlan) -> Self {
         Self {
             request: request.clone(),
             pool,
@@ -64,8 +64,8 @@
     }
 
     /// Returns the plan of the next try, after the server had no room for this one.
-    pub const fn bounce(&self) -> Plan {
-        Plan {
+    pub const fn bounce(&self) -> AttemptPlan {
+        AttemptPlan {
             attempt: Attempt::new(self.attempt.id, self.attempt.number + 1),
             position: self.position,
             untouched: self.untouched,
--- a/azureway-core/src/router/mod.rs
+++ b/azureway-core/src/router/mod.rs
@@ -1,5 +1,6 @@
 //! The decisions put together.
 
+mod attempt_plan;
 mod config;
 mod decider;
 mod dispatcher;
@@ -11,7 +12,6 @@
 mod overview;
 mod placement;
 mod placement_request;
-mod plan;
 mod queues;
 mod retries;
 mod retry;
@@ -21,6 +21,7 @@
 mod verdict;
 mod views;
 
+pub use attempt_plan::AttemptPlan;
 pub use config::RouterConfig;
 pub use decider::Router;
 pub use dispatcher::Dispatcher;
@@ -31,7 +32,6 @@
 pub use overview::Overview;
 pub use placement::Placement;
 pub use placement_request::PlacementRequest;
-pub use plan::Plan;
 pub use queues::Queues;
 pub use retries::Retries;
 pub use retry::Retry;
--- a/azureway-core/src/router/overview.rs
+++ b/azureway-core/src/router/overview.rs
@@ -1,7 +1,7 @@
 //! The state of a router at a glance.
 
 use crate::domain::{ConfigVersion, Rank, RequestKind};
-use crate::tally::{Count, Outcome};
+use crate::tally::{Outcome, OutcomeCount};
 
 /// The state of a router at a glance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -15,11 +15,11 @@
     /// The requests of each rank that wait for a server, by [`Rank::index`].
     pub queued: [usize; 2],
     /// The requests in flight.
-    pub flights: usize,
+    pub in_flight: usize,
     /// The requests that wait to be tried again.
     pub retries: usize,
     /// The retries that are left in the budget.
-    pub budget: u64,
+    pub retry_budget: u64,
     /// The claims that are asked for, held or being settled.
     pub claims: usize,
     /// The requests that were running when one backend server broke.
@@ -27,5 +27,5 @@
     /// The requests that do not run, since two backend servers broke under them.
     pub quarantined: usize,
     /// How the requests ended.
-    pub counts: Vec<(Rank, RequestKind, Outcome, Count)>,
+    pub counts: Vec<(Rank, RequestKind, Outcome, OutcomeCount)>,
 }
--- a/azureway-core/src/router/placement_request.rs
+++ b/azureway-core/src/router/placement_request.rs
@@ -1,6 +1,6 @@
 //! What is asked of a placement.
 
-use super::Plan;
+use super::AttemptPlan;
 use crate::domain::{
     ModelService, Request, ServerId, ServiceKind, StreamPosition, Timestamp, TokenCount,
 };
@@ -13,7 +13,7 @@
     /// The request.
     pub request: &'a Request,
     /// What is to be tried.
-    pub plan: Plan,
+    pub plan: AttemptPlan,
     /// The server that failed it last, which is taken only if there is no other.
     pub failed: Option<&'a ServerId>,
     /// Whether the floor grants drafting the slots that are kept for urgent work.
@@ -22,7 +22,7 @@
 
 impl<'a> PlacementRequest<'a> {
     /// Creates the want of a request that has failed nowhere.
-    pub const fn new(request: &'a Request, plan: Plan, owed: bool) -> Self {
+    pub const fn new(request: &'a Request, plan: AttemptPlan, owed: bool) -> Self {
         Self {
             request,
             plan,
--- a/azureway-core/src/router/retry.rs
+++ b/azureway-core/src/router/retry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{InFlight, Plan};
+use super::{AttemptPlan, InFlight};
 use crate::domain::{Attempt, Refusal, Request, ServerId, StreamPosition, Timestamp};
 use crate::event::Failure;
 
@@ -12,7 +12,7 @@
     /// The request.
     pub request: Request,
     /// What is to be tried.
-    pub plan: Plan,
+    pub plan: AttemptPlan,
     /// The server that failed it last, if one did.
     pub failed: Option<ServerId>,
     /// How long it waits at most.
@@ -26,7 +26,7 @@
     /// Creates the retry that follows from a failure of `flight`.
     pub fn new(flight: InFlight, failure: &Failure, now: Timestamp) -> Self {
         let id = flight.attempt.id;
-        let plan = Plan {
+        let plan = AttemptPlan {
             attempt: Attempt::new(id, flight.attempt.number + 1),
             position: failure.position,
             untouched: flight.untouched && failure.sent.is_not_run(),
@@ -49,7 +49,7 @@
     }
 
     /// Creates the retry of a suspect that has to wait for a server of its own.
-    pub fn held(request: Request, plan: Plan) -> Self {
+    pub fn held(request: Request, plan: AttemptPlan) -> Self {
         Self {
             until: request.deadline.timestamp(),
             request,
--- a/azureway-core/src/router/suspects.rs
+++ b/azureway-core/src/router/suspects.rs
@@ -9,7 +9,7 @@
 
 impl<P: Policy> Router<P> {
     /// Returns how a request stands after what its earlier sendings did.
-    pub fn standing(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
+    pub fn suspect_status(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
         self.sender.guard().standing(fingerprint, now)
     }
 
@@ -61,7 +61,7 @@
         out: &mut Vec<Action>,
     ) {
         let request = &queued.request;
-        let standing = self.standing(&request.fingerprint, now);
+        let standing = self.suspect_status(&request.fingerprint, now);
         if standing == SuspectStatus::Clear {
             return blocked.add(queued);
         }
--- a/azureway-core/src/router/verdict.rs
+++ b/azureway-core/src/router/verdict.rs
@@ -26,7 +26,7 @@
             let detail = "the backend server failed after it may have run the request";
             return Self::Refuse(Refusal::maybe_run(RefusalReason::ServerFailed, detail));
         }
-        if failure.is_full() && flight.untouched {
+        if failure.is_capacity_rejection() && flight.untouched {
             return if flight.bounced < BOUNCES {
                 Self::Wait
             } else {
--- a/azureway-core/src/router/views.rs
+++ b/azureway-core/src/router/views.rs
@@ -1,12 +1,12 @@
 //! What a router shows of itself.
 
-use super::{Overview, PlacementRequest, Plan, RouteOption, Router};
+use super::{AttemptPlan, Overview, PlacementRequest, RouteOption, Router};
 use crate::admit::Demand;
 use crate::domain::{InstanceId, Rank, Request, RequestKind, Timestamp};
 use crate::fleet::{Fleet, ServerTable};
 use crate::quarantine::SuspectStatus;
 use crate::route::Policy;
-use crate::tally::{Count, Outcome, Tally};
+use crate::tally::{Outcome, OutcomeCount, OutcomeTally};
 
 impl<P: Policy> Router<P> {
     /// Returns when the router wants to be told of the time at the latest.
@@ -45,11 +45,11 @@
         Overview {
             version: self.fleet.version,
             draining: self.draining,
-            entries: self.peers(),
+            entries: self.zone_entries(),
             queued: Rank::ALL.map(|rank| self.queues.depth(rank)),
-            flights: self.sender.flights().len(),
+            in_flight: self.sender.flights().len(),
             retries: self.retries.len(),
-            budget: self.budgets.left(),
+            retry_budget: self.budgets.left(),
             claims: self.claims.pending(),
             suspects: self.guarded(SuspectStatus::Suspect),
             quarantined: self.guarded(SuspectStatus::Quarantined),
@@ -60,17 +60,17 @@
     /// Tells where `request` would go now and why, without sending it: every server of the
     /// service's pool, in the order of their names. Returns `None` for an unknown service.
     pub fn explain(&mut self, request: &Request, now: Timestamp) -> Option<Vec<RouteOption>> {
-        let want = PlacementRequest::new(request, Plan::first(request.id), false);
+        let want = PlacementRequest::new(request, AttemptPlan::first(request.id), false);
         self.sender.explain(want, &self.config, &self.fleet, now)
     }
 
     /// Returns the number of live entry instances of the zone, with this one.
-    pub const fn peers(&self) -> u32 {
+    pub const fn zone_entries(&self) -> u32 {
         self.sender.servers().entries()
     }
 
     /// Returns how the requests ended.
-    pub const fn tally(&self) -> &Tally {
+    pub const fn tally(&self) -> &OutcomeTally {
         &self.tally
     }
 
@@ -83,7 +83,7 @@
         self.sender.guard().count(standing, self.seen)
     }
 
-    fn counts(&self) -> Vec<(Rank, RequestKind, Outcome, Count)> {
+    fn counts(&self) -> Vec<(Rank, RequestKind, Outcome, OutcomeCount)> {
         let kinds = [RequestKind::Repeatable, RequestKind::AtMostOnce];
         let mut counts = Vec::new();
         for (rank, kind) in Rank::ALL.iter().flat_map(|r| kinds.map(|k| (*r, k))) {
--- a/azureway-core/src/stream/progress.rs
+++ b/azureway-core/src/stream/progress.rs
@@ -25,7 +25,7 @@
     }
 
     /// Follows a later try from now on. Earlier ones become stale.
-    pub fn follow(&mut self, attempt: Attempt) {
+    pub fn switch_to(&mut self, attempt: Attempt) {
         if attempt.id == self.attempt.id && attempt.number > self.attempt.number {
             self.attempt = attempt;
         }
--- a/azureway-core/src/tally/count.rs
+++ b/azureway-core/src/tally/outcome_count.rs
@@ -4,14 +4,14 @@
 
 /// A number of requests and the sum of their worth.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct OutcomeCount {
     /// The requests.
     pub requests: u64,
     /// The sum of their worth.
     pub worth: u64,
 }
 
-impl Count {
+impl OutcomeCount {
     /// Adds a request.
     pub fn add(&mut self, worth: Worth) {
         self.requests += 1;
--- a/azureway-core/src/tally/book.rs
+++ b/azureway-core/src/tally/outcome_tally.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::{Count, OpenRequest, Outcome};
+use super::{OpenRequest, Outcome, OutcomeCount};
 use crate::domain::{Rank, Request, RequestId, RequestKind, Timestamp};
 use crate::event::Action;
 
@@ -11,12 +11,12 @@
 /// A request is opened when it arrives and counted when it is closed. Closing takes it out,
 /// so that a late or doubled end finds nothing to count.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct OutcomeTally {
     open: HashMap<RequestId, OpenRequest>,
-    counts: BTreeMap<(Rank, bool, Outcome), Count>,
+    counts: BTreeMap<(Rank, bool, Outcome), OutcomeCount>,
 }
 
-impl Tally {
+impl OutcomeTally {
     /// Creates an empty tally.
     pub fn new() -> Self {
         Self::default()
@@ -70,7 +70,7 @@
     }
 
     /// Returns what was counted for a rank, a kind and an outcome.
-    pub fn count(&self, rank: Rank, kind: RequestKind, outcome: Outcome) -> Count {
+    pub fn count(&self, rank: Rank, kind: RequestKind, outcome: Outcome) -> OutcomeCount {
         let once = kind == RequestKind::AtMostOnce;
         let count = self.counts.get(&(rank, once, outcome));
         count.copied().unwrap_or_default()
--- a/azureway-core/tests/explain.rs
+++ b/azureway-core/tests/explain.rs
@@ -82,7 +82,7 @@
         bench.tell(Event::Arrived(&request));
     }
     let overview = bench.router.overview();
-    expect_that!(overview.flights, eq(1));
+    expect_that!(overview.in_flight, eq(1));
     expect_that!(overview.queued, eq([2, 0]));
     expect_that!(overview.version, eq(ConfigVersion::new(1)));
     expect_that!(overview.draining, eq(false));
--- a/azureway-core/tests/farm/mod.rs
+++ b/azureway-core/tests/farm/mod.rs
@@ -168,7 +168,7 @@
         let text = ["house", "shop", body].concat();
         let print = Fingerprint::of("small", "advice", text.as_bytes());
         let bench = &self.entries[entry];
-        bench.router.standing(&print, bench.now)
+        bench.router.suspect_status(&print, bench.now)
     }
 
     /// Tells whether two suspects of an entry run on one server.
--- a/azureway-entry/src/caller/answer.rs
+++ b/azureway-entry/src/caller/answer.rs
@@ -69,7 +69,7 @@
         let progress = self
             .progress
             .get_or_insert_with(|| StreamProgress::new(attempt));
-        progress.follow(attempt);
+        progress.switch_to(attempt);
     }
 
     /// Fails if the caller has hung up while its request waited.
--- a/azureway-entry/src/meter/router_measures.rs
+++ b/azureway-entry/src/meter/router_measures.rs
@@ -88,8 +88,8 @@
             let queued = self.queued.get_or_create(&rank.into());
             set(&queued, overview.queued[rank.index()]);
         }
-        set(&self.flights, overview.flights);
-        set(&self.budget, overview.budget);
+        set(&self.flights, overview.in_flight);
+        set(&self.budget, overview.retry_budget);
         set(&self.claims, overview.claims);
         set(&self.quarantined, overview.quarantined);
         set(&self.entries, overview.entries);
--- a/azureway-entry/tests/meter.rs
+++ b/azureway-entry/tests/meter.rs
@@ -33,13 +33,13 @@
 /// Answers the question for the state, as the deciding duty does.
 fn answer(messages: &flume::Receiver<DecideMessage>) {
     while let Ok(DecideMessage::Ask(Question::Status(reply))) = messages.recv() {
-        let late = Count {
+        let late = OutcomeCount {
             requests: 3,
             worth: 210,
         };
         let overview = Overview {
             queued: [5, 8],
-            budget: 9,
+            retry_budget: 9,
             counts: vec![(Rank::Urgent, RequestKind::AtMostOnce, Outcome::Late, late)],
             ..Overview::default()
         };
--- a/azureway-wire/src/admin/count_body.rs
+++ b/azureway-wire/src/admin/count_body.rs
@@ -1,6 +1,6 @@
 //! How many requests ended in one way.
 
-use azureway_core::prelude::{Count, Outcome, Rank, RequestKind};
+use azureway_core::prelude::{Outcome, OutcomeCount, Rank, RequestKind};
 use serde::{Deserialize, Serialize};
 
 /// How many requests of a rank and a kind ended in one way.
@@ -18,8 +18,8 @@
     pub worth: u64,
 }
 
-impl From<(Rank, RequestKind, Outcome, Count)> for CountBody {
-    fn from((rank, kind, outcome, count): (Rank, RequestKind, Outcome, Count)) -> Self {
+impl From<(Rank, RequestKind, Outcome, OutcomeCount)> for CountBody {
+    fn from((rank, kind, outcome, count): (Rank, RequestKind, Outcome, OutcomeCount)) -> Self {
         Self {
             rank: rank.as_str().into(),
             kind: kind.as_str().into(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -116,7 +116,7 @@
 //! let mut progress = StreamProgress::new(Attempt::new(id, 1));
 //! let (first, second) = (StreamPosition::new(0), StreamPosition::new(1));
 //! assert_eq!(progress.accept(Attempt::new(id, 1), first), Delivery::Next);
-//! progress.follow(Attempt::new(id, 2));
+//! progress.switch_to(Attempt::new(id, 2));
 //! assert_eq!(progress.accept(Attempt::new(id, 1), second), Delivery::Stale);
 //! assert_eq!(progress.accept(Attempt::new(id, 2), second), Delivery::Next);
 //! ```
