--- a/azureway-core/src/fleet/server_state.rs
+++ b/azureway-core/src/fleet/server_state.rs
@@ -213,7 +213,9 @@
             FailureKind::Busy if failure.is_capacity_rejection() && self.has_slots(now) => {
                 self.held = now + HOLD_TIME;
             }
-            FailureKind::Busy if failure.is_capacity_rejection() => self.share.refused(self.in_flight(), now),
+            FailureKind::Busy if failure.is_capacity_rejection() => {
+                self.share.refused(self.in_flight(), now)
+            }
             // A silent connection says nothing of the server: something between the two ends
             // may have lost track of it while new connections work.
             FailureKind::Busy | FailureKind::Silent | FailureKind::Declined => {}
