--- a/azureway-core/src/cache/block_key.rs
+++ b/azureway-core/src/cache/block_key.rs
@@ -1,7 +1,7 @@
 //! The identity of a cached block.
 
 use super::Salt;
-use crate::util::HalfDigest;
+use crate::util::TruncatedSha256;
 
 /// The identity of a cached block: a digest of the salt and of all text up to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -27,7 +27,7 @@
     #[must_use]
     pub fn then(self, text: &[u8]) -> Self {
         // The key has a fixed length, so the text needs none.
-        let digest = HalfDigest::new().with_bytes(&self.0.to_le_bytes());
+        let digest = TruncatedSha256::new().with_bytes(&self.0.to_le_bytes());
         Self(u128::from_le_bytes(digest.with_bytes(text).finish()))
     }
 }
--- a/azureway-core/src/cache/salt.rs
+++ b/azureway-core/src/cache/salt.rs
@@ -1,7 +1,7 @@
 //! What separates the cached blocks of one client account, model and weights version.
 
 use crate::domain::{AccountId, ServiceId, WeightsVersion};
-use crate::util::HalfDigest;
+use crate::util::TruncatedSha256;
 
 /// A digest of client account, service and weights version that starts every block chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -10,7 +10,7 @@
 impl Salt {
     /// Derives the salt.
     pub fn new(account: &AccountId, service: &ServiceId, weights: WeightsVersion) -> Self {
-        let digest = HalfDigest::new()
+        let digest = TruncatedSha256::new()
             .with_part(account.as_str().as_bytes())
             .with_part(service.as_str().as_bytes())
             .with_bytes(&weights.get().to_le_bytes());
--- a/azureway-core/src/claim/name.rs
+++ b/azureway-core/src/claim/name.rs
@@ -1,6 +1,6 @@
 //! The name of a claim.
 
-use crate::util::HalfDigest;
+use crate::util::TruncatedSha256;
 use std::fmt::{self, Write as _};
 
 use crate::domain::{AccountId, IdempotencyKey};
@@ -12,7 +12,7 @@
 impl ClaimName {
     /// Returns the name that every entry gives to the claim on `key` of `account`.
     pub fn of(account: &AccountId, key: &IdempotencyKey) -> Self {
-        let digest = HalfDigest::new().with_part(account.as_str().as_bytes());
+        let digest = TruncatedSha256::new().with_part(account.as_str().as_bytes());
         Self(digest.with_part(key.as_str().as_bytes()).finish())
     }
 
--- a/azureway-core/src/domain/fingerprint.rs
+++ b/azureway-core/src/domain/fingerprint.rs
@@ -1,6 +1,6 @@
 //! What two sendings of the same request have in common.
 
-use crate::util::HalfDigest;
+use crate::util::TruncatedSha256;
 
 /// A digest of a request's client account, target and body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -12,7 +12,7 @@
         let parts = [account.as_bytes(), target.as_bytes(), body];
         let digest = parts
             .into_iter()
-            .fold(HalfDigest::new(), HalfDigest::with_part);
+            .fold(TruncatedSha256::new(), TruncatedSha256::with_part);
         Self(digest.finish())
     }
 
--- a/azureway-core/src/member/catch_up.rs
+++ b/azureway-core/src/member/catch_up.rs
@@ -35,7 +35,7 @@
     pub fn new(seed: u64, now: Timestamp) -> Self {
         let mut draws = Xorshift::new(seed);
         let spread = u64::try_from(START_SPREAD.as_micros()).unwrap_or(u64::MAX);
-        let first = now + Duration::from_micros(draws.draw() % spread);
+        let first = now + Duration::from_micros(draws.next_bits() % spread);
         Self {
             version: ConfigVersion::ZERO,
             offers: Vec::new(),
--- a/azureway-core/src/member/round_timer.rs
+++ b/azureway-core/src/member/round_timer.rs
@@ -72,7 +72,7 @@
         self.last = now;
         let micros = u64::try_from(interval.as_micros()).unwrap_or(u64::MAX);
         let spread = (micros / JITTER_SHARE).max(1);
-        let drawn = self.draws.draw() % spread;
+        let drawn = self.draws.next_bits() % spread;
         self.next = now + Duration::from_micros(micros - spread / 2 + drawn);
     }
 }
--- a/azureway-core/src/retry/backoff.rs
+++ b/azureway-core/src/retry/backoff.rs
@@ -42,6 +42,6 @@
         let full = self.base.saturating_mul(factor).min(self.cap);
         self.failures = self.failures.saturating_add(1);
         let half = full / 2;
-        half + half.mul_f64(self.draws.share())
+        half + half.mul_f64(self.draws.next_f64())
     }
 }
--- a/azureway-core/src/util/mod.rs
+++ b/azureway-core/src/util/mod.rs
@@ -4,8 +4,8 @@
 mod name;
 #[macro_use]
 mod number;
-mod half_digest;
+mod truncated_sha256;
 mod xorshift;
 
-pub(crate) use half_digest::HalfDigest;
+pub(crate) use truncated_sha256::TruncatedSha256;
 pub(crate) use xorshift::Xorshift;
--- a/azureway-core/src/util/half_digest.rs
+++ b/azureway-core/src/util/truncated_sha256.rs
@@ -4,9 +4,9 @@
 
 /// A digest of several parts, of which the first half is kept.
 #[derive(Clone, Debug)]
-pub(crate) struct HalfDigest(Sha256);
+pub(crate) struct TruncatedSha256(Sha256);
 
-impl HalfDigest {
+impl TruncatedSha256 {
     /// Creates a digest of nothing.
     pub(crate) fn new() -> Self {
         Self(Sha256::new())
--- a/azureway-core/src/util/xorshift.rs
+++ b/azureway-core/src/util/xorshift.rs
@@ -14,7 +14,7 @@
     }
 
     /// Draws a number.
-    pub(crate) const fn draw(&mut self) -> u64 {
+    pub(crate) const fn next_bits(&mut self) -> u64 {
         let mut x = self.state;
         x ^= x << 13;
         x ^= x >> 7;
@@ -26,12 +26,12 @@
     /// Draws a number below `bound`, or zero if the bound is zero.
     pub(crate) fn below(&mut self, bound: usize) -> usize {
         let bound = bound.max(1) as u64;
-        usize::try_from(self.draw() % bound).unwrap_or(0)
+        usize::try_from(self.next_bits() % bound).unwrap_or(0)
     }
 
     /// Draws a number from 0 to 1.
-    pub(crate) fn share(&mut self) -> f64 {
-        f64::from((self.draw() >> 24) as u32) / f64::from(1u32 << 24)
+    pub(crate) fn next_f64(&mut self) -> f64 {
+        f64::from((self.next_bits() >> 24) as u32) / f64::from(1u32 << 24)
     }
 
     /// Puts items into a drawn order.
