--- a/azureway-cli/src/config/base.rs
+++ b/azureway-cli/src/config/base.rs
@@ -15,7 +15,7 @@
     let (version, store) = (ConfigVersion::new(version), session.store());
     let (mut history, mut day) = (History::new(), now());
     current
-        .accepted()
+        .last_change()
         .into_iter()
         .for_each(|c| history.insert(c));
     let days = if version > current.version {
--- a/azureway-cli/src/config/history.rs
+++ b/azureway-cli/src/config/history.rs
@@ -18,7 +18,7 @@
     // Read first: whoever replaces this record archives it before the lists below are read.
     let current = store.read()?;
     current
-        .accepted()
+        .last_change()
         .into_iter()
         .for_each(|c| history.insert(c));
     for _ in 0..matches.get_one("days").copied().unwrap_or(1_u32) {
@@ -38,7 +38,7 @@
 
 /// Tells whether a change passes every filter of the command line.
 fn fits(change: &AcceptedChange, matches: &ArgMatches) -> bool {
-    let (note, delta) = (&change.record.note, &change.record.delta);
+    let (note, delta) = (&change.record.metadata, &change.record.delta);
     let wanted = |filter| matches.get_one::<String>(filter).map(String::as_str);
     wanted("by").is_none_or(|w| *note.author == *w)
         && wanted("of").is_none_or(|w| note.team.as_str() == w)
--- a/azureway-cli/src/report/history_report.rs
+++ b/azureway-cli/src/report/history_report.rs
@@ -25,7 +25,7 @@
 impl HistoryReport {
     /// Creates the report of a change, with what it did if `diff` is set.
     pub(crate) fn new(change: &AcceptedChange, diff: bool) -> Self {
-        let (note, record) = (&change.record.note, &change.record);
+        let (note, record) = (&change.record.metadata, &change.record);
         let changes = record.delta.changes();
         Self {
             version: change.version.get(),
--- a/azureway-cli/src/session.rs
+++ b/azureway-cli/src/session.rs
@@ -4,7 +4,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use anyhow::{Context, Result};
-use azureway_core::config::{ChangeId, ChangeNote, ChangeTime, TeamId};
+use azureway_core::config::{ChangeId, ChangeMetadata, ChangeTime, TeamId};
 use azureway_objects::HttpObjects;
 use clap::ArgMatches;
 
@@ -46,10 +46,10 @@
     }
 
     /// Draws the identity of a new change and notes who makes it.
-    pub(crate) fn note(&self, reason: &str) -> Result<ChangeNote> {
+    pub(crate) fn note(&self, reason: &str) -> Result<ChangeMetadata> {
         let id = random::hex::<ID_BYTES>().context("draw the identity of the change")?;
         let (id, team) = (ChangeId::new(&id), self.team.clone());
-        Ok(ChangeNote::new(id, &self.author, team, now()).with_reason(reason))
+        Ok(ChangeMetadata::new(id, &self.author, team, now()).with_reason(reason))
     }
 }
 
--- a/azureway-cli/src/store/document_store.rs
+++ b/azureway-cli/src/store/document_store.rs
@@ -1,7 +1,7 @@
 //! The document and its audit trail as objects.
 
 use azureway_core::config::{
-    AcceptedChange, ChangeNote, ChangeTime, EditPlan, EditReply, History, Snapshot,
+    AcceptedChange, ChangeMetadata, ChangeTime, ConditionalWrite, EditReply, History, Snapshot,
 };
 use azureway_core::prelude::{ConfigVersion, Error, ErrorKind, Step};
 use azureway_objects::{ObjectApi, Put};
@@ -33,7 +33,7 @@
 
     /// Creates the archived record of a change unless it exists.
     pub(crate) fn archive(&self, change: &AcceptedChange) -> Result<(), Error> {
-        let note = &change.record.note;
+        let note = &change.record.metadata;
         let value = serde_json::to_string(&ChangeBody::from(change));
         let value = value.map_err(|e| Error::new(ErrorKind::Invalid, Step::new("archive"), e))?;
         let written = self.api.put(&Put {
@@ -49,7 +49,7 @@
     }
 
     /// Carries out a write.
-    pub(crate) fn write(&self, plan: &EditPlan) -> EditReply {
+    pub(crate) fn write(&self, plan: &ConditionalWrite) -> EditReply {
         let value = StoredDocument::encode(&plan.record, &plan.text);
         // A record that could not be archived would keep everybody from the next change.
         let archived = serde_json::to_vec(&ChangeBody::new(&plan.record)).map_or(0, |v| v.len());
@@ -65,13 +65,13 @@
         });
         match written {
             Ok(version) => EditReply::Written(ConfigVersion::new(version)),
-            Err(e) if e.kind() == ErrorKind::Conflict => EditReply::Raced,
-            Err(_) => EditReply::Unsure,
+            Err(e) if e.kind() == ErrorKind::Conflict => EditReply::VersionMismatch,
+            Err(_) => EditReply::NoAnswer,
         }
     }
 
     /// Returns the version that an archived change made.
-    pub(crate) fn find(&self, note: &ChangeNote) -> Result<Option<ConfigVersion>, Error> {
+    pub(crate) fn find(&self, note: &ChangeMetadata) -> Result<Option<ConfigVersion>, Error> {
         let object = self.api.get(&archive_kind(note.time), note.id.as_str())?;
         let change = object.map(|o| decode(&o.value)).transpose()?;
         Ok(change.map(|c| c.version))
--- a/azureway-cli/src/store/driver.rs
+++ b/azureway-cli/src/store/driver.rs
@@ -43,7 +43,7 @@
                 return outcome.clone();
             }
             let reply = self.carry_out(edit.step());
-            if matches!(reply, EditReply::Failed | EditReply::Unsure) {
+            if matches!(reply, EditReply::Failed | EditReply::NoAnswer) {
                 thread::park_timeout(self.backoff.fail());
             }
             edit.handle(reply);
--- a/azureway-core/src/config/change_note.rs
+++ b/azureway-core/src/config/change_metadata.rs
@@ -4,7 +4,7 @@
 
 /// Who makes a change, when and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ChangeNote {
+pub struct ChangeMetadata {
     /// The identity of the change.
     pub id: ChangeId,
     /// The person.
@@ -17,7 +17,7 @@
     pub reason: Box<str>,
 }
 
-impl ChangeNote {
+impl ChangeMetadata {
     /// Creates a note without a reason.
     pub fn new(id: ChangeId, author: &str, team: TeamId, time: ChangeTime) -> Self {
         Self {
--- a/azureway-core/src/config/edit_plan.rs
+++ b/azureway-core/src/config/conditional_write.rs
@@ -5,7 +5,7 @@
 
 /// A conditional write of the document together with the record of its change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EditPlan {
+pub struct ConditionalWrite {
     /// The version that the document must have; zero where none may exist.
     pub expected: ConfigVersion,
     /// The whole text.
--- a/azureway-core/src/config/edit.rs
+++ b/azureway-core/src/config/edit.rs
@@ -2,8 +2,8 @@
 
 use super::edit_state::EditState;
 use super::{
-    ChangeNote, ChangeRecord, Delta, DocumentCheck, EditOutcome, EditPlan, EditReply, EditStep,
-    Sections, Snapshot,
+    ChangeMetadata, ChangeRecord, ConditionalWrite, Delta, DocumentCheck, EditOutcome, EditReply,
+    EditStep, Sections, Snapshot,
 };
 use crate::domain::ConfigVersion;
 
@@ -14,7 +14,7 @@
 /// write whose answer was lost can be sent again: at most one of them takes effect.
 #[derive(Debug)]
 pub struct Edit<C: DocumentCheck> {
-    note: ChangeNote,
+    note: ChangeMetadata,
     base: ConfigVersion,
     text: Box<str>,
     delta: Delta,
@@ -29,7 +29,7 @@
 
 impl<C: DocumentCheck> Edit<C> {
     /// Creates the change from `base` to `text`.
-    pub fn new(note: ChangeNote, base: &Snapshot, text: &str, check: C) -> Self {
+    pub fn new(note: ChangeMetadata, base: &Snapshot, text: &str, check: C) -> Self {
         let delta = Delta::between(&Sections::parse(&base.text), &Sections::parse(text));
         let forbidden = delta.forbidden(&note.team);
         let state = match check.check(text) {
@@ -81,8 +81,8 @@
             (EditState::Writing(_), EditReply::TooLarge(bytes)) => {
                 EditState::Done(EditOutcome::TooLarge(bytes))
             }
-            (EditState::Writing(_), EditReply::Raced) => self.again(EditState::Reading),
-            (EditState::Writing(plan), EditReply::Unsure) => {
+            (EditState::Writing(_), EditReply::VersionMismatch) => self.again(EditState::Reading),
+            (EditState::Writing(plan), EditReply::NoAnswer) => {
                 self.unsure = Some(plan.expected);
                 self.again(EditState::Reading)
             }
@@ -121,16 +121,16 @@
         if let Some(Err(faults)) = rebased.as_ref().map(|text| self.check.check(text)) {
             return EditState::Done(EditOutcome::Invalid(faults));
         }
-        let plan = EditPlan {
+        let plan = ConditionalWrite {
             expected: current.version,
             text: rebased.map_or_else(|| self.text.clone(), Into::into),
             record: ChangeRecord {
-                note: self.note.clone(),
+                metadata: self.note.clone(),
                 from: current.version,
                 delta,
             },
         };
-        match current.accepted() {
+        match current.last_change() {
             Some(change) => EditState::Archiving(change, plan),
             None => EditState::Writing(plan),
         }
--- a/azureway-core/src/config/edit_reply.rs
+++ b/azureway-core/src/config/edit_reply.rs
@@ -13,11 +13,11 @@
     /// The document was written and has this version.
     Written(ConfigVersion),
     /// The document has another version than expected: this write took no effect.
-    Raced,
+    VersionMismatch,
     /// The document and its record have this many bytes, more than the store holds.
     TooLarge(usize),
     /// No answer came: the write may have taken effect, or may yet do so.
-    Unsure,
+    NoAnswer,
     /// The version that the change made, if an archived record has it.
     Found(Option<ConfigVersion>),
     /// A step that changes nothing failed, or one that may be repeated.
--- a/azureway-core/src/config/edit_state.rs
+++ b/azureway-core/src/config/edit_state.rs
@@ -1,6 +1,6 @@
 //! Where an edit stands.
 
-use super::{AcceptedChange, EditOutcome, EditPlan, Snapshot};
+use super::{AcceptedChange, ConditionalWrite, EditOutcome, Snapshot};
 
 /// Where an edit stands.
 #[derive(Clone, Debug)]
@@ -8,9 +8,9 @@
     /// The document is to be read.
     Reading,
     /// The record of the last change is to be archived before the plan is carried out.
-    Archiving(AcceptedChange, EditPlan),
+    Archiving(AcceptedChange, ConditionalWrite),
     /// The plan is to be carried out.
-    Writing(EditPlan),
+    Writing(ConditionalWrite),
     /// The document was read, and an earlier write is to be looked up.
     Finding(Snapshot),
     /// The edit is over.
--- a/azureway-core/src/config/edit_step.rs
+++ b/azureway-core/src/config/edit_step.rs
@@ -1,6 +1,6 @@
 //! What an edit wants done next.
 
-use super::{AcceptedChange, ChangeNote, EditPlan};
+use super::{AcceptedChange, ChangeMetadata, ConditionalWrite};
 
 /// What an edit wants done next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,11 +10,11 @@
     /// Create the archived record of a change unless it exists; the reply is `Archived` or
     /// `Failed`.
     Archive(&'a AcceptedChange),
-    /// Write the document on its condition; the reply is `Written`, `Raced`, `TooLarge` or
-    /// `Unsure`.
-    Write(&'a EditPlan),
+    /// Write the document on its condition; the reply is `Written`, `VersionMismatch`, `TooLarge` or
+    /// `NoAnswer`.
+    Write(&'a ConditionalWrite),
     /// Look the change up among the archived records; the reply is `Found` or `Failed`.
-    Find(&'a ChangeNote),
+    Find(&'a ChangeMetadata),
     /// The edit is over.
     Done,
 }
--- a/azureway-core/src/config/mod.rs
+++ b/azureway-core/src/config/mod.rs
@@ -8,14 +8,14 @@
 
 mod accepted_change;
 mod change_id;
-mod change_note;
+mod change_metadata;
 mod change_record;
 mod change_time;
+mod conditional_write;
 mod delta;
 mod document_check;
 mod edit;
 mod edit_outcome;
-mod edit_plan;
 mod edit_reply;
 mod edit_state;
 mod edit_step;
@@ -29,14 +29,14 @@
 
 pub use accepted_change::AcceptedChange;
 pub use change_id::ChangeId;
-pub use change_note::ChangeNote;
+pub use change_metadata::ChangeMetadata;
 pub use change_record::ChangeRecord;
 pub use change_time::ChangeTime;
+pub use conditional_write::ConditionalWrite;
 pub use delta::Delta;
 pub use document_check::DocumentCheck;
 pub use edit::Edit;
 pub use edit_outcome::EditOutcome;
-pub use edit_plan::EditPlan;
 pub use edit_reply::EditReply;
 pub use edit_step::EditStep;
 pub use history::History;
--- a/azureway-core/src/config/snapshot.rs
+++ b/azureway-core/src/config/snapshot.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the last change as the audit trail holds it.
-    pub fn accepted(&self) -> Option<AcceptedChange> {
+    pub fn last_change(&self) -> Option<AcceptedChange> {
         let record = self.record.clone()?;
         let version = self.version;
         Some(AcceptedChange { version, record })
@@ -41,6 +41,6 @@
 
     /// Tells whether the last change is the one with `id`.
     pub fn is_made_by(&self, id: &ChangeId) -> bool {
-        self.record.as_ref().is_some_and(|r| r.note.id == *id)
+        self.record.as_ref().is_some_and(|r| r.metadata.id == *id)
     }
 }
--- a/azureway-core/src/config/version_gate.rs
+++ b/azureway-core/src/config/version_gate.rs
@@ -17,7 +17,7 @@
     }
 
     /// Tells whether `version` is newer than every one judged so far.
-    pub fn is_news(&self, version: ConfigVersion) -> bool {
+    pub fn is_newer(&self, version: ConfigVersion) -> bool {
         version > self.accepted.max(self.rejected)
     }
 
--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -8,7 +8,7 @@
     ClaimVerdict, ShortAnswer,
 };
 pub use crate::config::{
-    ChangeId, ChangeNote, ChangeTime, DocumentCheck, Edit, EditOutcome, EditReply, EditStep,
+    ChangeId, ChangeMetadata, ChangeTime, DocumentCheck, Edit, EditOutcome, EditReply, EditStep,
     History, Snapshot, TeamId, VersionGate,
 };
 pub use crate::domain::*;
--- a/azureway-core/tests/config.rs
+++ b/azureway-core/tests/config.rs
@@ -97,7 +97,7 @@
     let ids: Vec<_> = store
         .history()
         .iter()
-        .map(|c| c.record.note.id.to_string())
+        .map(|c| c.record.metadata.id.to_string())
         .collect();
     expect_that!(ids, eq(&vec!["first".to_owned(), "second".to_owned()]));
 }
@@ -131,7 +131,7 @@
     expect_that!(unread.outcome(), some(eq(&EditOutcome::Unavailable)));
     let mut unsure = Edit::new(note("i", "x"), &base, &document("a:x:2"), Check);
     unsure.handle(EditReply::Read(base.clone()));
-    unsure.handle(EditReply::Unsure);
+    unsure.handle(EditReply::NoAnswer);
     while unsure.outcome().is_none() {
         unsure.handle(EditReply::Failed);
     }
@@ -153,9 +153,9 @@
 fn versions_only_grow_and_each_is_judged_once() {
     let mut gate = VersionGate::new();
     gate.accept(ConfigVersion::new(5));
-    expect_that!(gate.is_news(ConfigVersion::new(4)), eq(false));
+    expect_that!(gate.is_newer(ConfigVersion::new(4)), eq(false));
     gate.reject(ConfigVersion::new(6));
-    expect_that!(gate.is_news(ConfigVersion::new(6)), eq(false));
+    expect_that!(gate.is_newer(ConfigVersion::new(6)), eq(false));
     expect_that!(gate.rejected(), some(eq(ConfigVersion::new(6))));
     gate.accept(ConfigVersion::new(7));
     expect_that!(gate.rejected(), none());
--- a/azureway-core/tests/support_config/mod.rs
+++ b/azureway-core/tests/support_config/mod.rs
@@ -26,8 +26,8 @@
 }
 
 /// Returns the note of change `id` by `team`.
-pub(crate) fn note(id: &str, team: &str) -> ChangeNote {
-    ChangeNote::new(
+pub(crate) fn note(id: &str, team: &str) -> ChangeMetadata {
+    ChangeMetadata::new(
         ChangeId::new(id),
         "ana",
         TeamId::new(team),
--- a/azureway-core/tests/support_config/race.rs
+++ b/azureway-core/tests/support_config/race.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use azureway_core::config::{EditPlan, Sections};
+use azureway_core::config::{ConditionalWrite, Sections};
 use azureway_core::prelude::*;
 
 use super::{Check, Store, document, note};
@@ -13,7 +13,7 @@
     store: Store,
     edits: Vec<Edit<Check>>,
     ids: Vec<String>,
-    delayed: Vec<EditPlan>,
+    delayed: Vec<ConditionalWrite>,
     ends: BTreeMap<String, EditOutcome<()>>,
     made: usize,
     lost: usize,
@@ -98,12 +98,12 @@
             (EditStep::Write(plan), 10 | 11) => {
                 self.store.write(plan);
                 self.lost += 1;
-                EditReply::Unsure
+                EditReply::NoAnswer
             }
-            (EditStep::Write(_), 12) => EditReply::Unsure,
+            (EditStep::Write(_), 12) => EditReply::NoAnswer,
             (EditStep::Write(plan), 13) => {
                 self.delayed.push(plan.clone());
-                EditReply::Unsure
+                EditReply::NoAnswer
             }
             (EditStep::Write(plan), _) => self.store.write(plan),
             (EditStep::Archive(change), 10 | 11) => {
@@ -143,7 +143,7 @@
                 .store
                 .log
                 .iter()
-                .filter(|c| c.record.note.id.as_str() == id);
+                .filter(|c| c.record.metadata.id.as_str() == id);
             let versions: Vec<_> = writes.map(|c| c.version).collect();
             let holds = match outcome {
                 EditOutcome::Accepted(version) => versions == [*version],
--- a/azureway-core/tests/support_config/store.rs
+++ b/azureway-core/tests/support_config/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use azureway_core::config::{AcceptedChange, DocumentCheck, EditPlan, History};
+use azureway_core::config::{AcceptedChange, ConditionalWrite, DocumentCheck, History};
 use azureway_core::prelude::*;
 
 /// A store in memory with conditional writes, one version counter and lost answers.
@@ -48,15 +48,15 @@
             .cloned()
             .for_each(|c| history.insert(c));
         self.current
-            .accepted()
+            .last_change()
             .into_iter()
             .for_each(|c| history.insert(c));
         history
     }
 
-    pub(crate) fn write(&mut self, plan: &EditPlan) -> EditReply {
+    pub(crate) fn write(&mut self, plan: &ConditionalWrite) -> EditReply {
         if plan.expected != self.current.version {
-            return EditReply::Raced;
+            return EditReply::VersionMismatch;
         }
         self.version += 1;
         let version = ConfigVersion::new(self.version);
@@ -64,13 +64,13 @@
         self.current = Snapshot::new(version, &plan.text).with_record(Some(record.clone()));
         self.log.push(AcceptedChange { version, record });
         if std::mem::take(&mut self.losing) {
-            return EditReply::Unsure;
+            return EditReply::NoAnswer;
         }
         EditReply::Written(version)
     }
 
     pub(crate) fn archive(&mut self, change: &AcceptedChange) -> EditReply {
-        let name = change.record.note.id.to_string();
+        let name = change.record.metadata.id.to_string();
         if !self.archive.contains_key(&name) {
             self.version += 1;
             self.archive.insert(name, change.clone());
--- a/azureway-entry/src/peer/peer_duty.rs
+++ b/azureway-entry/src/peer/peer_duty.rs
@@ -223,7 +223,7 @@
 
     /// Takes over a peer's document as it takes one of the platform's: if it is newer and good.
     async fn fetched(&mut self, peer: &InstanceId, document: Document) {
-        if !self.gate.is_news(document.version) {
+        if !self.gate.is_newer(document.version) {
             return;
         }
         match document::parse(&document.text, document.version) {
--- a/azureway-entry/src/watch/watcher.rs
+++ b/azureway-entry/src/watch/watcher.rs
@@ -133,7 +133,7 @@
     fn adopt(&mut self, object: &ObjectBody) {
         let version = ConfigVersion::new(object.version);
         // A list after a failure brings the same version again, and a slow read an older one.
-        if !self.gate.is_news(version) {
+        if !self.gate.is_newer(version) {
             return;
         }
         if StoredDocument::parse(&object.value).record.is_none() {
--- a/azureway-wire/src/change/change_body.rs
+++ b/azureway-wire/src/change/change_body.rs
@@ -1,7 +1,7 @@
 //! The record of a change.
 
 use azureway_core::config::{
-    AcceptedChange, ChangeId, ChangeNote, ChangeRecord, ChangeTime, Delta, TeamId,
+    AcceptedChange, ChangeId, ChangeMetadata, ChangeRecord, ChangeTime, Delta, TeamId,
 };
 use azureway_core::prelude::ConfigVersion;
 use serde::{Deserialize, Serialize};
@@ -33,7 +33,7 @@
 impl ChangeBody {
     /// Creates the body of a record whose version is not known yet.
     pub fn new(record: &ChangeRecord) -> Self {
-        let note = &record.note;
+        let note = &record.metadata;
         Self {
             id: note.id.as_str().into(),
             version: 0,
@@ -60,10 +60,10 @@
 impl From<ChangeBody> for ChangeRecord {
     fn from(body: ChangeBody) -> Self {
         let (id, team) = (ChangeId::new(&body.id), TeamId::new(&body.team));
-        let note = ChangeNote::new(id, &body.author, team, ChangeTime::new(body.time));
+        let note = ChangeMetadata::new(id, &body.author, team, ChangeTime::new(body.time));
         let changes = body.sections.into_iter().map(Into::into);
         Self {
-            note: note.with_reason(&body.reason),
+            metadata: note.with_reason(&body.reason),
             from: ConfigVersion::new(body.from),
             delta: Delta::new(changes.collect()),
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -67,7 +67,7 @@
 //!
 //! let base = Snapshot::new(ConfigVersion::new(4), "[limits]\nteam = retail\nrate = 1\n");
 //! let team = TeamId::new("retail");
-//! let note = ChangeNote::new(ChangeId::new("c1"), "ana", team, ChangeTime::new(0));
+//! let note = ChangeMetadata::new(ChangeId::new("c1"), "ana", team, ChangeTime::new(0));
 //! let mut edit = Edit::new(note, &base, "[limits]\nteam = retail\nrate = 2\n", Any);
 //! assert!(matches!(edit.step(), EditStep::Read));
 //! edit.handle(EditReply::Read(base));
@@ -102,7 +102,7 @@
 //! let mut gate = VersionGate::new();
 //! gate.accept(ConfigVersion::new(5));
 //! gate.reject(ConfigVersion::new(6));
-//! assert!(!gate.is_news(ConfigVersion::new(5)));
+//! assert!(!gate.is_newer(ConfigVersion::new(5)));
 //! assert_eq!(gate.accepted(), ConfigVersion::new(5));
 //! assert_eq!(gate.rejected(), Some(ConfigVersion::new(6)));
 //! ```
