--- a/azureway-core/src/domain/attempt.rs
+++ b/azureway-core/src/domain/attempt.rs
@@ -1,20 +1,21 @@
-//! One try of a request at one backend server.
+//! One attempt to serve a request at one backend server.
 
 use std::fmt;
 
 use super::RequestId;
 
-/// One try of a request. Answers carry it, so that a late one is told from the current one.
+/// One attempt to serve a request at one backend server. Answers carry it, so that an answer to
+/// an earlier attempt is not taken for one to the current attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Attempt {
-    /// The request.
+    /// The request that is attempted.
     pub id: RequestId,
-    /// The number of the try, from 1.
+    /// The number of the attempt, counted from 1.
     pub number: u32,
 }
 
 impl Attempt {
-    /// Creates try `number` of request `id`.
+    /// Creates attempt `number` of request `id`.
     pub const fn new(id: RequestId, number: u32) -> Self {
         Self { id, number }
     }
--- a/azureway-core/src/domain/availability_zone.rs
+++ b/azureway-core/src/domain/availability_zone.rs
@@ -1,13 +1,13 @@
-//! An availability zone.
+//! An availability zone and its region.
 
 use super::ZoneId;
 
-/// An availability zone and the region that it lies in.
+/// An availability zone and the region that contains it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AvailabilityZone {
-    /// The name.
+    /// The name of the zone.
     pub id: ZoneId,
-    /// The region; traffic to another one is paid by volume.
+    /// The region of the zone; traffic to another region is paid for by volume.
     pub region: Box<str>,
 }
 
--- a/azureway-core/src/domain/backend_server.rs
+++ b/azureway-core/src/domain/backend_server.rs
@@ -1,42 +1,43 @@
-//! A backend server.
+//! A backend server as the configuration describes it.
 
 use std::net::SocketAddr;
 
 use super::{ListedState, PoolId, ServerId, TokenRate, ZoneId};
 
-/// A backend server, as the configuration gives it.
+/// A backend server as the configuration describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendServer {
-    /// The name.
+    /// The name of the server.
     pub id: ServerId,
-    /// The pool that it belongs to.
+    /// The pool that the server belongs to.
     pub pool: PoolId,
-    /// The availability zone that it stands in.
+    /// The availability zone that the server runs in.
     pub zone: ZoneId,
-    /// The address that it serves on.
+    /// The address that the server accepts requests on.
     pub address: SocketAddr,
-    /// The requests that it runs at once.
+    /// The number of requests that the server runs at once.
     pub slots: u32,
-    /// The speed at which it computes prompt tokens that are not cached.
+    /// The rate at which the server computes prompt tokens that are not cached.
     pub prefill: TokenRate,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether the server refuses an order with an old fencing number.
     pub fenced: bool,
-    /// Whether it refuses a second call with the same idempotency key by itself, whichever
+    /// Whether the server itself refuses a second call with the same idempotency key, whichever
     /// server of its pool ran the first.
     pub deduplicates: bool,
-    /// Whether operators take it out: it ends what it runs and gets no new work.
+    /// Whether operators drain the server: it finishes its running requests and gets no new ones.
     pub leaving: bool,
-    /// What the platform's list says of it, where it is listed there.
+    /// The state of the server in the platform's list, if it is listed there.
     pub listed: Option<ListedState>,
 }
 
-/// The slots of a server where the document names none.
+/// The slots of a server for which the document sets none.
 const DEFAULT_SLOTS: u32 = 8;
-/// The prefill rate, in tokens a second, where the document names none.
+/// The prefill rate, in tokens per second, of a server for which the document sets none.
 const DEFAULT_PREFILL: TokenRate = TokenRate::new(8_000);
 
 impl BackendServer {
-    /// Creates a server with default slots and prefill rate that checks nothing.
+    /// Creates a server with the default slots and prefill rate that checks neither fencing
+    /// numbers nor idempotency keys.
     pub fn new(id: ServerId, pool: PoolId, zone: ZoneId, address: SocketAddr) -> Self {
         let (slots, prefill) = (DEFAULT_SLOTS, DEFAULT_PREFILL);
         Self {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Sets the requests that it runs at once.
+    /// Sets the number of requests that the server runs at once.
     #[must_use]
     pub fn with_slots(mut self, slots: u32) -> Self {
         self.slots = slots;
--- a/azureway-core/src/domain/backend_server_pool.rs
+++ b/azureway-core/src/domain/backend_server_pool.rs
@@ -2,16 +2,16 @@
 
 use super::PoolId;
 
-/// A pool of backend servers that serve the same things.
+/// A pool of backend servers that serve the same services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendServerPool {
-    /// The name.
+    /// The name of the pool.
     pub id: PoolId,
-    /// The servers that may load weights at once.
+    /// The largest number of servers that load weights at the same time.
     pub max_loads: u32,
 }
 
-/// The servers of a pool that may load weights at once where the document names no number.
+/// The bound on concurrent loads of a pool for which the document sets none.
 const DEFAULT_LOADS: u32 = 2;
 
 impl BackendServerPool {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Sets how many servers may load weights at once.
+    /// Sets the largest number of servers that load weights at the same time.
     #[must_use]
     pub fn with_max_loads(mut self, max_loads: u32) -> Self {
         self.max_loads = max_loads;
--- a/azureway-core/src/domain/caller_limits.rs
+++ b/azureway-core/src/domain/caller_limits.rs
@@ -1,22 +1,22 @@
-//! What callers may send and how long they may take.
+//! Limits on the size and the arrival time of callers' requests.
 
 use std::time::Duration;
 
-/// What callers may send and how long they may take, as the configuration gives it.
+/// Limits on the size and the arrival time of callers' requests, as the configuration sets them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The bytes of a request's head.
+    /// The largest request head, in bytes.
     pub head_bytes: usize,
-    /// The bytes of a request's body.
+    /// The largest request body, in bytes.
     pub body_bytes: usize,
-    /// The time in which a head must have arrived.
+    /// The time within which a request head must have arrived in full.
     pub head_timeout: Duration,
-    /// How long a connection may stay idle between two requests.
+    /// The longest time that a connection may stay idle between two requests.
     pub idle_timeout: Duration,
 }
 
 impl CallerLimits {
-    /// Creates the limits that hold before a configuration names any.
+    /// Creates the limits that apply until a configuration sets others.
     pub const fn new() -> Self {
         Self {
             head_bytes: 16 * 1024,
--- a/azureway-core/src/domain/client_account.rs
+++ b/azureway-core/src/domain/client_account.rs
@@ -1,31 +1,32 @@
-//! A client account.
+//! A client account as the configuration describes it.
 
 use smallvec::SmallVec;
 
 use super::{AccountId, KeyHash, Rank, TokenRate};
 
-/// A client account, as the configuration gives it.
+/// A client account as the configuration describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientAccount {
-    /// The name.
+    /// The name of the account.
     pub id: AccountId,
-    /// The digests of its API keys.
+    /// The digests of the account's API keys.
     pub keys: SmallVec<[KeyHash; 2]>,
-    /// Its share beside other accounts of the same rank.
+    /// The weight of the account's share among the accounts of the same rank.
     pub weight: u32,
-    /// The tokens a second that it may ask for over all entries.
+    /// The rate limit, in tokens per second, over all entries together.
     pub limit: TokenRate,
-    /// Whether it shares no cached block with another account.
+    /// Whether the account shares no cached block with another account.
     pub isolated: bool,
-    /// The rank and the priority of its requests, which go before those of a route.
+    /// The rank and the priority of the account's requests, which take precedence over those of
+    /// a route.
     pub priority: Option<(Rank, u8)>,
 }
 
-/// The limit of an account, in tokens a second, where the document names none.
+/// The rate limit, in tokens per second, of an account for which the document sets none.
 const DEFAULT_LIMIT: TokenRate = TokenRate::new(1_000_000);
 
 impl ClientAccount {
-    /// Creates an account with a weight of 1 and the default limit.
+    /// Creates an account without keys, with a weight of 1 and the default rate limit.
     pub fn new(id: AccountId) -> Self {
         Self {
             id,
@@ -44,23 +45,23 @@
         self
     }
 
-    /// Sets the limit in tokens a second.
+    /// Sets the rate limit in tokens per second.
     #[must_use]
     pub fn with_limit(mut self, limit: TokenRate) -> Self {
         self.limit = limit;
         self
     }
 
-    /// Sets the weight.
+    /// Sets the weight, raised to at least 1.
     #[must_use]
     pub fn with_weight(mut self, weight: u32) -> Self {
         self.weight = weight.max(1);
         self
     }
 
-    /// Tells whether `key` is the digest of one of the account's keys.
+    /// Returns whether `key` is the digest of one of the account's keys.
     pub fn has_key(&self, key: &KeyHash) -> bool {
-        // Every stored digest is compared, so that the time does not tell which one matched.
+        // Compares every stored digest, so that the time taken does not reveal which one matched.
         self.keys
             .iter()
             .fold(false, |seen, k| seen | k.matches(key))
--- a/azureway-core/src/domain/config_version.rs
+++ b/azureway-core/src/domain/config_version.rs
@@ -1,6 +1,6 @@
-//! The version of the configuration.
+//! The version of the configuration document.
 
 number_type! {
-    /// A version of the configuration document; later ones are greater.
+    /// A version of the configuration document; later versions are greater.
     ConfigVersion
 }
--- a/azureway-core/src/domain/deadline.rs
+++ b/azureway-core/src/domain/deadline.rs
@@ -1,10 +1,10 @@
-//! The time by which an answer must have begun.
+//! The time by which the first token of an answer must arrive.
 
 use std::time::Duration;
 
 use super::Timestamp;
 
-/// The point after which the first token of an answer comes too late.
+/// The time after which the first token of an answer arrives too late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Deadline(Timestamp);
 
@@ -14,17 +14,17 @@
         Self(timestamp)
     }
 
-    /// Returns the point.
+    /// Returns the time of the deadline.
     pub const fn timestamp(self) -> Timestamp {
         self.0
     }
 
-    /// Tells whether the deadline lies before `now`.
+    /// Returns whether the deadline is before `now`.
     pub fn is_past(self, now: Timestamp) -> bool {
         self.0 < now
     }
 
-    /// Tells whether work that takes `time` from `now` ends in time.
+    /// Returns whether work that starts at `now` and takes `time` ends by the deadline.
     pub fn allows(self, now: Timestamp, time: Duration) -> bool {
         now + time <= self.0
     }
--- a/azureway-core/src/domain/fencing_number.rs
+++ b/azureway-core/src/domain/fencing_number.rs
@@ -1,6 +1,7 @@
-//! The number that orders the holders of a lease.
+//! The fencing number that orders the successive holders of a lease.
 
 number_type! {
-    /// A fencing number; a backend server that checks it refuses a lower one.
+    /// A fencing number. A backend server that checks it refuses an order with a lower one than it
+    /// has seen.
     FencingNumber
 }
--- a/azureway-core/src/domain/fingerprint.rs
+++ b/azureway-core/src/domain/fingerprint.rs
@@ -1,13 +1,13 @@
-//! What two sendings of the same request have in common.
+//! A digest by which a repeated request is recognized.
 
 use crate::util::TruncatedSha256;
 
-/// A digest of a request's client account, target and body.
+/// A digest of a request's client account, target and body, equal for repetitions of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint([u8; 16]);
 
 impl Fingerprint {
-    /// Digests a request.
+    /// Computes the fingerprint of a request.
     pub fn of(account: &str, target: &str, body: &[u8]) -> Self {
         let parts = [account.as_bytes(), target.as_bytes(), body];
         let digest = parts
@@ -21,7 +21,7 @@
         &self.0
     }
 
-    /// Creates a fingerprint from the bytes that a peer sent.
+    /// Creates a fingerprint from the bytes of its digest, as received from a peer.
     pub const fn from_bytes(bytes: [u8; 16]) -> Self {
         Self(bytes)
     }
--- a/azureway-core/src/domain/idempotency_key.rs
+++ b/azureway-core/src/domain/idempotency_key.rs
@@ -1,6 +1,6 @@
-//! The key by which a caller marks a request as the same one.
+//! The key by which a caller marks a request as a repetition of an earlier one.
 
 name_type! {
-    /// The caller's idempotency key, unique within a client account.
+    /// A caller's idempotency key, unique within a client account.
     IdempotencyKey
 }
--- a/azureway-core/src/domain/incarnation.rs
+++ b/azureway-core/src/domain/incarnation.rs
@@ -1,6 +1,7 @@
-//! The life of a process between two starts.
+//! The number of a process's run between two starts.
 
 number_type! {
-    /// An incarnation: a process that restarts, and so loses its memory, takes a greater one.
+    /// An incarnation number. A process that restarts, and so loses its memory, takes a greater
+    /// one.
     Incarnation
 }
--- a/azureway-core/src/domain/instance.rs
+++ b/azureway-core/src/domain/instance.rs
@@ -1,24 +1,24 @@
-//! An instance of the system.
+//! An entry instance as its peers know it.
 
 use std::net::SocketAddr;
 
 use super::{Incarnation, InstanceId, ZoneId};
 
-/// An entry instance of the system, as its peers know it.
+/// An entry instance of the system as its peers know it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// The name.
+    /// The name of the instance.
     pub id: InstanceId,
-    /// The availability zone that it stands in.
+    /// The availability zone that the instance runs in.
     pub zone: ZoneId,
-    /// The address that peers reach it on.
+    /// The address that peers reach the instance on.
     pub address: SocketAddr,
-    /// The incarnation that was last heard of.
+    /// The latest known incarnation.
     pub incarnation: Incarnation,
 }
 
 impl Instance {
-    /// Creates an instance of which no incarnation has been heard.
+    /// Creates an instance whose incarnation is not known yet.
     pub fn new(id: InstanceId, zone: ZoneId, address: SocketAddr) -> Self {
         Self {
             id,
--- a/azureway-core/src/domain/instance_id.rs
+++ b/azureway-core/src/domain/instance_id.rs
@@ -1,6 +1,6 @@
 //! The name of an instance.
 
 name_type! {
-    /// The name of an instance, unique over all availability zones.
+    /// The name of an instance, unique across all availability zones.
     InstanceId
 }
--- a/azureway-core/src/domain/key_hash.rs
+++ b/azureway-core/src/domain/key_hash.rs
@@ -1,4 +1,4 @@
-//! The stored form of an API key.
+//! The digest under which an API key is stored.
 
 use std::fmt;
 
@@ -10,12 +10,12 @@
 pub struct KeyHash([u8; 32]);
 
 impl KeyHash {
-    /// Digests `key`.
+    /// Computes the digest of `key`.
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Parses the 64 hexadecimal digits of a digest.
+    /// Parses a digest from 64 hexadecimal digits; returns `None` for any other text.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.as_bytes();
         if digits.len() != 64 {
@@ -29,7 +29,7 @@
         Some(Self(bytes))
     }
 
-    /// Compares two digests in a time that does not depend on where they differ.
+    /// Returns whether the digests are equal, in a time that does not depend on where they differ.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
--- a/azureway-core/src/domain/listed_state.rs
+++ b/azureway-core/src/domain/listed_state.rs
@@ -1,12 +1,12 @@
-//! What the platform's list says of a running backend server.
+//! The state of a backend server in the platform's list.
 
 use super::{Incarnation, WeightsVersion};
 
-/// What the platform's list says of a running backend server. The list lags.
+/// The state of a running backend server in the platform's list, which lags behind the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListedState {
-    /// The life of the server.
+    /// The incarnation of the server.
     pub incarnation: Incarnation,
-    /// The weights that it has loaded, where it serves a model.
+    /// The weights version that the server has loaded, if it serves a model.
     pub weights: Option<WeightsVersion>,
 }
--- a/azureway-core/src/domain/mod.rs
+++ b/azureway-core/src/domain/mod.rs
@@ -1,4 +1,4 @@
-//! The things that azureway knows, one type a file.
+//! The domain types: requests, services, backend servers, accounts and their quantities.
 
 mod account_id;
 mod attempt;
--- a/azureway-core/src/domain/model_service.rs
+++ b/azureway-core/src/domain/model_service.rs
@@ -1,29 +1,29 @@
-//! A service that callers ask for by name.
+//! A service that callers request by name.
 
 use super::{PoolId, RequestKind, Rollout, ServiceId, ServiceKind, Timestamp, WeightsVersion};
 
-/// A model service or a plain service, as the configuration gives it.
+/// A model service or a plain service as the configuration describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelService {
-    /// The name that callers use.
+    /// The name by which callers request the service.
     pub id: ServiceId,
-    /// What stands behind it.
+    /// Whether a language model or a plain service answers.
     pub kind: ServiceKind,
-    /// The pool that serves it.
+    /// The pool of backend servers that serve it.
     pub pool: PoolId,
     /// The weights version that answers must come from.
     pub weights: WeightsVersion,
-    /// Whether its calls may run more than once.
+    /// Whether its requests may run more than once.
     pub request_kind: RequestKind,
-    /// How it is brought to newly named weights. Without one, answers come from exactly
-    /// the weights above.
+    /// The rollout to newly named weights. Without one, answers come from exactly the version
+    /// in `weights`.
     pub rollout: Option<Rollout>,
-    /// Whether its servers can fetch blocks from one another.
+    /// Whether its servers can fetch cached blocks from one another.
     pub peer_fetch: bool,
 }
 
 impl ModelService {
-    /// Creates a model service on `pool` whose calls are repeatable.
+    /// Creates a model service on `pool` whose requests are repeatable.
     pub fn new(id: ServiceId, pool: PoolId) -> Self {
         let weights = WeightsVersion::new(1);
         Self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Sets what stands behind the service.
+    /// Sets whether a language model or a plain service answers.
     #[must_use]
     pub fn with_kind(mut self, kind: ServiceKind) -> Self {
         self.kind = kind;
@@ -51,28 +51,29 @@
         self
     }
 
-    /// Sets whether its calls may run more than once.
+    /// Sets whether its requests may run more than once.
     #[must_use]
     pub fn with_request_kind(mut self, kind: RequestKind) -> Self {
         self.request_kind = kind;
         self
     }
 
-    /// Sets how the service is brought to newly named weights.
+    /// Sets the rollout to newly named weights.
     #[must_use]
     pub fn with_rollout(mut self, rollout: Rollout) -> Self {
         self.rollout = Some(rollout);
         self
     }
 
-    /// Sets whether its servers can fetch blocks from one another.
+    /// Sets whether its servers can fetch cached blocks from one another.
     #[must_use]
     pub fn with_peer_fetch(mut self, enabled: bool) -> Self {
         self.peer_fetch = enabled;
         self
     }
 
-    /// Tells whether a server with weights `loaded` may answer a request that wants `wanted`.
+    /// Returns whether a server that has loaded version `loaded` may answer a request for version
+    /// `wanted` at `now`. A plain service has no weights and accepts any version.
     pub fn accepts_weights(
         &self,
         loaded: WeightsVersion,
--- a/azureway-core/src/domain/rank.rs
+++ b/azureway-core/src/domain/rank.rs
@@ -1,21 +1,21 @@
-//! The two ranks of work.
+//! The rank of a request: urgent or drafting.
 
 use std::fmt;
 
-/// The rank of a request. Urgent work goes first.
+/// The rank of a request. Urgent requests are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rank {
-    /// Somebody waits for the answer.
+    /// A person waits for the answer.
     Urgent,
     /// The answer may come later.
     Drafting,
 }
 
 impl Rank {
-    /// All ranks, the first to be served first.
+    /// All ranks in the order in which they are served.
     pub const ALL: [Self; 2] = [Self::Urgent, Self::Drafting];
 
-    /// Returns the rank that `text` names.
+    /// Returns the rank with the name `text`.
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|r| r.as_str() == text)
     }
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the place of the rank in [`Rank::ALL`].
+    /// Returns the index of the rank in [`Rank::ALL`].
     pub const fn index(self) -> usize {
         self as usize
     }
--- a/azureway-core/src/domain/rank_rules.rs
+++ b/azureway-core/src/domain/rank_rules.rs
@@ -1,23 +1,24 @@
-//! The operators' rules for the two ranks of work.
+//! The operators' settings for the two ranks of requests.
 
 use std::time::Duration;
 
-/// The rules for the two ranks of work.
+/// The operators' settings for the two ranks of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RankRules {
-    /// The share of the work, in percent, that drafting keeps in a flood of urgent work.
+    /// The share of the work, in percent, that drafting requests keep when urgent ones would
+    /// otherwise take all of it.
     pub drafting_share: u8,
-    /// The time to first token that urgent work is given where the caller sets no deadline.
+    /// The time to first token that urgent requests are given if the caller sets no deadline.
     pub urgent_timeout: Duration,
-    /// The time to first token that drafting is given where the caller sets no deadline.
+    /// The time to first token that drafting requests are given if the caller sets no deadline.
     pub drafting_timeout: Duration,
 }
 
-/// The share that drafting keeps, in percent, where the document names none.
+/// The share of drafting requests, in percent, if the document sets none.
 const DEFAULT_SHARE: u8 = 10;
-/// The default time to first token of urgent work.
+/// The time to first token of urgent requests if the document sets none.
 const DEFAULT_URGENT: Duration = Duration::from_secs(10);
-/// The default time to first token of drafting.
+/// The time to first token of drafting requests if the document sets none.
 const DEFAULT_DRAFTING: Duration = Duration::from_secs(120);
 
 impl RankRules {
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Returns the time to first token that work of `rank` is given by default.
+    /// Returns the time to first token that requests of `rank` are given if the caller sets no
+    /// deadline.
     pub const fn default_timeout(&self, rank: super::Rank) -> Duration {
         match rank {
             super::Rank::Urgent => self.urgent_timeout,
--- a/azureway-core/src/domain/refusal.rs
+++ b/azureway-core/src/domain/refusal.rs
@@ -1,19 +1,19 @@
-//! An honest refusal.
+//! The refusal of a request.
 
 use std::time::Duration;
 
 use super::RefusalReason;
 
-/// A refusal, and whether the request may have run.
+/// The refusal of a request, which states whether the request may have run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub reason: RefusalReason,
     /// Whether it is certain that no backend server has run the request.
     pub not_run: bool,
-    /// When it is worth asking again.
+    /// The time after which the caller may send the request again, if a retry can help.
     pub retry_after: Option<Duration>,
-    /// What the caller can do about it.
+    /// A message that tells the caller what can be done.
     pub detail: Box<str>,
 }
 
@@ -23,7 +23,7 @@
         Self::new(reason, true, detail)
     }
 
-    /// Creates a refusal of a request that may have run, wholly or in part.
+    /// Creates a refusal of a request that may have run in full or in part.
     pub fn maybe_run(reason: RefusalReason, detail: &str) -> Self {
         Self::new(reason, false, detail)
     }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sets when it is worth asking again.
+    /// Sets the time after which the caller may send the request again.
     #[must_use]
     pub fn with_retry(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
--- a/azureway-core/src/domain/refusal_reason.rs
+++ b/azureway-core/src/domain/refusal_reason.rs
@@ -2,48 +2,48 @@
 
 use std::time::Duration;
 
-/// When to ask again after a refusal whose cause passes.
+/// The delay before a retry after a refusal whose cause is temporary.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Why a request was refused, with a stable code for callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RefusalReason {
-    /// The request does not follow the interface.
+    /// The request violates the interface.
     Malformed,
     /// The API key is unknown.
     Unauthorized,
     /// The named service does not exist.
     UnknownService,
-    /// The body is larger than the entry takes.
+    /// The body is larger than the entry accepts.
     TooLarge,
-    /// The head is larger than the entry takes.
+    /// The head is larger than the entry accepts.
     HeadTooLarge,
     /// The request did not arrive in time.
     TooSlow,
     /// The deadline has passed or cannot be met.
     Deadline,
-    /// The client account has used up its limit.
+    /// The client account has used up its rate limit.
     AccountLimit,
-    /// The entry holds as much work as it can.
+    /// The entry holds as many requests as it can.
     Overloaded,
     /// No backend server can take the request.
     NoServer,
-    /// Requests like this one have crashed backend servers.
+    /// Requests with the same content have crashed backend servers.
     Quarantined,
-    /// The same idempotency key is being run or has been run.
+    /// A request with the same idempotency key is running or has run.
     Duplicate,
     /// The platform cannot be asked whether the request has run before.
     ClaimUnavailable,
     /// The instance is shutting down.
     Draining,
-    /// The backend server failed after it may have begun.
+    /// The backend server failed after the request may have started.
     ServerFailed,
     /// The stream broke and could not be resumed.
     StreamBroken,
 }
 
 impl RefusalReason {
-    /// Every reason.
+    /// All reasons.
     pub const ALL: [Self; 16] = [
         Self::Malformed,
         Self::Unauthorized,
@@ -63,7 +63,7 @@
         Self::StreamBroken,
     ];
 
-    /// Returns when it is worth asking again, if it is.
+    /// Returns the delay before a retry, if the cause of the refusal is temporary.
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Overloaded
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns the stable code.
+    /// Returns the stable code that callers receive.
     pub const fn code(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
--- a/azureway-core/src/domain/request.rs
+++ b/azureway-core/src/domain/request.rs
@@ -1,4 +1,4 @@
-//! A request as the decisions see it.
+//! A request as routing decisions see it.
 
 use super::{
     AccountId, Deadline, Fingerprint, IdempotencyKey, Rank, RequestId, RequestKind, ServiceId,
@@ -6,46 +6,48 @@
 };
 use crate::cache::BlockChain;
 
-/// A request as the decisions see it: everything but its bytes.
+/// The properties of a request that decisions depend on, without its bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The identity.
+    /// The identity of the request.
     pub id: RequestId,
-    /// The client account that asks.
+    /// The client account that sent the request.
     pub account: AccountId,
-    /// The service that is asked for.
+    /// The service that the request is for.
     pub service: ServiceId,
-    /// The rank.
+    /// The rank of the request.
     pub rank: Rank,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub kind: RequestKind,
-    /// What an answer in time is worth.
+    /// The worth of an answer in time.
     pub worth: Worth,
-    /// When the first token must have come.
+    /// The time by which the first token must arrive.
     pub deadline: Deadline,
-    /// When the request arrived.
+    /// The time at which the request arrived.
     pub arrived: Timestamp,
-    /// The weights version that the blocks are salted with and the answer must come from.
+    /// The weights version that salts the blocks and that the answer must come from.
     pub weights: WeightsVersion,
-    /// The blocks of the prompt.
+    /// The chain of the prompt's blocks.
     pub chain: BlockChain,
-    /// The most tokens that the answer may have.
+    /// The largest number of tokens in the answer.
     pub max_output: TokenCount,
-    /// The caller's idempotency key.
+    /// The caller's idempotency key, if it sent one.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// What it has in common with the same request sent again.
+    /// The digest that is equal for repetitions of the request.
     pub fingerprint: Fingerprint,
-    /// The backend servers that it may be sent to, where its route bounds them.
+    /// The largest number of attempts, if the route bounds it.
     pub max_attempts: Option<u32>,
 }
 
 impl Request {
-    /// Tells whether the request runs at most once and its caller may send it again.
+    /// Returns whether the request runs at most once and its caller may send it again under the
+    /// same key, so that it must be claimed before it runs.
     pub fn needs_claim(&self) -> bool {
         self.kind == RequestKind::AtMostOnce && self.idempotency_key.is_some()
     }
 
-    /// Returns the tokens that the request may cost: its prompt and its longest answer.
+    /// Returns the largest number of tokens that the request may cost: its prompt and its longest
+    /// answer.
     pub fn cost(&self) -> TokenCount {
         self.chain.tokens() + self.max_output
     }
--- a/azureway-core/src/domain/request_id.rs
+++ b/azureway-core/src/domain/request_id.rs
@@ -2,14 +2,15 @@
 
 use std::fmt;
 
-/// The identity of a request: the entry's own number and a sequence number.
+/// The identity of a request: the number of the entry process and a sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId {
     entry: u64,
     sequence: u64,
 }
 
-/// An odd number near 2^64 over the golden ratio, which spreads successive numbers.
+/// An odd number near 2^64 divided by the golden ratio; multiplying by it spreads consecutive
+/// numbers evenly.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl RequestId {
@@ -18,7 +19,7 @@
         Self { entry, sequence }
     }
 
-    /// Returns a number that differs between requests and between entries.
+    /// Returns a seed for random choices that differs between requests and between entries.
     pub const fn seed(self) -> u64 {
         self.entry ^ self.sequence.wrapping_mul(GOLDEN_RATIO)
     }
--- a/azureway-core/src/domain/request_kind.rs
+++ b/azureway-core/src/domain/request_kind.rs
@@ -3,14 +3,14 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestKind {
-    /// Running it again does no harm.
+    /// Running the request again does no harm.
     Repeatable,
-    /// It runs at most once, such as an order or a deposit.
+    /// The request runs at most once, such as an order or a deposit.
     AtMostOnce,
 }
 
 impl RequestKind {
-    /// Returns the kind that `text` names.
+    /// Returns the kind with the name `text`.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "repeatable" => Some(Self::Repeatable),
--- a/azureway-core/src/domain/route.rs
+++ b/azureway-core/src/domain/route.rs
@@ -1,4 +1,4 @@
-//! A route from callers' paths to services.
+//! A route from request paths to services.
 
 use std::time::Duration;
 
@@ -6,59 +6,60 @@
 
 use super::{ClientAccount, Rank, RequestKind, RouteId, ServiceId};
 
-/// A route: which requests it takes, the services behind it and how they are treated.
+/// A route: the requests that it matches, the services behind it and how requests are treated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The name.
+    /// The name of the route.
     pub id: RouteId,
-    /// The host that callers name.
+    /// The host that matching requests name.
     pub host: Box<str>,
-    /// What the path begins with.
+    /// The prefix that the paths of matching requests start with.
     pub prefix: Box<str>,
-    /// The services behind it with their weights.
+    /// The services behind the route, each with its weight in the traffic split.
     pub splits: SmallVec<[(ServiceId, u32); 2]>,
-    /// Whether its requests may run more than once.
+    /// Whether requests may run more than once.
     pub kind: RequestKind,
-    /// Whether its answers are streams of events.
+    /// Whether answers are event streams.
     pub streamed: bool,
-    /// Whether no API key is asked for.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// The rank of its requests.
+    /// The rank of the requests.
     pub rank: Rank,
-    /// The priority; lower goes first.
+    /// The priority; lower values go first.
     pub priority: u8,
-    /// The backend servers that one request may be sent to.
+    /// The largest number of attempts for one request, each at a backend server.
     pub max_attempts: u32,
-    /// How long a caller is kept waiting at most.
+    /// The longest time that a caller is kept waiting.
     pub timeout: Duration,
-    /// The time in which an answer, or the first event of a stream, is on time.
+    /// The time within which an answer, or the first event of a stream, is on time.
     pub target_latency: Duration,
 }
 
-/// The priorities of routes that are told apart within one priority of an account. Backend
-/// servers know ten priorities, which leaves three accounts' priorities three each.
+/// The number of route priorities that are distinguished within one account priority. Backend
+/// servers have ten priorities, which leaves three for each of three account priorities.
 const ROUTE_PRIORITIES: u8 = 3;
 
 impl Route {
-    /// Chooses a service by weight. `seed` differs between requests.
+    /// Returns a service chosen in proportion to the weights, or `None` if they sum to zero.
+    /// `seed` must differ between requests.
     pub fn choose_service(&self, seed: u64) -> Option<&ServiceId> {
         let total: u64 = self.splits.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut place = seed.checked_rem(total)?;
+        let mut offset = seed.checked_rem(total)?;
         for (service, weight) in &self.splits {
             let weight = u64::from(*weight);
-            if place < weight {
+            if offset < weight {
                 return Some(service);
             }
-            place -= weight;
+            offset -= weight;
         }
         None
     }
 
-    /// Returns the priority that backend servers are told for a request of `account`; lower goes
-    /// first. The account's goes before the route's.
+    /// Returns the priority that backend servers receive for a request of `account`; lower values
+    /// go first. The account's priority takes precedence over the route's.
     pub fn precedence(&self, account: &ClientAccount) -> u8 {
-        let own = self.priority.min(ROUTE_PRIORITIES - 1);
-        let first = account.priority.map_or(own, |(_, priority)| priority);
-        first.saturating_mul(ROUTE_PRIORITIES).saturating_add(own)
+        let minor = self.priority.min(ROUTE_PRIORITIES - 1);
+        let major = account.priority.map_or(minor, |(_, priority)| priority);
+        major.saturating_mul(ROUTE_PRIORITIES).saturating_add(minor)
     }
 }
--- a/azureway-core/src/domain/service_kind.rs
+++ b/azureway-core/src/domain/service_kind.rs
@@ -1,6 +1,6 @@
-//! What stands behind a service.
+//! The kind of a service.
 
-/// What stands behind a service.
+/// Whether a language model or a plain service answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ServiceKind {
     /// A language model that streams its answers.
@@ -10,7 +10,7 @@
 }
 
 impl ServiceKind {
-    /// Returns the kind that `text` names.
+    /// Returns the kind with the name `text`.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "model" => Some(Self::Model),
--- a/azureway-core/src/domain/stream_position.rs
+++ b/azureway-core/src/domain/stream_position.rs
@@ -1,6 +1,6 @@
-//! The place of an event within a stream.
+//! The position of an event in a stream.
 
 number_type! {
-    /// The number of events of a stream that come before this place.
+    /// A position in a stream, as the number of events that come before it.
     StreamPosition
 }
--- a/azureway-core/src/domain/timestamp.rs
+++ b/azureway-core/src/domain/timestamp.rs
@@ -1,4 +1,4 @@
-//! A point in time as the driver of the core sees it.
+//! A point in time on the clock of the core's driver.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The origin.
+    /// The origin of the clock.
     pub const ZERO: Self = Self(0);
-    /// A point that is never reached.
+    /// A time that is never reached.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// Creates the point `micros` microseconds after the origin.
+    /// Creates the time `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Creates the point `millis` milliseconds after the origin.
+    /// Creates the time `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1000))
     }
@@ -28,7 +28,7 @@
         self.0
     }
 
-    /// Returns the time from `earlier` to this point, or zero if `earlier` is later.
+    /// Returns the duration from `earlier` to this time, or zero if `earlier` is later.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/azureway-core/src/domain/token_count.rs
+++ b/azureway-core/src/domain/token_count.rs
@@ -1,17 +1,17 @@
-//! An amount of text in tokens.
+//! A number of tokens.
 
 use std::ops::{Add, AddAssign};
 
 number_type! {
-    /// An amount of text in tokens.
+    /// A number of tokens, as the measure of an amount of text.
     TokenCount
 }
 
-/// The mean number of bytes of prompt text in a token.
+/// The mean number of bytes of prompt text per token.
 const BYTES_PER_TOKEN: u64 = 4;
 
 impl TokenCount {
-    /// Estimates the tokens in `bytes` bytes of text, rounded up.
+    /// Returns an estimate of the tokens in `bytes` bytes of text, rounded up.
     pub const fn from_bytes(bytes: u64) -> Self {
         Self(bytes.div_ceil(BYTES_PER_TOKEN))
     }
--- a/azureway-core/src/domain/weights_version.rs
+++ b/azureway-core/src/domain/weights_version.rs
@@ -1,6 +1,6 @@
 //! The version of a model's weights.
 
 number_type! {
-    /// A version of a model's weights; a cached block holds for one version only.
+    /// A version of a model's weights. A cached block is valid for one version only.
     WeightsVersion
 }
--- a/azureway-core/src/domain/worth.rs
+++ b/azureway-core/src/domain/worth.rs
@@ -1,6 +1,6 @@
-//! What a request is worth to its caller.
+//! The worth of a request to its caller.
 
 number_type! {
-    /// The worth of a request answered in time, in the operator's own units.
+    /// The worth of a request that is answered in time, in units that the operator chooses.
     Worth
 }
