--- a/azureway-core/src/error/kind.rs
+++ b/azureway-core/src/error/kind.rs
@@ -1,21 +1,21 @@
-//! What went wrong, for a program to act on.
+//! The kinds of errors, for programs to act on.
 
-/// The kind of an [`Error`](super::Error).
+/// The kind of an [`Error`](super::Error), for programs to act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum ErrorKind {
-    /// The input does not follow its format or leaves its range.
+    /// The input does not follow its format or is out of range.
     Invalid,
     /// The named object does not exist.
     NotFound,
-    /// The object was changed by somebody else.
+    /// The object was changed by another writer.
     Conflict,
     /// The peer did not answer in time or cannot be reached.
     Unavailable,
-    /// The peer refused because too much was asked of it.
+    /// The peer refused because one of its limits was exceeded.
     Limited,
-    /// The peer answered something that its interface does not allow.
+    /// The answer of the peer violates its interface.
     Protocol,
-    /// The operating system refused.
+    /// A call of the operating system failed.
     System,
 }
--- a/azureway-core/src/error/mod.rs
+++ b/azureway-core/src/error/mod.rs
@@ -1,4 +1,4 @@
-//! The one error type of the library, with its kind, its step and its peer.
+//! The error type of the library, with the kind, the step and the peer of an error.
 
 mod kind;
 mod report;
--- a/azureway-core/src/error/report.rs
+++ b/azureway-core/src/error/report.rs
@@ -1,10 +1,11 @@
-//! The error itself.
+//! The error type of the library.
 
 use std::fmt;
 
 use super::{ErrorKind, Step};
 
-/// An error of the library.
+/// An error of the library: its kind, the step at which it occurred, the peer that took part and a
+/// description.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     kind: ErrorKind,
@@ -14,7 +15,7 @@
 }
 
 impl Error {
-    /// Creates an error of `kind` that arose at `step`.
+    /// Creates an error of `kind` that occurred at `step`.
     pub fn new(kind: ErrorKind, step: Step, detail: impl fmt::Display) -> Self {
         Self {
             kind,
@@ -24,19 +25,19 @@
         }
     }
 
-    /// Names the peer with which the step was being done.
+    /// Sets the peer with which the step was carried out.
     #[must_use]
     pub fn with_peer(mut self, peer: impl fmt::Display) -> Self {
         self.peer = Some(peer.to_string().into());
         self
     }
 
-    /// Returns the kind.
+    /// Returns the kind of the error.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
 
-    /// Returns the step.
+    /// Returns the step at which the error occurred.
     pub fn step(&self) -> Step {
         self.step
     }
@@ -46,7 +47,7 @@
         self.peer.as_deref()
     }
 
-    /// Returns what was seen.
+    /// Returns the description of the error.
     pub fn detail(&self) -> &str {
         &self.detail
     }
--- a/azureway-core/src/error/step.rs
+++ b/azureway-core/src/error/step.rs
@@ -1,4 +1,4 @@
-//! The step at which an error arose.
+//! The step of an operation at which an error occurred.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
         Self(phrase)
     }
 
-    /// Returns the phrase.
+    /// Returns the phrase that names the step.
     pub const fn as_str(self) -> &'static str {
         self.0
     }
--- a/azureway-core/src/lib.rs
+++ b/azureway-core/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions and state of azureway.
+//! The decisions and the state of azureway.
 //!
-//! This crate holds everything that azureway decides and nothing that it does: it has no
-//! I/O, no clock and no thread. [`router::Router`] takes an [`event::Event`] and the time
-//! at which it was seen, and appends [`event::Action`]s to a buffer. Whoever drives it,
-//! be it the entry daemon, a replay or a test, carries the actions out.
+//! This crate makes every decision of azureway and carries none of them out: it performs no
+//! I/O, reads no clock and starts no thread. [`router::Router`] takes an [`event::Event`] and
+//! the time at which it was observed, and appends [`event::Action`]s to a buffer. The driver,
+//! such as the entry daemon, a replay or a test, carries the actions out.
 //!
 //! # Example
 //!
--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types, for a glob import.
+//! The commonly used types, for a glob import.
 
 pub use crate::admit::{Admission, Demand, DemandShare, FairQueue, Limits};
 pub use crate::cache::{Block, BlockChain, BlockKey, CacheIndex, CacheOp, CacheUpdate, Salt};
--- a/azureway-core/src/util/mod.rs
+++ b/azureway-core/src/util/mod.rs
@@ -1,4 +1,4 @@
-//! Small helpers.
+//! Macros for name and number types, a digest and a random number generator.
 
 #[macro_use]
 mod name;
--- a/azureway-core/src/util/name.rs
+++ b/azureway-core/src/util/name.rs
@@ -1,6 +1,6 @@
-//! The macro behind the names that configuration gives to things.
+//! The macro that defines name types.
 
-/// Defines a name type: an immutable shared string, cheap to clone.
+/// Defines a name type: an immutable, shared string that is cheap to clone.
 macro_rules! name_type {
     ($(#[$meta:meta])* $name:ident) => {
         $(#[$meta])*
--- a/azureway-core/src/util/number.rs
+++ b/azureway-core/src/util/number.rs
@@ -1,6 +1,6 @@
-//! The macro behind the numbers that have a meaning of their own.
+//! The macro that defines number types.
 
-/// Defines a number type over `u64` with order, display and conversion.
+/// Defines a number type over `u64` with ordering, display and conversion.
 macro_rules! number_type {
     ($(#[$meta:meta])* $name:ident) => {
         $(#[$meta])*
@@ -11,7 +11,7 @@
             /// The lowest value.
             pub const ZERO: Self = Self(0);
 
-            /// Creates the value from its number.
+            /// Creates a value from its number.
             pub const fn new(number: u64) -> Self {
                 Self(number)
             }
@@ -21,7 +21,7 @@
                 self.0
             }
 
-            /// Returns the value that follows this one.
+            /// Returns the next greater value, or the same one at the maximum.
             pub const fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
             }
--- a/azureway-core/src/util/xorshift.rs
+++ b/azureway-core/src/util/xorshift.rs
@@ -1,19 +1,19 @@
-//! Numbers drawn from a seed.
+//! A xorshift pseudo-random number generator.
 
-/// Numbers drawn from a seed with a xorshift generator.
+/// A xorshift generator of pseudo-random numbers.
 #[derive(Clone, Debug)]
 pub(crate) struct Xorshift {
     state: u64,
 }
 
 impl Xorshift {
-    /// Creates a generator.
+    /// Creates a generator from `seed`.
     pub(crate) const fn new(seed: u64) -> Self {
-        // The generator stays at zero once it is there.
+        // A state of zero would produce only zeros.
         Self { state: seed | 1 }
     }
 
-    /// Draws a number.
+    /// Returns the next 48 pseudo-random bits.
     pub(crate) const fn next_bits(&mut self) -> u64 {
         let mut x = self.state;
         x ^= x << 13;
@@ -23,18 +23,18 @@
         x >> 16
     }
 
-    /// Draws a number below `bound`, or zero if the bound is zero.
+    /// Returns a pseudo-random number below `bound`, or zero if `bound` is zero.
     pub(crate) fn below(&mut self, bound: usize) -> usize {
         let bound = bound.max(1) as u64;
         usize::try_from(self.next_bits() % bound).unwrap_or(0)
     }
 
-    /// Draws a number from 0 to 1.
+    /// Returns a pseudo-random number that is at least 0 and less than 1.
     pub(crate) fn next_f64(&mut self) -> f64 {
         f64::from((self.next_bits() >> 24) as u32) / f64::from(1u32 << 24)
     }
 
-    /// Puts items into a drawn order.
+    /// Shuffles `items`.
     pub(crate) fn shuffle<T>(&mut self, items: &mut [T]) {
         for last in (1..items.len()).rev() {
             items.swap(last, self.below(last + 1));
