--- a/azureway-core/src/config/accepted_change.rs
+++ b/azureway-core/src/config/accepted_change.rs
@@ -1,13 +1,13 @@
-//! A change that was accepted.
+//! An accepted change.
 
 use super::ChangeRecord;
 use crate::domain::ConfigVersion;
 
-/// A change that was accepted, with the version that it made.
+/// An accepted change and the version that it created.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptedChange {
-    /// The version that the change made.
+    /// The version that the change created.
     pub version: ConfigVersion,
-    /// The record.
+    /// The record of the change.
     pub record: ChangeRecord,
 }
--- a/azureway-core/src/config/change_metadata.rs
+++ b/azureway-core/src/config/change_metadata.rs
@@ -1,24 +1,24 @@
-//! Who makes a change, when and why.
+//! The metadata of a change.
 
 use super::{ChangeId, ChangeTime, TeamId};
 
-/// Who makes a change, when and why.
+/// The metadata of a change: who makes it, when and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeMetadata {
     /// The identity of the change.
     pub id: ChangeId,
-    /// The person.
+    /// The person who makes the change.
     pub author: Box<str>,
     /// The team that the person acts for.
     pub team: TeamId,
-    /// When the change was made.
+    /// The time at which the change was made.
     pub time: ChangeTime,
-    /// Why.
+    /// Why the change is made; may be empty.
     pub reason: Box<str>,
 }
 
 impl ChangeMetadata {
-    /// Creates a note without a reason.
+    /// Creates metadata without a reason.
     pub fn new(id: ChangeId, author: &str, team: TeamId, time: ChangeTime) -> Self {
         Self {
             id,
--- a/azureway-core/src/config/change_record.rs
+++ b/azureway-core/src/config/change_record.rs
@@ -3,13 +3,13 @@
 use super::{ChangeMetadata, Delta};
 use crate::domain::ConfigVersion;
 
-/// The record of a change: who, when and why, from which version, and what it did.
+/// The record of a change: its metadata, the version that it was made to and what it changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeRecord {
-    /// Who, when and why.
+    /// Who made the change, when and why.
     pub metadata: ChangeMetadata,
     /// The version that the change was made to.
     pub from: ConfigVersion,
-    /// What it did.
+    /// What the change did to each section.
     pub delta: Delta,
 }
--- a/azureway-core/src/config/change_time.rs
+++ b/azureway-core/src/config/change_time.rs
@@ -1,16 +1,16 @@
-//! When a change was made.
+//! The time of a change.
 
 use std::fmt;
 
-/// When a change was made, by its writer's clock, in seconds since 1970-01-01 UTC.
+/// The time of a change by its writer's clock, in seconds since 1970-01-01 UTC.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ChangeTime(u64);
 
-/// The seconds of a day.
+/// The seconds in a day.
 const DAY: u64 = 86_400;
 /// The days from 0000-03-01 to 1970-01-01 in the proleptic Gregorian calendar.
 const EPOCH_DAYS: u64 = 719_468;
-/// The days of 400 years.
+/// The days in 400 years of the Gregorian calendar.
 const ERA_DAYS: u64 = 146_097;
 
 impl ChangeTime {
@@ -24,18 +24,18 @@
         self.0
     }
 
-    /// Returns the same time of the day before.
+    /// Returns the time one day earlier, or the epoch if that is before it.
     pub const fn day_before(self) -> Self {
         Self(self.0.saturating_sub(DAY))
     }
 
-    /// Returns the date in UTC, as `2026-12-04`.
+    /// Returns the date in UTC, such as `2026-12-04`.
     pub fn date(self) -> String {
         let days = self.0 / DAY + EPOCH_DAYS;
         let (era, rest) = (days / ERA_DAYS, days % ERA_DAYS);
         let year = (rest - rest / 1_460 + rest / 36_524 - rest / (ERA_DAYS - 1)) / 365;
         let of_year = rest - (365 * year + year / 4 - year / 100);
-        // Months are counted from March, so that a leap day ends the year.
+        // Months are counted from March, so that a leap day is the last day of the year.
         let month = (5 * of_year + 2) / 153;
         let day = of_year - (153 * month + 2) / 5 + 1;
         let (year, month) = match month {
--- a/azureway-core/src/config/delta.rs
+++ b/azureway-core/src/config/delta.rs
@@ -4,19 +4,19 @@
 
 use super::{SectionChange, Sections, TeamId};
 
-/// The difference between two documents, section by section.
+/// The difference between two documents, as a list of changed sections.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
     changes: Vec<SectionChange>,
 }
 
 impl Delta {
-    /// Creates a difference from its changes, at most one a section.
+    /// Creates a difference from its changes, at most one for each section.
     pub const fn new(changes: Vec<SectionChange>) -> Self {
         Self { changes }
     }
 
-    /// Returns what leads from one document to another. The order of sections says nothing.
+    /// Returns the changes that turn `old` into `new`. The order of sections is ignored.
     pub fn between(old: &Sections<'_>, new: &Sections<'_>) -> Self {
         let text =
             |sections: &Sections<'_>, name: &str| sections.get(name).map(|s| s.text.to_owned());
@@ -29,34 +29,34 @@
         Self::new(changes.filter(|c| c.before != c.after).collect())
     }
 
-    /// Returns the changes.
+    /// Returns the changes, one for each changed section.
     pub fn changes(&self) -> &[SectionChange] {
         &self.changes
     }
 
-    /// Tells whether the documents hold the same sections.
+    /// Returns whether the difference has no changes.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// Returns the difference that takes this one back.
+    /// Returns the difference that reverts this one.
     #[must_use]
     pub fn inverse(&self) -> Self {
         Self::new(self.changes.iter().map(SectionChange::inverse).collect())
     }
 
-    /// Returns the sections that `team` may not change so.
+    /// Returns the names of the sections whose change `team` may not make.
     pub fn forbidden(&self, team: &TeamId) -> Vec<Box<str>> {
         let forbidden = self.changes.iter().filter(|c| !c.is_allowed(team));
         forbidden.map(|c| c.name.clone()).collect()
     }
 
-    /// Returns what is left to do on `current`: changes that it holds already are left out.
+    /// Returns the changes that `current` still lacks; those that it contains already are left out.
     ///
     /// # Errors
     ///
-    /// Returns the sections that `current` holds otherwise than this difference found them,
-    /// each as the change that somebody else made to it.
+    /// Returns the sections whose text in `current` is neither the old nor the new one, each as the
+    /// change that another writer made to it.
     pub fn rebase(&self, current: &Sections<'_>) -> Result<Self, Vec<SectionChange>> {
         let (mut rest, mut conflicts) = (Vec::new(), Vec::new());
         for change in &self.changes {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the text of `current` with the changes made; new sections go to its end.
+    /// Returns the text of `current` with the changes applied; new sections are appended.
     pub fn apply(&self, current: &Sections<'_>) -> String {
         let changes = self.changes.iter().map(|c| (&*c.name, c));
         let changes: HashMap<&str, &SectionChange> = changes.collect();
--- a/azureway-core/src/config/document_check.rs
+++ b/azureway-core/src/config/document_check.rs
@@ -1,14 +1,14 @@
-//! The check of a whole document.
+//! The validation of a whole document.
 
-/// The check of a whole document before it is written.
+/// Validates a whole document before it is written.
 pub trait DocumentCheck {
-    /// Everything that is wrong with a document.
+    /// All faults of a document.
     type Faults;
 
-    /// Checks a document.
+    /// Checks that the document `text` is valid.
     ///
     /// # Errors
     ///
-    /// Returns everything that is wrong with it.
+    /// Returns all faults of the document.
     fn check(&self, text: &str) -> Result<(), Self::Faults>;
 }
--- a/azureway-core/src/config/edit.rs
+++ b/azureway-core/src/config/edit.rs
@@ -1,4 +1,4 @@
-//! One change of the document, from its draft to its outcome.
+//! The state machine of one change of the document.
 
 use super::edit_state::EditState;
 use super::{
@@ -7,31 +7,32 @@
 };
 use crate::domain::ConfigVersion;
 
-/// The state machine of one change. Its driver carries out [`Edit::step`] and tells
-/// [`Edit::handle`] what came of it, until the step is [`EditStep::Done`].
+/// The state machine of one change of the document. Its driver carries out [`Edit::step`] and
+/// passes the result to [`Edit::handle`], until the step is [`EditStep::Done`].
 ///
-/// Every write of the change carries its identity and the version that it expects, so that a
-/// write whose answer was lost can be sent again: at most one of them takes effect.
+/// Every write of the change carries the identity of the change and the version that it expects.
+/// A write whose answer was lost can therefore be sent again: at most one of them takes effect.
 #[derive(Debug)]
 pub struct Edit<C: DocumentCheck> {
-    note: ChangeMetadata,
+    metadata: ChangeMetadata,
     base: ConfigVersion,
     text: Box<str>,
     delta: Delta,
     check: C,
     state: EditState<C::Faults>,
-    unsure: Option<ConfigVersion>,
-    tries: u32,
+    unconfirmed: Option<ConfigVersion>,
+    failures_left: u32,
 }
 
-/// The steps of an edit that may fail or be raced before it gives up.
-const TRIES: u32 = 16;
+/// The number of failed steps, writes that met another version among them, after which an edit
+/// ends.
+const MAX_FAILURES: u32 = 16;
 
 impl<C: DocumentCheck> Edit<C> {
-    /// Creates the change from `base` to `text`.
-    pub fn new(note: ChangeMetadata, base: &Snapshot, text: &str, check: C) -> Self {
+    /// Creates the edit that changes `base` to `text`.
+    pub fn new(metadata: ChangeMetadata, base: &Snapshot, text: &str, check: C) -> Self {
         let delta = Delta::between(&Sections::parse(&base.text), &Sections::parse(text));
-        let forbidden = delta.forbidden(&note.team);
+        let forbidden = delta.forbidden(&metadata.team);
         let state = match check.check(text) {
             Err(faults) => EditState::Done(EditOutcome::Invalid(faults)),
             Ok(()) if delta.is_empty() => EditState::Done(EditOutcome::Unchanged),
@@ -39,29 +40,29 @@
             Ok(()) => EditState::Reading,
         };
         Self {
-            note,
+            metadata,
             base: base.version,
             text: text.into(),
             delta,
             check,
             state,
-            unsure: None,
-            tries: TRIES,
+            unconfirmed: None,
+            failures_left: MAX_FAILURES,
         }
     }
 
-    /// Returns what is to be done next.
+    /// Returns the step that the driver must carry out next.
     pub fn step(&self) -> EditStep<'_> {
         match &self.state {
             EditState::Reading => EditStep::Read,
             EditState::Archiving(change, _) => EditStep::Archive(change),
-            EditState::Writing(plan) => EditStep::Write(plan),
-            EditState::Finding(_) => EditStep::Find(&self.note),
+            EditState::Writing(write) => EditStep::Write(write),
+            EditState::Finding(_) => EditStep::Find(&self.metadata),
             EditState::Done(_) => EditStep::Done,
         }
     }
 
-    /// Returns the outcome once the edit is over.
+    /// Returns the outcome once the edit has ended.
     pub fn outcome(&self) -> Option<&EditOutcome<C::Faults>> {
         match &self.state {
             EditState::Done(outcome) => Some(outcome),
@@ -69,48 +70,49 @@
         }
     }
 
-    /// Takes in what came of the step. A reply that does not belong to it changes nothing.
+    /// Handles the result of the step. A reply that does not belong to the step changes nothing.
     pub fn handle(&mut self, reply: EditReply) {
         let state = std::mem::replace(&mut self.state, EditState::Reading);
         self.state = match (state, reply) {
-            (EditState::Reading, EditReply::Read(current)) => self.read(current),
-            (EditState::Archiving(_, plan), EditReply::Archived) => EditState::Writing(plan),
+            (EditState::Reading, EditReply::Read(current)) => self.handle_read(current),
+            (EditState::Archiving(_, write), EditReply::Archived) => EditState::Writing(write),
             (EditState::Writing(_), EditReply::Written(version)) => {
                 EditState::Done(EditOutcome::Accepted(version))
             }
             (EditState::Writing(_), EditReply::TooLarge(bytes)) => {
                 EditState::Done(EditOutcome::TooLarge(bytes))
             }
-            (EditState::Writing(_), EditReply::VersionMismatch) => self.again(EditState::Reading),
-            (EditState::Writing(plan), EditReply::NoAnswer) => {
-                self.unsure = Some(plan.expected);
-                self.again(EditState::Reading)
+            (EditState::Writing(_), EditReply::VersionMismatch) => self.retry(EditState::Reading),
+            (EditState::Writing(write), EditReply::NoAnswer) => {
+                self.unconfirmed = Some(write.expected);
+                self.retry(EditState::Reading)
             }
             (EditState::Finding(_), EditReply::Found(Some(version))) => {
                 EditState::Done(EditOutcome::Accepted(version))
             }
             (EditState::Finding(current), EditReply::Found(None)) => {
-                // The version that the write expected has passed, so it can never take effect.
-                self.unsure = None;
-                self.plan(&current)
+                // The document has moved past the version that the earlier write expects, so that
+                // write can never take effect.
+                self.unconfirmed = None;
+                self.prepare(&current)
             }
-            (state, EditReply::Failed) => self.again(state),
+            (state, EditReply::Failed) => self.retry(state),
             (state, _) => state,
         };
     }
 
-    fn read(&mut self, current: Snapshot) -> EditState<C::Faults> {
-        if current.is_made_by(&self.note.id) {
+    fn handle_read(&mut self, current: Snapshot) -> EditState<C::Faults> {
+        if current.is_made_by(&self.metadata.id) {
             return EditState::Done(EditOutcome::Accepted(current.version));
         }
-        if self.unsure.is_some_and(|v| v != current.version) {
+        if self.unconfirmed.is_some_and(|v| v != current.version) {
             return EditState::Finding(current);
         }
-        self.plan(&current)
+        self.prepare(&current)
     }
 
-    /// Brings the change onto `current`.
-    fn plan(&self, current: &Snapshot) -> EditState<C::Faults> {
+    /// Rebases the change onto `current` and prepares its write.
+    fn prepare(&self, current: &Snapshot) -> EditState<C::Faults> {
         let sections = Sections::parse(&current.text);
         let delta = match self.delta.rebase(&sections) {
             Err(conflicts) => return EditState::Done(EditOutcome::Conflict(conflicts)),
@@ -121,25 +123,25 @@
         if let Some(Err(faults)) = rebased.as_ref().map(|text| self.check.check(text)) {
             return EditState::Done(EditOutcome::Invalid(faults));
         }
-        let plan = ConditionalWrite {
+        let write = ConditionalWrite {
             expected: current.version,
             text: rebased.map_or_else(|| self.text.clone(), Into::into),
             record: ChangeRecord {
-                metadata: self.note.clone(),
+                metadata: self.metadata.clone(),
                 from: current.version,
                 delta,
             },
         };
         match current.last_change() {
-            Some(change) => EditState::Archiving(change, plan),
-            None => EditState::Writing(plan),
+            Some(change) => EditState::Archiving(change, write),
+            None => EditState::Writing(write),
         }
     }
 
-    /// Goes on at `state` unless too many steps have failed.
-    fn again(&mut self, state: EditState<C::Faults>) -> EditState<C::Faults> {
-        self.tries = self.tries.saturating_sub(1);
-        match (self.tries, self.unsure) {
+    /// Counts a failed step and returns `state`, or the final state if too many steps have failed.
+    fn retry(&mut self, state: EditState<C::Faults>) -> EditState<C::Faults> {
+        self.failures_left = self.failures_left.saturating_sub(1);
+        match (self.failures_left, self.unconfirmed) {
             (0, None) => EditState::Done(EditOutcome::Unavailable),
             (0, Some(_)) => EditState::Done(EditOutcome::Unknown),
             _ => state,
--- a/azureway-core/src/config/edit_outcome.rs
+++ b/azureway-core/src/config/edit_outcome.rs
@@ -1,25 +1,26 @@
-//! How an edit ended.
+//! The outcome of an edit.
 
 use super::SectionChange;
 use crate::domain::ConfigVersion;
 
-/// How an edit ended.
+/// The outcome of an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EditOutcome<F> {
-    /// The change was accepted and made this version.
+    /// The change was accepted and created this version.
     Accepted(ConfigVersion),
-    /// The document holds the change already, or the change is empty.
+    /// The change is empty, or the document already contains it.
     Unchanged,
-    /// Somebody else changed the same sections; these are their changes. Nothing was written.
+    /// Another writer made these changes to the same sections. Nothing was written.
     Conflict(Vec<SectionChange>),
-    /// The document, as it would be, has these faults. Nothing was written.
+    /// The changed document would have these faults. Nothing was written.
     Invalid(F),
-    /// The sections belong to another team. Nothing was written.
+    /// The team may not change these sections. Nothing was written.
     NotOwned(Vec<Box<str>>),
-    /// The document and its record have this many bytes, too many. Nothing was written.
+    /// The document and its record have this size in bytes, which is too large. Nothing was
+    /// written.
     TooLarge(usize),
     /// The store did not answer. Nothing was written.
     Unavailable,
-    /// The store did not answer, and a write may have taken effect or may yet do so.
+    /// The store did not answer, and a write may have taken effect or may still do so.
     Unknown,
 }
--- a/azureway-core/src/config/edit_reply.rs
+++ b/azureway-core/src/config/edit_reply.rs
@@ -1,25 +1,25 @@
-//! What came of a step of an edit.
+//! The result of a step of an edit.
 
 use super::Snapshot;
 use crate::domain::ConfigVersion;
 
-/// What came of a step of an edit.
+/// The result of a step of an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EditReply {
-    /// The document, or the empty snapshot where none exists.
+    /// The document was read; the snapshot is empty if none exists.
     Read(Snapshot),
-    /// The archived record exists, from now on or since before.
+    /// The archived record exists, whether it was created now or earlier.
     Archived,
     /// The document was written and has this version.
     Written(ConfigVersion),
-    /// The document has another version than expected: this write took no effect.
+    /// The document has another version than expected, so this write took no effect.
     VersionMismatch,
-    /// The document and its record have this many bytes, more than the store holds.
+    /// The document and its record have this size in bytes, which is more than the store holds.
     TooLarge(usize),
-    /// No answer came: the write may have taken effect, or may yet do so.
+    /// No answer came; the write may have taken effect or may still do so.
     NoAnswer,
-    /// The version that the change made, if an archived record has it.
+    /// The lookup ended, with the version that the change created if its record is archived.
     Found(Option<ConfigVersion>),
-    /// A step that changes nothing failed, or one that may be repeated.
+    /// A step failed that changes nothing or that may be repeated.
     Failed,
 }
--- a/azureway-core/src/config/edit_state.rs
+++ b/azureway-core/src/config/edit_state.rs
@@ -1,18 +1,18 @@
-//! Where an edit stands.
+//! The state of an edit.
 
 use super::{AcceptedChange, ConditionalWrite, EditOutcome, Snapshot};
 
-/// Where an edit stands.
+/// The state of an edit.
 #[derive(Clone, Debug)]
 pub(super) enum EditState<F> {
-    /// The document is to be read.
+    /// The document must be read.
     Reading,
-    /// The record of the last change is to be archived before the plan is carried out.
+    /// The record of the document's last change must be archived before the write replaces it.
     Archiving(AcceptedChange, ConditionalWrite),
-    /// The plan is to be carried out.
+    /// The document must be written.
     Writing(ConditionalWrite),
-    /// The document was read, and an earlier write is to be looked up.
+    /// The document was read, and an earlier write without an answer must be looked up.
     Finding(Snapshot),
-    /// The edit is over.
+    /// The edit has ended.
     Done(EditOutcome<F>),
 }
--- a/azureway-core/src/config/edit_step.rs
+++ b/azureway-core/src/config/edit_step.rs
@@ -1,8 +1,8 @@
-//! What an edit wants done next.
+//! The next step of an edit.
 
 use super::{AcceptedChange, ChangeMetadata, ConditionalWrite};
 
-/// What an edit wants done next.
+/// The next step of an edit, for its driver to carry out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EditStep<'a> {
     /// Read the document; the reply is `Read` or `Failed`.
@@ -10,11 +10,11 @@
     /// Create the archived record of a change unless it exists; the reply is `Archived` or
     /// `Failed`.
     Archive(&'a AcceptedChange),
-    /// Write the document on its condition; the reply is `Written`, `VersionMismatch`, `TooLarge` or
-    /// `NoAnswer`.
+    /// Write the document if it has the expected version; the reply is `Written`,
+    /// `VersionMismatch`, `TooLarge` or `NoAnswer`.
     Write(&'a ConditionalWrite),
     /// Look the change up among the archived records; the reply is `Found` or `Failed`.
     Find(&'a ChangeMetadata),
-    /// The edit is over.
+    /// The edit has ended.
     Done,
 }
--- a/azureway-core/src/config/history.rs
+++ b/azureway-core/src/config/history.rs
@@ -5,7 +5,7 @@
 use super::{AcceptedChange, Sections, Snapshot};
 use crate::domain::ConfigVersion;
 
-/// The audit trail: accepted changes by the version that they made.
+/// The audit trail: accepted changes, ordered by the versions that they created.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
     changes: BTreeMap<ConfigVersion, AcceptedChange>,
@@ -17,18 +17,18 @@
         Self::default()
     }
 
-    /// Adds a change. The same one may be added twice, from the document and the archive.
+    /// Adds a change. The same change may be added from both the document and the archive.
     pub fn insert(&mut self, change: AcceptedChange) {
         self.changes.insert(change.version, change);
     }
 
-    /// Returns the changes, the oldest first.
+    /// Returns the changes from oldest to newest.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = &AcceptedChange> {
         self.changes.values()
     }
 
-    /// Returns the document as it was at version `base`, section for section, by taking back
-    /// every change since. Returns `None` where the trail does not reach back so far.
+    /// Returns the sections of the document at version `base`, by reverting every later change.
+    /// Returns `None` if the trail does not reach back that far.
     pub fn rewind(&self, current: &Snapshot, base: ConfigVersion) -> Option<String> {
         let (mut text, mut version) = (current.text.to_string(), current.version);
         while version > base {
--- a/azureway-core/src/config/mod.rs
+++ b/azureway-core/src/config/mod.rs
@@ -1,10 +1,10 @@
 //! Versions, edits and the audit trail of the operators' document.
 //!
 //! The document is one text whose sections belong to teams. [`Edit`] is the state machine of
-//! one change: its driver carries out each [`EditStep`] against the store and tells the
-//! [`EditReply`]. The accepted text and its [`ChangeRecord`] are one write, and a writer
-//! archives the record that it is about to replace first: no accepted change can lack its
-//! record, wherever a writer dies.
+//! one change: its driver carries out each [`EditStep`] against the store and passes back the
+//! [`EditReply`]. The accepted text and its [`ChangeRecord`] are stored in one write, and a writer
+//! first archives the record that its write replaces. Every accepted change therefore has its
+//! record, at whatever step a writer fails.
 
 mod accepted_change;
 mod change_id;
--- a/azureway-core/src/config/section_change.rs
+++ b/azureway-core/src/config/section_change.rs
@@ -1,20 +1,20 @@
-//! What a change does to one section.
+//! The change of one section.
 
 use super::{SectionView, TeamId};
 
-/// What a change does to one section.
+/// The change of one section.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SectionChange {
     /// The name of the section.
     pub name: Box<str>,
-    /// The text before, or `None` where the change adds the section.
+    /// The text before, or `None` if the change adds the section.
     pub before: Option<Box<str>>,
-    /// The text after, or `None` where the change removes the section.
+    /// The text after, or `None` if the change removes the section.
     pub after: Option<Box<str>>,
 }
 
 impl SectionChange {
-    /// Creates the change from one text to another of the section with `name`.
+    /// Creates the change of section `name` from the text `before` to the text `after`.
     pub fn new(name: &str, before: Option<&str>, after: Option<&str>) -> Self {
         Self {
             name: name.into(),
@@ -23,16 +23,16 @@
         }
     }
 
-    /// Returns the change that takes this one back.
+    /// Returns the change that reverts this one.
     pub fn inverse(&self) -> Self {
         Self::new(&self.name, self.after.as_deref(), self.before.as_deref())
     }
 
-    /// Tells whether `team` may make the change.
+    /// Returns whether `team` may make the change.
     ///
-    /// A section that exists belongs to the team that it names, which may also hand it over
-    /// to another. A new section is added by the team that it names, or for that team by
-    /// [`TeamId::DEFAULT`], which thus brings new teams in.
+    /// An existing section belongs to the team that it names, which may also assign it to another
+    /// team. A new section may be added by the team that it names and by [`TeamId::DEFAULT`], which
+    /// can thus add the first section of a new team.
     pub fn is_allowed(&self, team: &TeamId) -> bool {
         let owner = |text| SectionView { name: "", text }.team();
         match (self.before.as_deref(), self.after.as_deref()) {
--- a/azureway-core/src/config/sections.rs
+++ b/azureway-core/src/config/sections.rs
@@ -4,21 +4,21 @@
 
 use super::SectionView;
 
-/// The document split into its sections, in order. The text is not checked.
+/// The document split into its sections, in order. The text is not validated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Sections<'a> {
     sections: Vec<SectionView<'a>>,
-    places: HashMap<&'a str, usize>,
+    indices: HashMap<&'a str, usize>,
 }
 
 impl<'a> Sections<'a> {
-    /// Splits a document. Comments that stand right above a header belong to its section.
+    /// Splits a document. Comments directly above a header belong to its section.
     pub fn parse(text: &'a str) -> Self {
         let mut starts = vec![(0, "")];
         let (mut offset, mut comment) = (0, None);
         for line in text.split_inclusive('\n') {
             let trimmed = line.trim();
-            if let Some(name) = header(trimmed) {
+            if let Some(name) = parse_header(trimmed) {
                 starts.push((comment.take().unwrap_or(offset), name));
             } else if trimmed.starts_with([';', '#']) {
                 comment.get_or_insert(offset);
@@ -33,17 +33,17 @@
             let text = text[start..end].trim_end();
             SectionView { name, text }
         });
-        let stands = |s: &SectionView<'_>| !s.name.is_empty() || !s.text.trim().is_empty();
-        let sections: Vec<_> = sections.filter(stands).collect();
-        // Of two sections with one name, which the check refuses, the first one counts.
-        let places = sections.iter().enumerate().rev();
-        let places = places.map(|(place, s)| (s.name, place)).collect();
-        Self { sections, places }
+        let has_content = |s: &SectionView<'_>| !s.name.is_empty() || !s.text.trim().is_empty();
+        let sections: Vec<_> = sections.filter(has_content).collect();
+        // If two sections have the same name, which the check refuses, the first one is used.
+        let indices = sections.iter().enumerate().rev();
+        let indices = indices.map(|(index, s)| (s.name, index)).collect();
+        Self { sections, indices }
     }
 
-    /// Returns the section with `name`.
+    /// Returns the section with the name `name`.
     pub fn get(&self, name: &str) -> Option<SectionView<'a>> {
-        self.places.get(name).map(|place| self.sections[*place])
+        self.indices.get(name).map(|index| self.sections[*index])
     }
 
     /// Returns the sections in order.
@@ -52,7 +52,7 @@
     }
 }
 
-fn header(line: &str) -> Option<&str> {
+fn parse_header(line: &str) -> Option<&str> {
     let name = line.strip_prefix('[')?.strip_suffix(']')?;
     Some(name.trim())
 }
--- a/azureway-core/src/config/snapshot.rs
+++ b/azureway-core/src/config/snapshot.rs
@@ -1,16 +1,16 @@
-//! The document as it was read.
+//! A snapshot of the document.
 
 use super::{AcceptedChange, ChangeId, ChangeRecord};
 use crate::domain::ConfigVersion;
 
-/// The document as it was read: its version, its text and the record of its last change.
+/// A snapshot of the document: its version, its text and the record of its last change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The version; zero where no document exists.
+    /// The version of the document, or zero if none exists.
     pub version: ConfigVersion,
-    /// The text.
+    /// The text of the document.
     pub text: Box<str>,
-    /// The record, where the last writer left one.
+    /// The record of the last change, if its writer stored one.
     pub record: Option<ChangeRecord>,
 }
 
@@ -32,14 +32,14 @@
         self
     }
 
-    /// Returns the last change as the audit trail holds it.
+    /// Returns the last change as an entry of the audit trail, if it has a record.
     pub fn last_change(&self) -> Option<AcceptedChange> {
         let record = self.record.clone()?;
         let version = self.version;
         Some(AcceptedChange { version, record })
     }
 
-    /// Tells whether the last change is the one with `id`.
+    /// Returns whether the last change has the identity `id`.
     pub fn is_made_by(&self, id: &ChangeId) -> bool {
         self.record.as_ref().is_some_and(|r| r.metadata.id == *id)
     }
--- a/azureway-core/src/config/team_id.rs
+++ b/azureway-core/src/config/team_id.rs
@@ -6,6 +6,6 @@
 }
 
 impl TeamId {
-    /// The team that owns every section which names no other.
+    /// The team that owns every section that names no team.
     pub const DEFAULT: &'static str = "operators";
 }
--- a/azureway-core/src/config/version_gate.rs
+++ b/azureway-core/src/config/version_gate.rs
@@ -1,8 +1,8 @@
-//! Which versions of the document may come into force.
+//! The versions of the document that were accepted or rejected.
 
 use crate::domain::ConfigVersion;
 
-/// Which versions may come into force: only ever newer ones, each judged once.
+/// Decides which versions of the document may come into force: only newer ones, each judged once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionGate {
     accepted: ConfigVersion,
@@ -10,23 +10,23 @@
 }
 
 impl VersionGate {
-    /// Creates a gate that has seen no version.
+    /// Creates a gate that has judged no version.
     pub const fn new() -> Self {
         let (accepted, rejected) = (ConfigVersion::ZERO, ConfigVersion::ZERO);
         Self { accepted, rejected }
     }
 
-    /// Tells whether `version` is newer than every one judged so far.
+    /// Returns whether `version` is newer than every version judged so far.
     pub fn is_newer(&self, version: ConfigVersion) -> bool {
         version > self.accepted.max(self.rejected)
     }
 
-    /// Notes that a version is good. Older ones change nothing.
+    /// Records that `version` is valid. A version older than the one in force has no effect.
     pub fn accept(&mut self, version: ConfigVersion) {
         self.accepted = self.accepted.max(version);
     }
 
-    /// Notes that a version is bad: the last good one stays in force.
+    /// Records that `version` is invalid; the last valid one stays in force.
     pub fn reject(&mut self, version: ConfigVersion) {
         self.rejected = self.rejected.max(version);
     }
@@ -36,7 +36,7 @@
         self.accepted
     }
 
-    /// Returns the newest version, if it is a bad one.
+    /// Returns the newest judged version if it is invalid.
     pub fn rejected(&self) -> Option<ConfigVersion> {
         (self.rejected > self.accepted).then_some(self.rejected)
     }
