--- a/azureway-core/tests/config.rs
+++ b/azureway-core/tests/config.rs
@@ -1,4 +1,4 @@
-//! Edits of the document: who may change what, races, lost answers and the audit trail.
+//! Tests of edits of the document: ownership, races, lost answers and the audit trail.
 
 mod support_config;
 
@@ -7,10 +7,10 @@
 use googletest::prelude::*;
 use proptest::collection::vec;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use support_config::{Check, Race, Store, document, note, shown};
+use support_config::{Check, Race, Store, document, format_cell, metadata};
 
 #[gtest]
-fn edits_end_as_the_table_says() {
+fn edit_outcomes_match_the_table() {
     for line in include_str!("../testdata/edits.txt").lines() {
         if line.starts_with('#') {
             continue;
@@ -18,13 +18,13 @@
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
         let mut store = Store::new(&document(cells[3]));
         let version = if cells[3] == "-" { 0 } else { 1 };
-        // Where the base differs from what is stored, it is an older version.
+        // A base that differs from the stored document is an older version.
         let older = u64::from(cells[0] != cells[3]);
         let base = Snapshot::new(ConfigVersion::new(version - older), &document(cells[0]));
-        let mut edit = Edit::new(note("i", cells[1]), &base, &document(cells[2]), Check);
+        let mut edit = Edit::new(metadata("i", cells[1]), &base, &document(cells[2]), Check);
         store.finish(&mut edit);
-        let outcome = match edit.outcome().expect("the edit is over") {
-            EditOutcome::Accepted(_) => format!("accepted {}", shown(store.text())),
+        let outcome = match edit.outcome().expect("the edit has ended") {
+            EditOutcome::Accepted(_) => format!("accepted {}", format_cell(store.text())),
             EditOutcome::Unchanged => "unchanged".to_owned(),
             EditOutcome::Conflict(changes) => format!("conflict {}", changes[0].name),
             EditOutcome::NotOwned(names) => format!("not owned {}", names.join(" ")),
@@ -32,14 +32,16 @@
             other => format!("{other:?}"),
         };
         expect_that!(outcome, eq(cells[4]), "{line}");
-        let untouched = shown(store.text()) == shown(&document(cells[3]));
+        let untouched = format_cell(store.text()) == format_cell(&document(cells[3]));
         expect_that!(untouched, eq(!cells[4].starts_with("accepted")), "{line}");
     }
 }
 
-/// Three operators race on three sections for up to 120 steps; seed 20261204, 600 schedules.
+/// Three operators race on three sections for up to 120 steps, in 600 schedules from the seed
+/// 20261204. Answers are lost, writes are delayed and writers stop; every accepted change must
+/// still be written exactly once and have its record.
 #[gtest]
-fn no_interleaving_loses_doubles_or_forgets_a_change() {
+fn racing_edits_apply_and_record_every_accepted_change_once() {
     let mut seed = [0; 32];
     seed[..4].copy_from_slice(&20_261_204_u32.to_le_bytes());
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &seed);
@@ -58,7 +60,7 @@
             .map_err(proptest::test_runner::TestCaseError::fail)
     });
     expect_that!(drawn, ok(anything()));
-    // The same draws again, to see that the faults do come about.
+    // A fixed set of schedules checks that edits are accepted and answers are lost often enough.
     for start in 0..200_u16 {
         let mut race = Race::new(3);
         (0..100).for_each(|n: u16| {
@@ -77,18 +79,18 @@
 }
 
 #[gtest]
-fn a_writer_that_dies_after_its_write_leaves_its_record() {
+fn the_record_survives_a_writer_that_stops_after_its_write() {
     let mut store = Store::new(&document("a:x:1"));
     let base = store.snapshot();
-    let mut dying = Edit::new(note("first", "x"), &base, &document("a:x:2"), Check);
-    while !matches!(dying.step(), EditStep::Write(_)) {
-        store.carry_out(&mut dying);
+    let mut stopped = Edit::new(metadata("first", "x"), &base, &document("a:x:2"), Check);
+    while !matches!(stopped.step(), EditStep::Write(_)) {
+        store.carry_out(&mut stopped);
     }
-    store.lose_next();
-    store.carry_out(&mut dying);
-    drop(dying);
+    store.lose_next_answer();
+    store.carry_out(&mut stopped);
+    drop(stopped);
     let mut next = Edit::new(
-        note("second", "x"),
+        metadata("second", "x"),
         &store.snapshot(),
         &document("a:x:3"),
         Check,
@@ -103,39 +105,39 @@
 }
 
 #[gtest]
-fn an_old_version_is_rebuilt_from_the_trail() {
+fn an_old_version_is_rebuilt_from_the_audit_trail() {
     let mut store = Store::new(&document("a:x:1 b:x:1"));
     for (id, text) in [
         ("1", "a:x:2 b:x:1"),
         ("2", "a:x:2 c:x:1"),
         ("3", "a:x:4 b:x:9 c:x:1"),
     ] {
-        let mut edit = Edit::new(note(id, "x"), &store.snapshot(), &document(text), Check);
+        let mut edit = Edit::new(metadata(id, "x"), &store.snapshot(), &document(text), Check);
         store.finish(&mut edit);
     }
     let (history, current) = (store.history(), store.snapshot());
     let second = history.iter().next().map(|c| c.version).expect("a change");
-    let text = |version| history.rewind(&current, version).map(|t| shown(&t));
+    let text = |version| history.rewind(&current, version).map(|t| format_cell(&t));
     expect_that!(text(ConfigVersion::new(1)), some(eq("a:x:1 b:x:1")));
     expect_that!(text(second), some(eq("a:x:2 b:x:1")));
     expect_that!(History::new().rewind(&current, second), none());
 }
 
 #[gtest]
-fn a_store_that_never_answers_ends_an_edit_honestly() {
+fn an_edit_ends_unavailable_or_unknown_if_the_store_never_answers() {
     let base = Snapshot::new(ConfigVersion::new(1), &document("a:x:1"));
-    let mut unread = Edit::new(note("i", "x"), &base, &document("a:x:2"), Check);
-    while unread.outcome().is_none() {
-        unread.handle(EditReply::Failed);
+    let mut unavailable = Edit::new(metadata("i", "x"), &base, &document("a:x:2"), Check);
+    while unavailable.outcome().is_none() {
+        unavailable.handle(EditReply::Failed);
     }
-    expect_that!(unread.outcome(), some(eq(&EditOutcome::Unavailable)));
-    let mut unsure = Edit::new(note("i", "x"), &base, &document("a:x:2"), Check);
-    unsure.handle(EditReply::Read(base.clone()));
-    unsure.handle(EditReply::NoAnswer);
-    while unsure.outcome().is_none() {
-        unsure.handle(EditReply::Failed);
+    expect_that!(unavailable.outcome(), some(eq(&EditOutcome::Unavailable)));
+    let mut unknown = Edit::new(metadata("i", "x"), &base, &document("a:x:2"), Check);
+    unknown.handle(EditReply::Read(base.clone()));
+    unknown.handle(EditReply::NoAnswer);
+    while unknown.outcome().is_none() {
+        unknown.handle(EditReply::Failed);
     }
-    expect_that!(unsure.outcome(), some(eq(&EditOutcome::Unknown)));
+    expect_that!(unknown.outcome(), some(eq(&EditOutcome::Unknown)));
 }
 
 #[gtest]
@@ -150,7 +152,7 @@
 }
 
 #[gtest]
-fn versions_only_grow_and_each_is_judged_once() {
+fn only_newer_versions_are_accepted_and_each_is_judged_once() {
     let mut gate = VersionGate::new();
     gate.accept(ConfigVersion::new(5));
     expect_that!(gate.is_newer(ConfigVersion::new(4)), eq(false));
@@ -164,7 +166,7 @@
 }
 
 #[gtest]
-fn times_are_shown_in_utc() {
+fn times_are_formatted_in_utc() {
     let cases = [
         (0, "1970-01-01T00:00:00Z"),
         (951_782_400, "2000-02-29T00:00:00Z"),
--- a/azureway-core/tests/platform/main.rs
+++ b/azureway-core/tests/platform/main.rs
@@ -1,50 +1,51 @@
-//! The platform's rate and the time until a version is in force, under faults.
+//! Tests of the rate of calls to the platform and of the time until a version is in force, under
+//! faults.
 
-mod crowd;
+mod simulation;
 
 use std::time::Duration;
 
 use azureway_core::prelude::*;
-use crowd::{Crowd, Mood};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use simulation::{PlatformState, Simulation};
 
-/// How long a case goes on after its last event.
+/// The time that a case runs after its last event.
 const TAIL: Duration = Duration::from_secs(120);
 
-fn apply(crowd: &mut Crowd, event: &str) {
+fn apply(simulation: &mut Simulation, event: &str) {
     let words: Vec<&str> = event.split_whitespace().collect();
     match words[0] {
-        "up" => crowd.set_mood(Mood::Up),
-        "out" => crowd.set_mood(Mood::Out),
-        "slow" => crowd.set_mood(Mood::Slow),
-        "limit" => crowd.set_mood(Mood::Limit(words[1].parse().expect("a rate"))),
-        "change" => crowd.change(),
-        "restart" => crowd.restart(),
+        "up" => simulation.set_state(PlatformState::Up),
+        "out" => simulation.set_state(PlatformState::Out),
+        "slow" => simulation.set_state(PlatformState::Slow),
+        "limit" => simulation.set_state(PlatformState::Limit(words[1].parse().expect("a rate"))),
+        "change" => simulation.change(),
+        "restart" => simulation.restart(),
         word => panic!("unknown event {word}"),
     }
 }
 
-/// Runs a case. Returns the most calls of any second, and the seconds from the last event until
-/// the newest version was in force everywhere.
+/// Runs a case. Returns the largest number of calls in any second, and the seconds from the last
+/// event until the newest version was in force everywhere.
 fn run(script: &str) -> (u32, Option<f64>) {
-    let mut crowd = Crowd::new();
+    let mut simulation = Simulation::new();
     for event in script.split(';').map(str::trim) {
         let (second, event) = event.split_once(' ').expect("a second and an event");
         let second: u64 = second.parse().expect("a second");
-        crowd.run(Timestamp::from_millis(second * 1_000));
-        apply(&mut crowd, event);
+        simulation.run(Timestamp::from_millis(second * 1_000));
+        apply(&mut simulation, event);
     }
-    let last = crowd.now;
-    let done = crowd.run(last + TAIL);
-    assert_that!(crowd.behind(), is_empty());
-    let most = crowd.calls.values().copied().max().unwrap_or(0);
+    let last = simulation.now;
+    let done = simulation.run(last + TAIL);
+    assert_that!(simulation.outdated(), is_empty());
+    let most = simulation.calls.values().copied().max().unwrap_or(0);
     (most, done.map(|t| t.since(last).as_secs_f64()))
 }
 
 #[gtest]
-fn every_row_of_the_table_holds() {
+fn calls_and_times_stay_within_the_bounds_of_the_table() {
     for row in include_str!("../../testdata/platform.txt").lines() {
         if row.starts_with('#') {
             continue;
@@ -64,17 +65,17 @@
     }
 }
 
-/// The rate of reads that the platform takes, as the brief states it.
+/// The rate of reads that the platform accepts, in calls per second.
 const READ_RATE: u32 = 2_000;
-/// The time in which a version is in force everywhere, as the letter states it, in seconds.
+/// The time within which a version must be in force everywhere, in seconds.
 const IN_FORCE: f64 = 10.0;
-/// The faults that are drawn in pairs.
+/// The faults from which pairs are drawn.
 const FAULTS: [&str; 6] = ["out", "slow", "limit 20", "limit 200", "restart", "change"];
 /// The seed of the drawn cases.
 const SEED: [u8; 32] = [31; 32];
 
 #[gtest]
-fn two_faults_together_hold_the_rate_and_the_time_after_their_end() {
+fn calls_and_time_stay_within_bounds_after_two_faults() {
     let config = Config {
         cases: 48,
         failure_persistence: None,
--- a/azureway-core/tests/platform/crowd.rs
+++ b/azureway-core/tests/platform/simulation.rs
@@ -1,4 +1,4 @@
-//! Many entries before one platform, in virtual time.
+//! A simulation, in virtual time, of many entries that use one platform.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,74 +6,74 @@
 
 use azureway_core::prelude::*;
 
-/// The entries of the plan for the next two years.
+/// The number of entries that is planned for the next two years.
 pub const ENTRIES: usize = 360;
-/// The availability zones of that plan.
+/// The number of availability zones that is planned for the next two years.
 const ZONES: usize = 7;
-/// The entries of a zone that watch.
+/// Selects the entries of a zone that watch.
 const WATCHERS: EntrySelector = EntrySelector::new(2, 1);
-/// The time of a call that is served or refused.
+/// The duration of a call that is served or refused.
 const CALL_TIME: Duration = Duration::from_millis(5);
-/// The time of a call that is not answered.
+/// The duration of a call that times out.
 const SLOW_TIME: Duration = Duration::from_secs(2);
-/// The time in which a peer passes a version on.
+/// The time until the peers of an entry receive a version from it.
 const PEER_TIME: Duration = Duration::from_secs(1);
 
-/// What the platform does with calls.
+/// How the platform answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum PlatformState {
     Up,
     Out,
     Slow,
     Limit(u32),
 }
 
-/// An entry that asks for the configuration.
+/// An entry that reads the configuration.
 struct Entry {
     id: InstanceId,
     plan: WatchSchedule,
     version: u64,
 }
 
-/// What an entry's call ends with.
+/// The result of an entry's call, once it is known.
 type Reply = Option<std::result::Result<u64, ErrorKind>>;
 
-/// Many entries before one platform.
-pub struct Crowd {
+/// Many entries that use one platform.
+pub struct Simulation {
     pub now: Timestamp,
-    pub mood: Mood,
+    pub state: PlatformState,
     pub version: u64,
-    /// The calls of each second.
+    /// The number of calls in each second.
     pub calls: BTreeMap<u64, u32>,
     entries: Vec<Entry>,
-    agenda: BTreeSet<(Timestamp, usize)>,
+    schedule: BTreeSet<(Timestamp, usize)>,
     replies: Vec<Reply>,
     waiting: BTreeSet<usize>,
-    /// When a zone hears of a version from one of its entries.
-    told: BTreeSet<(Timestamp, usize, u64)>,
+    /// The times at which the entries of a zone receive a version from one of them.
+    deliveries: BTreeSet<(Timestamp, usize, u64)>,
     generation: u64,
 }
 
-impl Crowd {
-    /// Creates entries that start at the same time.
+impl Simulation {
+    /// Creates a simulation whose entries start at the same time.
     pub fn new() -> Self {
-        let mut crowd = Self {
+        let mut simulation = Self {
             now: Timestamp::ZERO,
-            mood: Mood::Up,
+            state: PlatformState::Up,
             version: 1,
             calls: BTreeMap::new(),
             entries: Vec::new(),
-            agenda: BTreeSet::new(),
+            schedule: BTreeSet::new(),
             replies: Vec::new(),
             waiting: BTreeSet::new(),
-            told: BTreeSet::new(),
+            deliveries: BTreeSet::new(),
             generation: 0,
         };
-        crowd.restart();
-        crowd
+        simulation.restart();
+        simulation
     }
 
-    /// Starts every entry anew.
+    /// Restarts every entry.
     pub fn restart(&mut self) {
         self.generation += 1;
         let ids: Vec<_> = (0..ENTRIES)
@@ -97,14 +97,14 @@
             .collect();
         self.replies = vec![None; ENTRIES];
         self.waiting.clear();
-        self.told.clear();
-        self.agenda = (0..ENTRIES).map(|n| (self.now, n)).collect();
+        self.deliveries.clear();
+        self.schedule = (0..ENTRIES).map(|n| (self.now, n)).collect();
     }
 
-    /// Changes what the platform does with calls. Watches that wait end with an outage.
-    pub fn set_mood(&mut self, mood: Mood) {
-        self.mood = mood;
-        if mood != Mood::Up {
+    /// Sets how the platform answers calls. Waiting watches end unless the platform is up.
+    pub fn set_state(&mut self, state: PlatformState) {
+        self.state = state;
+        if state != PlatformState::Up {
             self.end_watches();
         }
     }
@@ -115,16 +115,18 @@
         self.end_watches();
     }
 
-    /// Lets time pass until `until`, and returns when everybody had the newest version.
+    /// Advances the time to `until`. Returns when all entries had the newest version, if they did.
     pub fn run(&mut self, until: Timestamp) -> Option<Timestamp> {
         let mut done = self.is_done().then_some(self.now);
         while let Some(time) = self.next_time().filter(|t| *t <= until) {
             self.now = time;
-            if let Some((_, zone, version)) = self.told.first().copied().filter(|t| t.0 == time) {
-                self.told.pop_first();
-                self.hear(zone, version);
-            } else if let Some((_, at)) = self.agenda.pop_first() {
-                self.act(at);
+            if let Some((_, zone, version)) =
+                self.deliveries.first().copied().filter(|t| t.0 == time)
+            {
+                self.deliveries.pop_first();
+                self.deliver(zone, version);
+            } else if let Some((_, at)) = self.schedule.pop_first() {
+                self.step(at);
             }
             if done.is_none() && self.is_done() {
                 done = Some(self.now);
@@ -135,44 +137,44 @@
     }
 
     fn next_time(&self) -> Option<Timestamp> {
-        let asked = self.agenda.first().map(|(t, _)| *t);
-        let told = self.told.first().map(|(t, ..)| *t);
-        asked.into_iter().chain(told).min()
+        let scheduled = self.schedule.first().map(|(t, _)| *t);
+        let delivered = self.deliveries.first().map(|(t, ..)| *t);
+        scheduled.into_iter().chain(delivered).min()
     }
 
     fn is_done(&self) -> bool {
         self.entries.iter().all(|e| e.version == self.version)
     }
 
-    fn act(&mut self, at: usize) {
+    fn step(&mut self, at: usize) {
         self.waiting.remove(&at);
         let entry = &mut self.entries[at];
         match self.replies[at].take() {
             Some(Ok(version)) => {
                 entry.plan.record_success(version, self.now);
-                self.adopt(at, version);
+                self.receive(at, version);
             }
             Some(Err(kind)) => entry.plan.record_failure(kind, self.now),
             None => {}
         }
         match self.entries[at].plan.next(self.now) {
-            WatchStep::Wait(time) => drop(self.agenda.insert((time, at))),
+            WatchStep::Wait(time) => drop(self.schedule.insert((time, at))),
             WatchStep::List => self.call(at, None),
             WatchStep::Watch(after, wait) => self.call(at, Some((after, wait))),
         }
     }
 
-    /// Takes a version over, and lets the peers of the zone hear of it.
-    fn adopt(&mut self, at: usize, version: u64) {
+    /// Gives a version to an entry and schedules its delivery to the entries of the zone.
+    fn receive(&mut self, at: usize, version: u64) {
         if version > self.entries[at].version {
             self.entries[at].version = version;
-            self.told
+            self.deliveries
                 .insert((self.now + PEER_TIME, at % ZONES, version));
         }
     }
 
-    /// Lets the peers of a zone take a version over.
-    fn hear(&mut self, zone: usize, version: u64) {
+    /// Delivers a version to the entries of a zone.
+    fn deliver(&mut self, zone: usize, version: u64) {
         for peer in (zone..ENTRIES).step_by(ZONES) {
             let entry = &mut self.entries[peer];
             entry.version = entry.version.max(version);
@@ -185,11 +187,11 @@
             .entry(self.now.as_micros() / 1_000_000)
             .or_default();
         *calls += 1;
-        let (reply, time) = match self.mood {
-            Mood::Out => (Err(ErrorKind::Unavailable), CALL_TIME),
-            Mood::Slow => (Err(ErrorKind::Unavailable), SLOW_TIME),
-            Mood::Limit(rate) if *calls > rate => (Err(ErrorKind::Limited), CALL_TIME),
-            Mood::Up | Mood::Limit(_) => match watch {
+        let (reply, time) = match self.state {
+            PlatformState::Out => (Err(ErrorKind::Unavailable), CALL_TIME),
+            PlatformState::Slow => (Err(ErrorKind::Unavailable), SLOW_TIME),
+            PlatformState::Limit(rate) if *calls > rate => (Err(ErrorKind::Limited), CALL_TIME),
+            PlatformState::Up | PlatformState::Limit(_) => match watch {
                 Some((after, wait)) if after == self.version => (Ok(after), wait.max(CALL_TIME)),
                 _ => (Ok(self.version), CALL_TIME),
             },
@@ -198,26 +200,26 @@
             self.waiting.insert(at);
         }
         self.replies[at] = Some(reply);
-        self.agenda.insert((self.now + time, at));
+        self.schedule.insert((self.now + time, at));
     }
 
     fn end_watches(&mut self) {
-        let out = matches!(self.mood, Mood::Out | Mood::Slow);
+        let out = matches!(self.state, PlatformState::Out | PlatformState::Slow);
         let reply = if out {
             Err(ErrorKind::Unavailable)
         } else {
             Ok(self.version)
         };
         for at in std::mem::take(&mut self.waiting) {
-            self.agenda.retain(|(_, n)| *n != at);
+            self.schedule.retain(|(_, n)| *n != at);
             self.replies[at] = Some(reply);
-            self.agenda.insert((self.now + CALL_TIME, at));
+            self.schedule.insert((self.now + CALL_TIME, at));
         }
     }
 
     /// Returns the names of the entries that lack the newest version.
-    pub fn behind(&self) -> Vec<&str> {
-        let behind = self.entries.iter().filter(|e| e.version < self.version);
-        behind.map(|e| e.id.as_str()).collect()
+    pub fn outdated(&self) -> Vec<&str> {
+        let outdated = self.entries.iter().filter(|e| e.version < self.version);
+        outdated.map(|e| e.id.as_str()).collect()
     }
 }
--- a/azureway-core/tests/support/mod.rs
+++ b/azureway-core/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! What the core's tests share.
+//! Helpers that the tests of the core share.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
-#![allow(dead_code, reason = "each test uses a part of it")]
+#![allow(dead_code, reason = "each test uses only some of the helpers")]
 
 use azureway_core::prelude::*;
 
-/// A router of zone `a` with the product's policy, and its clock.
+/// A test bench: a router of zone `a` with the product's policy, and its clock.
 pub struct Bench {
     pub router: Router<PrefixLoad>,
     pub now: Timestamp,
@@ -12,7 +12,7 @@
 }
 
 impl Bench {
-    /// Creates a router over `servers` engines in zone `a`, each with `slots` slots.
+    /// Creates a test bench with `servers` engines in zone `a`, each with `slots` slots.
     pub fn new(servers: usize, slots: u32) -> Self {
         let config = RouterConfig::new(ZoneId::new("a"));
         let mut bench = Self {
@@ -25,20 +25,20 @@
         bench
     }
 
-    /// Tells the router an event and returns what it wants done.
+    /// Passes an event to the router and returns the actions that it requests.
     pub fn tell(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(event, self.now, &mut out);
         out
     }
 
-    /// Lets time pass and returns what the router wants done then.
+    /// Advances the clock by `time`, ticks the router and returns the actions that it requests.
     pub fn pass(&mut self, time: std::time::Duration) -> Vec<Action> {
         self.now = self.now + time;
         self.tell(Event::Tick)
     }
 
-    /// Creates a request of `account` with a prompt of the given levels.
+    /// Creates a request of `account` whose prompt consists of the given levels.
     pub fn request(&mut self, account: &str, levels: &[&str]) -> Request {
         self.sequence += 1;
         let (account, service) = (AccountId::new(account), ServiceId::new("advice"));
@@ -63,7 +63,7 @@
     }
 }
 
-/// A fleet of `servers` engines in zone `a` with two accounts.
+/// Returns a fleet of `servers` engines in zone `a` with two accounts.
 pub fn fleet(servers: usize, slots: u32) -> Fleet {
     let pool = PoolId::new("engines");
     let base = Fleet::new()
@@ -81,12 +81,12 @@
     })
 }
 
-/// Returns the orders among actions.
+/// Returns the dispatches among `actions`.
 pub fn orders(actions: &[Action]) -> Vec<&Dispatch> {
     actions.iter().filter_map(as_order).collect()
 }
 
-/// Returns the refusals among actions.
+/// Returns the refusals among `actions`.
 pub fn refusals(actions: &[Action]) -> Vec<&Refusal> {
     actions.iter().filter_map(as_refusal).collect()
 }
@@ -105,7 +105,7 @@
     }
 }
 
-/// The failure of an order.
+/// Returns a failure of the attempt that `order` dispatched.
 pub fn failure(order: &Dispatch, kind: FailureKind, sent: SendState, position: u64) -> Failure {
     Failure {
         attempt: order.attempt,
--- a/azureway-core/tests/support_config/mod.rs
+++ b/azureway-core/tests/support_config/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes for the tests of edits.
+//! Fakes and helpers for the tests of edits.
 
 mod race;
 mod store;
@@ -9,7 +9,7 @@
 pub(crate) use race::Race;
 pub(crate) use store::Store;
 
-/// A check that finds fault with every document in which a value is `bad`.
+/// A check that rejects every document in which a value is `bad`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Check;
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// Returns the note of change `id` by `team`.
-pub(crate) fn note(id: &str, team: &str) -> ChangeMetadata {
+/// Returns the metadata of change `id` by `team`.
+pub(crate) fn metadata(id: &str, team: &str) -> ChangeMetadata {
     ChangeMetadata::new(
         ChangeId::new(id),
         "ana",
@@ -35,7 +35,7 @@
     )
 }
 
-/// Returns the document that a table's cell stands for.
+/// Parses a table cell into a document.
 pub(crate) fn document(cell: &str) -> String {
     let words = cell.split_whitespace().filter(|w| *w != "-");
     let sections = words.map(|word| {
@@ -49,8 +49,8 @@
     sections.collect()
 }
 
-/// Returns a document as a table's cell.
-pub(crate) fn shown(text: &str) -> String {
+/// Formats a document as a table cell.
+pub(crate) fn format_cell(text: &str) -> String {
     let sections = Sections::parse(text);
     let mut words: Vec<String> = sections
         .iter()
--- a/azureway-core/tests/support_config/race.rs
+++ b/azureway-core/tests/support_config/race.rs
@@ -1,21 +1,22 @@
-//! Operators that race on one document.
+//! Operators that edit one document concurrently.
 
 use std::collections::BTreeMap;
 
 use azureway_core::config::{ConditionalWrite, Sections};
 use azureway_core::prelude::*;
 
-use super::{Check, Store, document, note};
+use super::{Check, Store, document, metadata};
 
-/// Operators that race on one document, with answers lost, writes delayed and writers dying.
+/// Operators that edit one document concurrently, with lost answers, delayed writes and writers
+/// that stop.
 #[derive(Debug)]
 pub(crate) struct Race {
     store: Store,
     edits: Vec<Edit<Check>>,
     ids: Vec<String>,
     delayed: Vec<ConditionalWrite>,
-    ends: BTreeMap<String, EditOutcome<()>>,
-    made: usize,
+    outcomes: BTreeMap<String, EditOutcome<()>>,
+    created: usize,
     lost: usize,
 }
 
@@ -29,12 +30,12 @@
             edits: Vec::new(),
             ids: Vec::new(),
             delayed: Vec::new(),
-            ends: BTreeMap::new(),
-            made: 0,
+            outcomes: BTreeMap::new(),
+            created: 0,
             lost: 0,
         };
-        for place in 0..operators {
-            race.begin(place, place as u16);
+        for index in 0..operators {
+            race.begin(index, index as u16);
         }
         race
     }
@@ -47,10 +48,10 @@
         self.lost
     }
 
-    /// Starts a new edit of one section, or of two, at an operator's place.
-    fn begin(&mut self, place: usize, draw: u16) {
-        self.made += 1;
-        let id = format!("e{}", self.made);
+    /// Starts a new edit of one or two sections by operator `index`.
+    fn begin(&mut self, index: usize, draw: u16) {
+        self.created += 1;
+        let id = format!("e{}", self.created);
         let base = self.store.snapshot();
         let names = ["a", "b", "c"];
         let first = names[usize::from(draw) % 3];
@@ -62,19 +63,19 @@
             let value = if chosen { id.as_str() } else { value };
             text.push_str(&document(&format!("{}:x:{value}", section.name)));
         }
-        let edit = Edit::new(note(&id, "x"), &base, &text, Check);
-        if place < self.edits.len() {
-            self.edits[place] = edit;
-            self.ids[place] = id;
+        let edit = Edit::new(metadata(&id, "x"), &base, &text, Check);
+        if index < self.edits.len() {
+            self.edits[index] = edit;
+            self.ids[index] = id;
         } else {
             self.edits.push(edit);
             self.ids.push(id);
         }
     }
 
-    /// Takes one step of one operator, with one fault, as `draw` says.
+    /// Carries out one step of one operator, with at most one fault; `draw` selects both.
     pub(crate) fn step(&mut self, draw: u16) {
-        let place = usize::from(draw) % self.edits.len();
+        let index = usize::from(draw) % self.edits.len();
         let fault = (draw / 8) % 16;
         if fault == 15 && !self.delayed.is_empty() {
             let late = self.delayed.remove(0);
@@ -82,19 +83,20 @@
             return;
         }
         if fault == 14 {
-            // The writer dies; what it had in flight stays so.
-            return self.begin(place, draw / 128);
+            // The writer stops; its delayed writes stay in flight.
+            return self.begin(index, draw / 128);
         }
-        let reply = self.reply(place, fault);
-        self.edits[place].handle(reply);
-        if let Some(outcome) = self.edits[place].outcome() {
-            self.ends.insert(self.ids[place].clone(), outcome.clone());
-            self.begin(place, draw / 128);
+        let reply = self.reply(index, fault);
+        self.edits[index].handle(reply);
+        if let Some(outcome) = self.edits[index].outcome() {
+            self.outcomes
+                .insert(self.ids[index].clone(), outcome.clone());
+            self.begin(index, draw / 128);
         }
     }
 
-    fn reply(&mut self, place: usize, fault: u16) -> EditReply {
-        match (self.edits[place].step(), fault) {
+    fn reply(&mut self, index: usize, fault: u16) -> EditReply {
+        match (self.edits[index].step(), fault) {
             (EditStep::Write(plan), 10 | 11) => {
                 self.store.write(plan);
                 self.lost += 1;
@@ -119,18 +121,19 @@
         }
     }
 
-    /// Ends every edit without further faults, then lets every delayed write arrive.
+    /// Finishes every edit without further faults, then applies every delayed write.
     pub(crate) fn finish(&mut self) {
-        for place in 0..self.edits.len() {
-            self.store.finish(&mut self.edits[place]);
-            let outcome = self.edits[place].outcome().expect("the edit is over");
-            self.ends.insert(self.ids[place].clone(), outcome.clone());
+        for index in 0..self.edits.len() {
+            self.store.finish(&mut self.edits[index]);
+            let outcome = self.edits[index].outcome().expect("the edit has ended");
+            self.outcomes
+                .insert(self.ids[index].clone(), outcome.clone());
         }
         let delayed = std::mem::take(&mut self.delayed);
         delayed.iter().for_each(|plan| drop(self.store.write(plan)));
     }
 
-    /// Checks what must hold whatever happened.
+    /// Checks the invariants that hold for every schedule.
     pub(crate) fn check(&self) -> Result<(), String> {
         self.check_outcomes()?;
         self.check_trail()?;
@@ -138,7 +141,7 @@
     }
 
     fn check_outcomes(&self) -> Result<(), String> {
-        for (id, outcome) in &self.ends {
+        for (id, outcome) in &self.outcomes {
             let writes = self
                 .store
                 .log
@@ -164,7 +167,7 @@
         let trail: Vec<_> = history.iter().cloned().collect();
         if trail != self.store.log {
             return Err(format!(
-                "the trail {trail:?} is not the log {:?}",
+                "the audit trail {trail:?} differs from the log {:?}",
                 self.store.log
             ));
         }
@@ -178,8 +181,8 @@
         Ok(())
     }
 
-    /// Replays the log section by section: a change that does not find what it replaces
-    /// would have lost somebody's accepted change.
+    /// Replays the log section by section. A change whose old text is not in the document would
+    /// have overwritten an accepted change.
     fn check_text(&self) -> Result<(), String> {
         let mut text = document(START);
         for change in &self.store.log {
--- a/azureway-core/tests/support_config/store.rs
+++ b/azureway-core/tests/support_config/store.rs
@@ -1,11 +1,11 @@
-//! A store in memory that loses answers.
+//! An in-memory store that can lose answers.
 
 use std::collections::BTreeMap;
 
 use azureway_core::config::{AcceptedChange, ConditionalWrite, DocumentCheck, History};
 use azureway_core::prelude::*;
 
-/// A store in memory with conditional writes, one version counter and lost answers.
+/// An in-memory store with conditional writes and one version counter, which can lose answers.
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     version: u64,
@@ -13,11 +13,11 @@
     archive: BTreeMap<String, AcceptedChange>,
     /// Every accepted write, in order.
     pub(crate) log: Vec<AcceptedChange>,
-    losing: bool,
+    lose_answer: bool,
 }
 
 impl Store {
-    /// Creates a store with a document that has no record; none if `text` is empty.
+    /// Creates a store with a document that has no record, or without one if `text` is empty.
     pub(crate) fn new(text: &str) -> Self {
         let version = u64::from(!text.is_empty());
         Self {
@@ -35,12 +35,12 @@
         self.current.clone()
     }
 
-    /// Makes the next write take effect without an answer.
-    pub(crate) fn lose_next(&mut self) {
-        self.losing = true;
+    /// Makes the next write take effect but lose its answer.
+    pub(crate) fn lose_next_answer(&mut self) {
+        self.lose_answer = true;
     }
 
-    /// Returns the audit trail: what is archived and the document's own record.
+    /// Returns the audit trail: the archived records and the document's own record.
     pub(crate) fn history(&self) -> History {
         let mut history = History::new();
         self.archive
@@ -63,7 +63,7 @@
         let record = plan.record.clone();
         self.current = Snapshot::new(version, &plan.text).with_record(Some(record.clone()));
         self.log.push(AcceptedChange { version, record });
-        if std::mem::take(&mut self.losing) {
+        if std::mem::take(&mut self.lose_answer) {
             return EditReply::NoAnswer;
         }
         EditReply::Written(version)
@@ -82,7 +82,7 @@
         EditReply::Found(self.archive.get(id.as_str()).map(|c| c.version))
     }
 
-    /// Carries out one step without fault.
+    /// Carries out one step without a fault.
     pub(crate) fn carry_out<C: DocumentCheck>(&mut self, edit: &mut Edit<C>) {
         let reply = match edit.step() {
             EditStep::Read => EditReply::Read(self.snapshot()),
@@ -94,7 +94,7 @@
         edit.handle(reply);
     }
 
-    /// Carries out every step that is left.
+    /// Carries out all remaining steps.
     pub(crate) fn finish<C: DocumentCheck>(&mut self, edit: &mut Edit<C>) {
         while edit.outcome().is_none() {
             self.carry_out(edit);
