--- a/azureway-core/tests/platform/simulation.rs
+++ b/azureway-core/tests/platform/simulation.rs
@@ -31,7 +31,7 @@
 /// An entry that reads the configuration.
 struct Entry {
     id: InstanceId,
-    plan: WatchSchedule,
+    watch: WatchSchedule,
     version: u64,
 }
 
@@ -86,11 +86,11 @@
                 let zone = ids.iter().skip(n % ZONES).step_by(ZONES).cloned();
                 let live: Vec<_> = zone.collect();
                 let seed = self.generation * 1_000_003 + n as u64 * 7_919;
-                let mut plan = WatchSchedule::new(seed);
-                plan.set_selected(WATCHERS.includes(id, &live), self.now);
+                let mut watch = WatchSchedule::new(seed);
+                watch.set_selected(WATCHERS.includes(id, &live), self.now);
                 Entry {
                     id: id.clone(),
-                    plan,
+                    watch,
                     version: 0,
                 }
             })
@@ -151,13 +151,13 @@
         let entry = &mut self.entries[at];
         match self.replies[at].take() {
             Some(Ok(version)) => {
-                entry.plan.record_success(version, self.now);
+                entry.watch.record_success(version, self.now);
                 self.receive(at, version);
             }
-            Some(Err(kind)) => entry.plan.record_failure(kind, self.now),
+            Some(Err(kind)) => entry.watch.record_failure(kind, self.now),
             None => {}
         }
-        match self.entries[at].plan.next(self.now) {
+        match self.entries[at].watch.next(self.now) {
             WatchStep::Wait(time) => drop(self.schedule.insert((time, at))),
             WatchStep::List => self.call(at, None),
             WatchStep::Watch(after, wait) => self.call(at, Some((after, wait))),
--- a/azureway-core/tests/support_config/race.rs
+++ b/azureway-core/tests/support_config/race.rs
@@ -97,17 +97,17 @@
 
     fn reply(&mut self, index: usize, fault: u16) -> EditReply {
         match (self.edits[index].step(), fault) {
-            (EditStep::Write(plan), 10 | 11) => {
-                self.store.write(plan);
+            (EditStep::Write(write), 10 | 11) => {
+                self.store.write(write);
                 self.lost += 1;
                 EditReply::NoAnswer
             }
             (EditStep::Write(_), 12) => EditReply::NoAnswer,
-            (EditStep::Write(plan), 13) => {
-                self.delayed.push(plan.clone());
+            (EditStep::Write(write), 13) => {
+                self.delayed.push(write.clone());
                 EditReply::NoAnswer
             }
-            (EditStep::Write(plan), _) => self.store.write(plan),
+            (EditStep::Write(write), _) => self.store.write(write),
             (EditStep::Archive(change), 10 | 11) => {
                 self.store.archive(change);
                 EditReply::Failed
@@ -116,7 +116,7 @@
                 EditReply::Failed
             }
             (EditStep::Archive(change), _) => self.store.archive(change),
-            (EditStep::Find(note), _) => self.store.find(&note.id),
+            (EditStep::Find(metadata), _) => self.store.find(&metadata.id),
             (EditStep::Read | EditStep::Done, _) => EditReply::Read(self.store.snapshot()),
         }
     }
@@ -130,7 +130,9 @@
                 .insert(self.ids[index].clone(), outcome.clone());
         }
         let delayed = std::mem::take(&mut self.delayed);
-        delayed.iter().for_each(|plan| drop(self.store.write(plan)));
+        delayed
+            .iter()
+            .for_each(|write| drop(self.store.write(write)));
     }
 
     /// Checks the invariants that hold for every schedule.
--- a/azureway-core/tests/support_config/store.rs
+++ b/azureway-core/tests/support_config/store.rs
@@ -54,14 +54,14 @@
         history
     }
 
-    pub(crate) fn write(&mut self, plan: &ConditionalWrite) -> EditReply {
-        if plan.expected != self.current.version {
+    pub(crate) fn write(&mut self, write: &ConditionalWrite) -> EditReply {
+        if write.expected != self.current.version {
             return EditReply::VersionMismatch;
         }
         self.version += 1;
         let version = ConfigVersion::new(self.version);
-        let record = plan.record.clone();
-        self.current = Snapshot::new(version, &plan.text).with_record(Some(record.clone()));
+        let record = write.record.clone();
+        self.current = Snapshot::new(version, &write.text).with_record(Some(record.clone()));
         self.log.push(AcceptedChange { version, record });
         if std::mem::take(&mut self.lose_answer) {
             return EditReply::NoAnswer;
@@ -87,8 +87,8 @@
         let reply = match edit.step() {
             EditStep::Read => EditReply::Read(self.snapshot()),
             EditStep::Archive(change) => self.archive(change),
-            EditStep::Write(plan) => self.write(plan),
-            EditStep::Find(note) => self.find(&note.id),
+            EditStep::Write(write) => self.write(write),
+            EditStep::Find(metadata) => self.find(&metadata.id),
             EditStep::Done => return,
         };
         edit.handle(reply);
