--- a/azureway-core/src/fleet/configured.rs
+++ b/azureway-core/src/fleet/configured.rs
@@ -1,4 +1,4 @@
-//! The fleet as one version of the configuration gives it.
+//! The fleet that one version of the configuration defines.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +9,31 @@
     ZoneId,
 };
 
-/// Everything that one version of the configuration defines.
+/// The accounts, services, servers and rules of one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fleet {
-    /// The version.
+    /// The version of the configuration.
     pub version: ConfigVersion,
-    /// The client accounts.
+    /// The client accounts by identifier.
     pub accounts: BTreeMap<AccountId, ClientAccount>,
-    /// The services.
+    /// The services by identifier.
     pub services: BTreeMap<ServiceId, ModelService>,
-    /// The pools.
+    /// The backend server pools by identifier.
     pub pools: BTreeMap<PoolId, BackendServerPool>,
-    /// The backend servers.
+    /// The backend servers by identifier.
     pub servers: BTreeMap<ServerId, BackendServer>,
-    /// The availability zones, with their regions.
+    /// The availability zones and the region of each; empty if no regions are configured.
     pub zones: BTreeMap<ZoneId, AvailabilityZone>,
-    /// The rules for the two ranks of work.
+    /// The rules for urgent and drafting requests.
     pub rules: RankRules,
-    /// The routes, where callers are routed by host and path.
+    /// The routes, if callers are routed by host and path.
     pub routes: RouteTable,
-    /// What callers may send and how long they may take.
+    /// The size and time limits on what callers send.
     pub limits: CallerLimits,
 }
 
 impl Fleet {
-    /// Creates a fleet with nothing in it.
+    /// Creates an empty fleet.
     pub fn new() -> Self {
         Self::default()
     }
@@ -73,34 +73,34 @@
         self
     }
 
-    /// Sets the version.
+    /// Sets the version of the configuration.
     #[must_use]
     pub fn with_version(mut self, version: ConfigVersion) -> Self {
         self.version = version;
         self
     }
 
-    /// Tells whether two availability zones stand in one region. Zones that the configuration
-    /// does not name stand in one region of their own.
+    /// Returns whether two availability zones are in the same region. All zones that the
+    /// configuration does not name count as one further region.
     pub fn share_region(&self, one: &ZoneId, other: &ZoneId) -> bool {
         let region = |zone| self.zones.get(zone).map(|z| &z.region);
         region(one) == region(other)
     }
 
-    /// Tells whether the configuration names regions.
+    /// Returns whether the configuration assigns zones to regions.
     pub fn has_regions(&self) -> bool {
         !self.zones.is_empty()
     }
 
-    /// Tells whether a plain service stands behind a name.
+    /// Returns whether `service` is a configured service of the plain kind.
     pub fn is_plain(&self, service: &ServiceId) -> bool {
         let service = self.services.get(service);
         service.is_some_and(|s| s.kind == ServiceKind::Plain)
     }
 
-    /// Returns the account that the digest of an API key belongs to.
+    /// Returns the account that has an API key with the digest `key`.
     pub fn account_of(&self, key: &KeyHash) -> Option<&ClientAccount> {
-        // All accounts are looked at, so that the time does not tell which one matched.
+        // Checks every account, so that the time taken does not reveal which one matched.
         self.accounts.values().fold(
             None,
             |found, a| if a.has_key(key) { Some(a) } else { found },
--- a/azureway-core/src/fleet/health.rs
+++ b/azureway-core/src/fleet/health.rs
@@ -1,19 +1,19 @@
-//! Whether a backend server may be given work.
+//! The health state of a backend server.
 
-/// Whether a backend server may be given work.
+/// The health state of a backend server, which decides whether it gets new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// Nothing speaks against it.
+    /// The server gets new requests.
     #[default]
     Live,
-    /// It failed and may be tried again later.
+    /// The server failed recently and gets no requests until its retry time.
     Suspect,
-    /// It is leaving: requests in flight end there, and new ones go elsewhere.
+    /// The server is draining: it finishes its requests in flight and gets no new ones.
     Leaving,
 }
 
 impl Health {
-    /// Returns the name of the state.
+    /// Returns the name of the state as reports print it.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Live => "live",
--- a/azureway-core/src/fleet/load_report.rs
+++ b/azureway-core/src/fleet/load_report.rs
@@ -1,22 +1,22 @@
-//! What a backend server says of its load.
+//! A load report from a backend server.
 
 use crate::domain::{Incarnation, ServerId, TokenCount, WeightsVersion};
 
-/// What a backend server said of its load. Reports lag.
+/// A load report from a backend server. It may lag behind the actual load.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// The server.
+    /// The server that sent the report.
     pub server: ServerId,
-    /// Its incarnation.
+    /// The incarnation of the server when it sent the report.
     pub incarnation: Incarnation,
-    /// The weights version that it has loaded.
+    /// The weights version that the server has loaded.
     pub weights: WeightsVersion,
-    /// The requests that it runs, from all entries.
+    /// The number of running requests, from all entries.
     pub running: u32,
-    /// The requests that wait in it.
+    /// The number of requests in the server's queue, from all entries.
     pub queued: u32,
-    /// The prompt tokens that it has yet to compute.
+    /// The prompt tokens still to be computed.
     pub pending: TokenCount,
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     pub leaving: bool,
 }
--- a/azureway-core/src/fleet/load_sample.rs
+++ b/azureway-core/src/fleet/load_sample.rs
@@ -1,15 +1,15 @@
-//! What an answer says of its backend server.
+//! Load figures that a backend server attaches to an answer.
 
 use crate::domain::{ServerId, WeightsVersion};
 
-/// What a backend server says of itself beside an answer. Unlike a report it comes only with
-/// traffic, so that its absence says nothing.
+/// Load figures that a backend server attaches to an answer. Unlike reports, samples come only
+/// with traffic, so the absence of one does not indicate a failure.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadSample {
-    /// The server.
+    /// The server that answered.
     pub server: ServerId,
-    /// The requests that it runs and that wait in it, from all entries, where it tells them.
+    /// The numbers of running and queued requests, from all entries, if given.
     pub load: Option<(u32, u32)>,
-    /// The weights that it answered with, where it tells them.
+    /// The weights version that computed the answer, if given.
     pub weights: Option<WeightsVersion>,
 }
--- a/azureway-core/src/fleet/local_work.rs
+++ b/azureway-core/src/fleet/local_work.rs
@@ -1,80 +1,82 @@
-//! This entry's own work at a backend server, by age.
+//! The work that this entry has sent to a backend server, by age.
 
 use std::time::Duration;
 
 use super::Work;
 use crate::domain::{Timestamp, TokenCount};
 
-/// The time by which a report lags at most: younger work may be missing from it.
-const LAG_MAX: Duration = Duration::from_millis(500);
+/// The maximum lag of a load report. Requests younger than this may be missing from it.
+const MAX_REPORT_LAG: Duration = Duration::from_millis(500);
 
-/// This entry's own work at a backend server, split by whether a report can hold it.
+/// The work that this entry has in flight at a backend server, split by whether a load report
+/// can already include it.
 ///
-/// Work is noted in the current period. A period ends with the first report that comes
-/// `LAG_MAX` after its start, so that work of an earlier period than the last one is
-/// older than the lag of any report, and only the last two can be missing from it.
+/// Each request is recorded in the current period. A period ends with the first report that
+/// arrives at least `MAX_REPORT_LAG` after its start. Work older than the last two periods is
+/// thus older than the lag of any report, and only the last two periods can be missing from one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalWork {
     period: u64,
-    since: Timestamp,
+    started: Timestamp,
     recent: [Work; 2],
     old: Work,
 }
 
 impl LocalWork {
-    /// Creates an empty ledger.
+    /// Creates an empty record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a report came at `now`.
-    pub fn roll(&mut self, now: Timestamp) {
-        if now.since(self.since) < LAG_MAX {
+    /// Records that a report arrived at `now`, which may start a new period.
+    pub fn rotate(&mut self, now: Timestamp) {
+        if now.since(self.started) < MAX_REPORT_LAG {
             return;
         }
-        self.since = now;
+        self.started = now;
         self.period += 1;
         self.old.add(self.recent[1]);
         self.recent = [Work::default(), self.recent[0]];
     }
 
-    /// Notes a request with `owed` prompt tokens to compute, and returns its period.
-    pub fn begin(&mut self, owed: TokenCount) -> u64 {
+    /// Records a request with `pending` prompt tokens to compute, and returns its period.
+    pub fn begin(&mut self, pending: TokenCount) -> u64 {
         self.recent[0].add(Work {
             in_flight: 1,
-            pending: owed,
+            pending,
         });
         self.period
     }
 
-    /// Notes that `owed` prompt tokens of a request of `period` are computed or will not be.
-    pub fn finish_prefill(&mut self, period: u64, owed: TokenCount) {
-        let work = self.of(period);
-        work.pending = work.pending.saturating_sub(owed);
+    /// Records that `tokens` prompt tokens of a request of `period` are computed or no longer
+    /// needed.
+    pub fn finish_prefill(&mut self, period: u64, tokens: TokenCount) {
+        let work = self.work_mut(period);
+        work.pending = work.pending.saturating_sub(tokens);
     }
 
-    /// Notes that a request of `period` has ended.
+    /// Records that a request of `period` has ended.
     pub fn end(&mut self, period: u64) {
-        let work = self.of(period);
+        let work = self.work_mut(period);
         work.in_flight = work.in_flight.saturating_sub(1);
     }
 
-    /// Returns the work that a report may not hold yet.
-    pub fn unseen(&self) -> Work {
+    /// Returns the work that a report may not include yet.
+    pub fn unreported(&self) -> Work {
         self.recent[0].plus(self.recent[1])
     }
 
-    /// Returns the work that every report holds.
-    pub const fn seen(&self) -> Work {
+    /// Returns the work that every report includes.
+    pub const fn reported(&self) -> Work {
         self.old
     }
 
-    /// Returns all work.
+    /// Returns all work in flight.
     pub fn total(&self) -> Work {
-        self.old.plus(self.unseen())
+        self.old.plus(self.unreported())
     }
 
-    fn of(&mut self, period: u64) -> &mut Work {
+    fn work_mut(&mut self, period: u64) -> &mut Work {
         match self.period.saturating_sub(period) {
             0 => &mut self.recent[0],
             1 => &mut self.recent[1],
--- a/azureway-core/src/fleet/mod.rs
+++ b/azureway-core/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The configured fleet and what is known of each backend server in it.
+//! The configured fleet and the runtime state of its backend servers.
 
 mod configured;
 mod health;
--- a/azureway-core/src/fleet/route_table.rs
+++ b/azureway-core/src/fleet/route_table.rs
@@ -1,10 +1,10 @@
-//! The routes by host.
+//! A table of routes by host and path prefix.
 
 use std::collections::BTreeMap;
 
 use crate::domain::Route;
 
-/// The routes by host, the longest prefix first.
+/// The routes of each host, sorted by path prefix from longest to shortest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteTable {
     hosts: BTreeMap<Box<str>, Vec<Route>>,
@@ -20,11 +20,11 @@
     pub fn insert(&mut self, route: Route) {
         let routes = self.hosts.entry(route.host.clone()).or_default();
         let length = route.prefix.len();
-        let place = routes.partition_point(|r| r.prefix.len() > length);
-        routes.insert(place, route);
+        let index = routes.partition_point(|r| r.prefix.len() > length);
+        routes.insert(index, route);
     }
 
-    /// Returns the route of a host whose prefix is the longest that begins `path`.
+    /// Returns the route of `host` with the longest prefix that `path` starts with.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.hosts.get(host)?;
         routes.iter().find(|r| path.starts_with(r.prefix.as_ref()))
--- a/azureway-core/src/fleet/server_state.rs
+++ b/azureway-core/src/fleet/server_state.rs
@@ -1,4 +1,4 @@
-//! What is known of one backend server.
+//! The runtime state of one backend server.
 
 use std::time::Duration;
 
@@ -9,197 +9,200 @@
 use crate::event::{Failure, FailureKind};
 use crate::member::{LoadNotice, ServerStatus, ServerUpdate};
 
-/// How long a failed server is left alone.
-const SUSPECT_TIME: Duration = Duration::from_secs(2);
-/// The time without a report after which a server may be dead or cut off.
-const QUIET_TIME: Duration = Duration::from_secs(2);
-/// How long a server that rejected a request though it had slots is left alone: about the time
-/// of a load.
-const HOLD_TIME: Duration = Duration::from_millis(500);
-/// How many times unseen work is counted at most for a server that tells of its load with each
-/// answer.
-const UNSEEN_WEIGHT_MAX: u32 = 2;
-/// The share of a server's slots, in percent, that drafting leaves to urgent work.
+/// How long a server gets no requests after a failure.
+const SUSPECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time without a report after which a server that used to report may be down or unreachable.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a server gets no requests after it rejected one in spite of free slots: about the
+/// time that it takes to load weights.
+const REJECTION_HOLD: Duration = Duration::from_millis(500);
+/// The maximum weight of unreported work at a server that attaches its load to each answer.
+const MAX_UNREPORTED_WEIGHT: u32 = 2;
+/// The percentage of a server's slots that drafting requests leave free for urgent ones.
 const URGENT_RESERVE: u32 = 25;
-/// The time that a request stays where none has been seen to end.
-const DEFAULT_STAY: Duration = Duration::from_secs(1);
-/// The requests over which the time that one stays is averaged.
-const STAY_MEMORY: u32 = 16;
+/// The assumed service time of a request at a server that has completed none.
+const DEFAULT_SERVICE_TIME: Duration = Duration::from_secs(1);
+/// The window of the moving average of the service time, in requests.
+const SERVICE_TIME_WINDOW: u32 = 16;
 
-/// What is known of one backend server: its configuration, its last report and the work
-/// that this entry has in flight there.
+/// The runtime state of one backend server: its configuration, its last reported load and the
+/// work that this entry has in flight there.
 #[derive(Clone, Debug)]
 pub struct ServerState {
-    /// The configuration.
+    /// The configuration of the server.
     pub server: BackendServer,
-    /// The incarnation that was last heard of.
+    /// The latest known incarnation, or zero if none is known.
     pub incarnation: Incarnation,
-    /// The weights version that it has loaded, once it is known.
+    /// The weights version that the server has loaded, if known.
     pub weights: Option<WeightsVersion>,
-    own: LocalWork,
+    local: LocalWork,
     share: SlotShare,
-    told: ReportedWork,
-    stay: Duration,
-    heard: Timestamp,
-    listed: bool,
+    reported: ReportedWork,
+    service_time: Duration,
+    last_report: Timestamp,
+    listed_leaving: bool,
     health: Health,
     retry_at: Timestamp,
-    /// Until when it is left alone after it rejected a request though it had slots.
-    held: Timestamp,
+    /// Until when the server gets no requests because it loads weights or rejected a request in
+    /// spite of free slots.
+    held_until: Timestamp,
 }
 
 impl ServerState {
-    /// Creates the state of a server of which nothing was heard, shared by `entries` entries.
+    /// Creates the state of a server that has not reported yet and is shared by `entries` entries.
     pub fn new(server: BackendServer, entries: u32) -> Self {
         Self {
             share: SlotShare::new(server.slots, entries),
             incarnation: server.listed.map_or(Incarnation::ZERO, |l| l.incarnation),
             weights: server.listed.and_then(|l| l.weights),
             server,
-            own: LocalWork::new(),
-            told: ReportedWork::default(),
-            stay: DEFAULT_STAY,
-            heard: Timestamp::ZERO,
-            listed: false,
+            local: LocalWork::new(),
+            reported: ReportedWork::default(),
+            service_time: DEFAULT_SERVICE_TIME,
+            last_report: Timestamp::ZERO,
+            listed_leaving: false,
             health: Health::Live,
             retry_at: Timestamp::ZERO,
-            held: Timestamp::ZERO,
+            held_until: Timestamp::ZERO,
         }
     }
 
-    /// Takes over a changed configuration or number of entries. Returns whether what is known
-    /// of its cache no longer holds.
+    /// Applies a changed configuration or number of entries. Returns whether the cached blocks
+    /// known for the server are invalid.
     pub fn reconfigure(&mut self, server: &BackendServer, entries: u32) -> bool {
         self.share.resize(server.slots, entries);
         let old = std::mem::replace(&mut self.server, server.clone()).listed;
         match server.listed {
-            Some(loaded) if old != Some(loaded) => self.apply_listing(loaded),
+            Some(listed) if old != Some(listed) => self.apply_listing(listed),
             _ => false,
         }
     }
 
-    /// Takes in what the platform's list says anew. Returns whether what is known of the
-    /// server's cache no longer holds.
-    pub fn apply_listing(&mut self, loaded: ListedState) -> bool {
-        if loaded.incarnation < self.incarnation {
+    /// Applies a changed entry of the platform's server list. Returns whether the cached blocks
+    /// known for the server are invalid.
+    pub fn apply_listing(&mut self, listed: ListedState) -> bool {
+        if listed.incarnation < self.incarnation {
             return false;
         }
-        let reborn = loaded.incarnation > self.incarnation;
-        // Within a life weights only become newer, and the list lags behind the answers.
-        let newer = loaded.weights > self.weights;
-        if reborn {
+        let restarted = listed.incarnation > self.incarnation;
+        // Within an incarnation the weights only get newer, and the list lags behind the answers.
+        let newer = listed.weights > self.weights;
+        if restarted {
             self.health = Health::Live;
-            self.incarnation = loaded.incarnation;
+            self.incarnation = listed.incarnation;
         }
-        if reborn || newer {
-            self.weights = loaded.weights;
-            self.held = Timestamp::ZERO;
+        if restarted || newer {
+            self.weights = listed.weights;
+            self.held_until = Timestamp::ZERO;
         }
-        reborn || newer
+        restarted || newer
     }
 
-    /// Takes in that the server is about to load weights and takes no work meanwhile, or has
-    /// loaded them. Returns whether what is known of its cache no longer holds.
+    /// Applies a notice that the server is about to load weights, and takes no requests
+    /// meanwhile, or has loaded them. Returns whether the cached blocks known for the server are
+    /// invalid.
     pub fn apply_loading(&mut self, loading: &LoadNotice, now: Timestamp) -> bool {
-        let newer = self.weights.is_none_or(|had| had < loading.weights);
+        let newer = self.weights.is_none_or(|known| known < loading.weights);
         let done = loading.duration.is_zero();
         if newer && done {
             self.weights = Some(loading.weights);
         }
         if newer || done {
-            self.held = now + loading.duration;
+            self.held_until = now + loading.duration;
         }
         newer && done
     }
 
-    /// Takes in what an answer told. Returns whether what is known of the server's cache no
-    /// longer holds.
+    /// Applies the load figures attached to an answer. Returns whether the cached blocks known
+    /// for the server are invalid.
     pub fn apply_sample(&mut self, sample: &LoadSample, now: Timestamp) -> bool {
         if let Some((running, queued)) = sample.load {
-            self.own.roll(now);
-            self.told.sample(running + queued, now);
-            let own = self.own.total().in_flight;
+            self.local.rotate(now);
+            self.reported.sample(running + queued, now);
+            let own = self.local.total().in_flight;
             self.share.observe(running + queued, own, now);
         }
-        let other = sample
+        let newer = sample
             .weights
-            .filter(|w| self.weights.is_some_and(|had| had < *w));
-        if other.is_some() {
-            // It has loaded what it was rejecting requests for.
-            self.held = Timestamp::ZERO;
+            .filter(|w| self.weights.is_some_and(|known| known < *w));
+        if newer.is_some() {
+            // The load for which the server rejected requests is complete.
+            self.held_until = Timestamp::ZERO;
         }
-        self.weights = other.or(self.weights);
-        other.is_some()
+        self.weights = newer.or(self.weights);
+        newer.is_some()
     }
 
-    /// Takes in a report.
+    /// Applies a load report. A report of an earlier incarnation is ignored.
     pub fn apply_report(&mut self, report: &LoadReport, now: Timestamp) {
         if report.incarnation < self.incarnation {
             return;
         }
         self.incarnation = report.incarnation;
         self.weights = Some(report.weights);
-        self.own.roll(now);
-        self.heard = now;
-        self.told.report(Work {
+        self.local.rotate(now);
+        self.last_report = now;
+        self.reported.report(Work {
             in_flight: report.running + report.queued,
             pending: report.pending,
         });
         self.share
-            .apply_report(report, self.own.total().in_flight, now);
+            .apply_report(report, self.local.total().in_flight, now);
         self.health = match (self.health, report.leaving) {
             (_, true) => Health::Leaving,
-            // A server that was leaving and says that it is not has been taken back.
+            // A draining server that reports that it is not draining is back in service.
             (Health::Leaving, false) => Health::Live,
             (health, false) => health,
         };
     }
 
-    /// Takes in what another entry said. Only the server's own report takes it back, and news
-    /// of an earlier incarnation is dropped.
-    pub fn apply_news(&mut self, news: &ServerUpdate) {
-        if news.status == ServerStatus::Leaving && news.incarnation >= self.incarnation {
+    /// Applies an update from another entry, unless it is of an earlier incarnation. It can only
+    /// mark the server as draining; only the server's own report can undo that.
+    pub fn apply_update(&mut self, update: &ServerUpdate) {
+        if update.status == ServerStatus::Leaving && update.incarnation >= self.incarnation {
             self.health = Health::Leaving;
         }
     }
 
-    /// Notes whether the platform lists the server as leaving. The list lags, so what the
-    /// server or an entry says counts beside it.
+    /// Sets whether the platform lists the server as draining. The list lags, so the reports of
+    /// the server and the updates of other entries count independently of it.
     pub const fn set_listed_leaving(&mut self, leaving: bool) {
-        self.listed = leaving;
+        self.listed_leaving = leaving;
     }
 
-    /// Tells whether the server is leaving, by its own word or another entry's.
+    /// Returns whether the server is draining according to its own reports or another entry.
     pub fn is_leaving(&self) -> bool {
         self.health == Health::Leaving
     }
 
-    /// Notes that a request with `owed` uncached prompt tokens is in flight here, and returns
-    /// the period that it is noted in.
-    pub fn begin(&mut self, owed: TokenCount) -> u64 {
-        self.own.begin(owed)
+    /// Records a request in flight with `pending` uncached prompt tokens, and returns the period
+    /// that it is counted in.
+    pub fn begin(&mut self, pending: TokenCount) -> u64 {
+        self.local.begin(pending)
     }
 
-    /// Notes that `owed` prompt tokens of a request were computed or will not be.
-    pub fn finish_prefill(&mut self, period: u64, owed: TokenCount) {
-        self.own.finish_prefill(period, owed);
+    /// Records that `tokens` prompt tokens of a request are computed or no longer needed.
+    pub fn finish_prefill(&mut self, period: u64, tokens: TokenCount) {
+        self.local.finish_prefill(period, tokens);
     }
 
-    /// Notes that a request that still owed some prompt tokens is no longer in flight here.
-    pub fn release(&mut self, period: u64, owed: TokenCount) {
-        self.own.finish_prefill(period, owed);
-        self.own.end(period);
+    /// Records that a request, with `pending` prompt tokens still to compute, is no longer in
+    /// flight.
+    pub fn release(&mut self, period: u64, pending: TokenCount) {
+        self.local.finish_prefill(period, pending);
+        self.local.end(period);
     }
 
-    /// Notes a failure at `now`. Returns whether what is known of its cache no longer holds.
+    /// Records a failure at `now`. Returns whether the cached blocks known for the server are
+    /// invalid.
     pub fn record_failure(&mut self, failure: &Failure, now: Timestamp) -> bool {
         match failure.kind {
-            // Its weights have changed since they were listed, or the server is another one.
+            // The weights have changed since they were listed, or this is another server.
             FailureKind::Mismatch if self.server.listed.is_some() => {
                 return match self.weights.take() {
                     Some(_) => true,
                     None => {
-                        self.suspect(now);
+                        self.mark_suspect(now);
                         false
                     }
                 };
@@ -209,81 +212,83 @@
                 self.incarnation = Incarnation::ZERO;
                 return known;
             }
-            // It has slots and rejects all the same: it is loading weights or about to leave.
-            FailureKind::Busy if failure.is_capacity_rejection() && self.has_slots(now) => {
-                self.held = now + HOLD_TIME;
+            // A rejection in spite of free slots: the server loads weights or is about to drain.
+            FailureKind::Busy if failure.is_capacity_rejection() && self.has_free_slots(now) => {
+                self.held_until = now + REJECTION_HOLD;
             }
             FailureKind::Busy if failure.is_capacity_rejection() => {
-                self.share.refused(self.in_flight(), now)
+                self.share.record_rejection(self.in_flight(), now)
             }
-            // A silent connection says nothing of the server: something between the two ends
-            // may have lost track of it while new connections work.
+            // A silent connection is no evidence against the server: a middlebox may have dropped
+            // the connection while new ones work.
             FailureKind::Busy | FailureKind::Silent | FailureKind::Declined => {}
             FailureKind::Unreachable | FailureKind::Broken | FailureKind::Faulty => {
-                self.suspect(now);
+                self.mark_suspect(now);
             }
         }
         false
     }
 
-    /// Notes an answer that was complete after `time`, which ends a suspicion.
+    /// Records an answer that was complete after `time`. This ends a suspicion.
     pub fn record_success(&mut self, time: Duration, now: Timestamp) {
-        self.stay = (self.stay * (STAY_MEMORY - 1) + time) / STAY_MEMORY;
+        self.service_time =
+            (self.service_time * (SERVICE_TIME_WINDOW - 1) + time) / SERVICE_TIME_WINDOW;
         let in_flight = self.in_flight();
-        self.share.answered(in_flight, now);
+        self.share.record_success(in_flight, now);
         if self.health == Health::Suspect {
             self.health = Health::Live;
         }
     }
 
-    /// Returns whether the server may be given work, as far as that is known.
+    /// Returns the health state, with the server's configuration and the platform's list
+    /// included.
     pub const fn health(&self) -> Health {
-        match self.server.leaving || self.listed {
+        match self.server.leaving || self.listed_leaving {
             true => Health::Leaving,
             false => self.health,
         }
     }
 
-    /// Tells whether the server may be given new work at `now`.
+    /// Returns whether the server may get new requests at `now`.
     pub fn accepts(&self, now: Timestamp) -> bool {
         match self.health() {
-            Health::Live => now >= self.held,
-            Health::Suspect => now > self.retry_at && now >= self.held,
+            Health::Live => now >= self.held_until,
+            Health::Suspect => now > self.retry_at && now >= self.held_until,
             Health::Leaving => false,
         }
     }
 
-    /// Tells whether this entry may fill one more slot here. `owed` lets drafting have the
-    /// slots that it otherwise leaves to urgent work.
-    pub fn has_capacity(&self, rank: Rank, owed: bool, now: Timestamp) -> bool {
+    /// Returns whether this entry may send one more request of `rank`. With `has_credit`, a
+    /// drafting request may use the slots that are otherwise reserved for urgent ones.
+    pub fn has_capacity(&self, rank: Rank, has_credit: bool, now: Timestamp) -> bool {
         let reserve = self.server.slots * URGENT_RESERVE / 100;
-        // The server lets urgent work that waits in it go before the drafting of others.
-        let over = if rank == Rank::Urgent { reserve } else { 0 };
-        let room = self.share.allows(self.in_flight(), over, now);
-        let kept = match rank {
-            Rank::Drafting if !owed => reserve,
+        // The server runs queued urgent requests before the drafting requests of other entries.
+        let extra = if rank == Rank::Urgent { reserve } else { 0 };
+        let allowed = self.share.allows(self.in_flight(), extra, now);
+        let reserved = match rank {
+            Rank::Drafting if !has_credit => reserve,
             Rank::Drafting | Rank::Urgent => 0,
         };
-        room && (kept == 0 || self.load(now) + kept < self.server.slots)
+        allowed && (reserved == 0 || self.load(now) + reserved < self.server.slots)
     }
 
-    /// Returns when a server that failed or refused is tried again.
+    /// Returns when a server that failed or rejected a request is tried again.
     pub fn retry_at(&self) -> Option<Timestamp> {
         match self.health {
             Health::Suspect => Some(self.retry_at),
-            Health::Live => self.share.paused().max(Some(self.held)),
+            Health::Live => self.share.paused().max(Some(self.held_until)),
             Health::Leaving => None,
         }
     }
 
-    /// Returns the requests of this entry in flight here.
+    /// Returns the number of this entry's requests in flight at the server.
     pub fn in_flight(&self) -> u32 {
-        self.own.total().in_flight
+        self.local.total().in_flight
     }
 
-    /// Tells whether the server used to report and has stopped. It may be dead or cut off.
+    /// Returns whether the server used to report and has stopped. It may be down or unreachable.
     pub fn is_stale(&self, now: Timestamp) -> bool {
-        self.heard > Timestamp::ZERO && now.since(self.heard) > QUIET_TIME
+        self.last_report > Timestamp::ZERO && now.since(self.last_report) > REPORT_TIMEOUT
     }
 
     /// Returns the number of entries that share the server.
@@ -291,47 +296,51 @@
         self.share.entries()
     }
 
-    /// Returns the prompt tokens ahead of a new request, as far as they are known.
+    /// Returns an estimate of the prompt tokens to be computed before a new request starts.
     pub fn pending_tokens(&self) -> TokenCount {
-        let seen = self.told.pending().max(self.own.seen().pending);
-        // What this entry sent since the report, the other entries are taken to have sent
-        // too: all choose by the same report, and must not all choose the same server.
-        let unseen = self.own.unseen().pending.get();
-        seen + TokenCount::new(unseen.saturating_mul(u64::from(self.unseen_weight())))
+        let reported = self.reported.pending().max(self.local.reported().pending);
+        // The other entries are assumed to have sent as much since the report as this one: all
+        // choose by the same report, and must not all choose the same server.
+        let unreported = self.local.unreported().pending.get();
+        reported + TokenCount::new(unreported.saturating_mul(u64::from(self.unreported_weight())))
     }
 
-    /// Returns how many times this entry's unseen work is counted. Where each answer tells of
-    /// the load, little is unseen, and other entries are as likely to have chosen other servers.
-    fn unseen_weight(&self) -> u32 {
+    /// Returns the factor by which this entry's unreported work is multiplied. If each answer
+    /// carries the load, little is unreported, and the other entries are as likely to have chosen
+    /// other servers.
+    fn unreported_weight(&self) -> u32 {
         match self.server.listed {
-            Some(_) => self.share.entries().min(UNSEEN_WEIGHT_MAX),
+            Some(_) => self.share.entries().min(MAX_UNREPORTED_WEIGHT),
             None => self.share.entries(),
         }
     }
 
-    /// Returns the time until a slot is free for a new request, as far as it is known.
+    /// Returns an estimate of the time until a slot is free for a new request.
     pub fn slot_wait(&self, now: Timestamp) -> Duration {
         let slots = self.server.slots.max(1);
-        let over = (self.load(now) + 1).saturating_sub(slots);
-        // Slots come free one after the other, evenly over the time that a request stays.
-        self.stay * over / slots
+        let excess = (self.load(now) + 1).saturating_sub(slots);
+        // Assumes that the slots become free one by one, evenly spread over the service time.
+        self.service_time * excess / slots
     }
 
-    /// Returns the requests that the server runs or holds, as far as they are known.
+    /// Returns an estimate of the number of requests running or queued at the server.
     pub fn load(&self, now: Timestamp) -> u32 {
-        let seen = self.told.in_flight(now).max(self.own.seen().in_flight);
-        seen + self.own.unseen().in_flight * self.unseen_weight()
+        let reported = self
+            .reported
+            .in_flight(now)
+            .max(self.local.reported().in_flight);
+        reported + self.local.unreported().in_flight * self.unreported_weight()
     }
 
-    /// Tells whether a listed server should have slots, as far as its load is known.
-    fn has_slots(&self, now: Timestamp) -> bool {
+    /// Returns whether a listed server has free slots by the load estimate.
+    fn has_free_slots(&self, now: Timestamp) -> bool {
         self.server.listed.is_some() && self.load(now) < self.server.slots
     }
 
-    fn suspect(&mut self, now: Timestamp) {
+    fn mark_suspect(&mut self, now: Timestamp) {
         if self.health != Health::Leaving {
             self.health = Health::Suspect;
-            self.retry_at = now + SUSPECT_TIME;
+            self.retry_at = now + SUSPECT_TIMEOUT;
         }
     }
 }
--- a/azureway-core/src/fleet/server_table.rs
+++ b/azureway-core/src/fleet/server_table.rs
@@ -1,4 +1,4 @@
-//! The backend servers by pool and name.
+//! The runtime states of the backend servers, by pool and name.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -7,12 +7,12 @@
 use crate::domain::{PoolId, ServerId, Timestamp};
 use crate::member::{LoadNotice, ServerUpdate};
 
-/// What is known of every backend server. The servers of a pool stand side by side, in the
-/// order of their names.
+/// The runtime state of every backend server. The servers of a pool are stored contiguously, in
+/// the order of their names.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
     servers: Vec<ServerState>,
-    places: HashMap<ServerId, usize>,
+    positions: HashMap<ServerId, usize>,
     pools: HashMap<PoolId, Range<usize>>,
     entries: u32,
     leaving: Vec<ServerId>,
@@ -27,32 +27,32 @@
         }
     }
 
-    /// Takes over the servers of a new configuration and keeps what is known of old ones.
-    /// Returns the servers of which nothing holds any more.
+    /// Applies the servers of a new configuration and keeps the states of those that remain.
+    /// Returns the servers whose known cached blocks are invalid.
     pub fn reconfigure(&mut self, fleet: &Fleet) -> Vec<ServerId> {
         let entries = self.entries;
         let old = std::mem::take(&mut self.servers);
         let mut old: HashMap<_, _> = old.into_iter().map(|s| (s.server.id.clone(), s)).collect();
-        let mut gone = Vec::new();
+        let mut invalidated = Vec::new();
         for (id, server) in &fleet.servers {
-            // Another address means another process: nothing that was known holds for it.
+            // A changed address means another process: the old state does not apply to it.
             let kept = old.remove(id);
             let kept = kept.filter(|s| {
                 let same = s.server.address == server.address;
-                gone.extend((!same).then(|| id.clone()));
+                invalidated.extend((!same).then(|| id.clone()));
                 same
             });
             let mut state = kept.unwrap_or_else(|| ServerState::new(server.clone(), entries));
-            gone.extend(state.reconfigure(server, entries).then(|| id.clone()));
+            invalidated.extend(state.reconfigure(server, entries).then(|| id.clone()));
             state.set_listed_leaving(self.leaving.contains(id));
             self.servers.push(state);
         }
-        gone.extend(old.into_keys());
-        self.arrange();
-        gone
+        invalidated.extend(old.into_keys());
+        self.rebuild_indexes();
+        invalidated
     }
 
-    /// Sets the number of live entries that share the servers, with this one.
+    /// Sets the number of live entries that share the servers, including this one.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
         for state in &mut self.servers {
@@ -66,29 +66,29 @@
         self.entries
     }
 
-    /// Takes in a report. Returns the pool of the server.
+    /// Applies a load report. Returns the pool of the server, if the server is known.
     pub fn apply_report(&mut self, report: &LoadReport, now: Timestamp) -> Option<&PoolId> {
         let state = self.get_mut(&report.server)?;
         state.apply_report(report, now);
         Some(&state.server.pool)
     }
 
-    /// Takes in what another entry said of a server.
-    pub fn apply_news(&mut self, news: &ServerUpdate) {
-        if let Some(state) = self.get_mut(&news.server) {
-            state.apply_news(news);
+    /// Applies an update about a server from another entry.
+    pub fn apply_update(&mut self, update: &ServerUpdate) {
+        if let Some(state) = self.get_mut(&update.server) {
+            state.apply_update(update);
         }
     }
 
-    /// Takes in that a server is about to load weights or has loaded them. Returns whether
-    /// what is known of its cache no longer holds.
+    /// Applies a notice that a server is about to load weights or has loaded them. Returns
+    /// whether the cached blocks known for the server are invalid.
     pub fn apply_loading(&mut self, loading: &LoadNotice, now: Timestamp) -> bool {
         let state = self.get_mut(&loading.server);
         state.is_some_and(|s| s.apply_loading(loading, now))
     }
 
-    /// Notes which servers the platform lists as leaving, also for those that a later
-    /// configuration brings.
+    /// Sets which servers the platform lists as draining, including servers that only a later
+    /// configuration adds.
     pub fn set_listed_leaving(&mut self, list: &[ServerId]) {
         self.leaving = list.to_vec();
         for state in &mut self.servers {
@@ -96,49 +96,51 @@
         }
     }
 
-    /// Returns the time, not before `now`, at which the next suspected server is tried again.
+    /// Returns the earliest time, not before `now`, at which a server is tried again after a
+    /// failure or rejection.
     pub fn next_retry(&self, now: Timestamp) -> Option<Timestamp> {
         let times = self.servers.iter().filter_map(ServerState::retry_at);
         times.filter(|t| *t >= now).min()
     }
 
-    /// Returns a server.
+    /// Returns the state of a server.
     pub fn get(&self, id: &ServerId) -> Option<&ServerState> {
-        self.places.get(id).map(|place| &self.servers[*place])
+        self.positions.get(id).map(|i| &self.servers[*i])
     }
 
-    /// Returns a server, to be changed.
+    /// Returns the state of a server for modification.
     pub fn get_mut(&mut self, id: &ServerId) -> Option<&mut ServerState> {
-        self.places.get(id).map(|place| &mut self.servers[*place])
+        self.positions.get(id).map(|i| &mut self.servers[*i])
     }
 
-    /// Returns all servers.
+    /// Returns the states of all servers.
     pub fn iter(&self) -> impl Iterator<Item = &ServerState> {
         self.servers.iter()
     }
 
-    /// Returns the servers of a pool in the order of their names.
+    /// Returns the states of a pool's servers in the order of their names.
     pub fn in_pool(&self, pool: &PoolId) -> std::slice::Iter<'_, ServerState> {
         let range = self.pools.get(pool).cloned().unwrap_or_default();
         self.servers[range].iter()
     }
 
-    /// Tells whether every server of a pool refuses a second call with the same key by itself.
+    /// Returns whether the pool has servers and each of them rejects a second request with the
+    /// same idempotency key.
     pub fn all_keyed(&self, pool: &PoolId) -> bool {
         let mut servers = self.in_pool(pool).peekable();
         servers.peek().is_some() && servers.all(|s| s.server.deduplicates)
     }
 
-    fn arrange(&mut self) {
-        // The sort is stable, so that the names stay in order within a pool.
+    fn rebuild_indexes(&mut self) {
+        // The sort is stable, so names stay in order within a pool.
         self.servers
             .sort_by(|a, b| a.server.pool.cmp(&b.server.pool));
-        let names = self.servers.iter().map(|s| s.server.id.clone());
-        self.places = names.enumerate().map(|(place, id)| (id, place)).collect();
+        let ids = self.servers.iter().map(|s| s.server.id.clone());
+        self.positions = ids.enumerate().map(|(i, id)| (id, i)).collect();
         self.pools.clear();
-        for (place, state) in self.servers.iter().enumerate() {
+        for (position, state) in self.servers.iter().enumerate() {
             let range = self.pools.entry(state.server.pool.clone());
-            range.or_insert(place..place).end = place + 1;
+            range.or_insert(position..position).end = position + 1;
         }
     }
 }
--- a/azureway-core/src/fleet/slot_share.rs
+++ b/azureway-core/src/fleet/slot_share.rs
@@ -1,104 +1,105 @@
-//! The part of a backend server's slots that this entry may fill.
+//! The share of a backend server's slots that this entry may fill.
 
 use std::time::Duration;
 
 use super::LoadReport;
 use crate::domain::Timestamp;
 
-/// How long a report bounds the share. After it the entry falls back to an equal part.
-const REPORT_LIFE: Duration = Duration::from_secs(2);
-/// How long nothing is sent to a server that refused for lack of room.
-const PAUSE: Duration = Duration::from_millis(100);
+/// How long a load figure bounds the share. After that, a share below the equal one rises to it.
+const REPORT_LIFETIME: Duration = Duration::from_secs(2);
+/// How long this entry sends nothing to a server that rejected a request for lack of capacity.
+const REJECTION_PAUSE: Duration = Duration::from_millis(100);
 
-/// The part of a backend server's slots that this entry may fill.
+/// The share of a backend server's slots that this entry may fill.
 ///
-/// Entries that share a server agree without messages: each starts with an equal part and
-/// adapts it to what the server says. Free slots are divided by the number of entries, an
-/// entry below its equal part may always grow to it, and one above gives back what the
-/// others have taken. After a refusal for lack of room the entry sends
-/// nothing for a moment.
+/// Entries share a server without exchanging messages: each starts with an equal share and
+/// adapts it to the load that the server reports. Free slots are divided by the number of
+/// entries. An entry below its equal share may always grow to it, and one above gives back the
+/// slots that others have taken. After a rejection for lack of capacity, the entry pauses.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotShare {
     slots: u32,
     entries: u32,
-    bound: u32,
+    limit: u32,
+    /// This entry's requests at the time of the last load figure.
     own: u32,
-    heard: Option<Timestamp>,
+    updated: Option<Timestamp>,
     paused: Option<Timestamp>,
 }
 
 impl SlotShare {
-    /// Creates the equal part of `slots` slots for one of `entries` entries.
+    /// Creates an equal share of `slots` slots for one of `entries` entries.
     pub fn new(slots: u32, entries: u32) -> Self {
         let mut share = Self {
             slots,
             entries: entries.max(1),
-            bound: 0,
+            limit: 0,
             own: 0,
-            heard: None,
+            updated: None,
             paused: None,
         };
-        share.bound = share.equal();
+        share.limit = share.equal_share();
         share
     }
 
-    /// Takes over a changed number of slots or entries.
+    /// Resets the share if the number of slots or entries has changed.
     pub fn resize(&mut self, slots: u32, entries: u32) {
         if (slots, entries) != (self.slots, self.entries) {
             *self = Self::new(slots, entries);
         }
     }
 
-    /// Takes in a report. `own` is the number of this entry's requests there.
+    /// Adapts the share to a load report. `own` is the number of this entry's requests there.
     pub fn apply_report(&mut self, report: &LoadReport, own: u32, now: Timestamp) {
         self.observe(report.running + report.queued, own, now);
     }
 
-    /// Takes in the number of requests that the server runs or holds, from all entries.
+    /// Adapts the share to `load`, the requests running or queued at the server from all entries.
+    /// `own` is the number of this entry's requests there.
     pub fn observe(&mut self, load: u32, own: u32, now: Timestamp) {
-        // The number lags: what it holds of this entry is what was there when the last came.
+        // The load lags: it includes this entry's requests as of the previous load figure.
         let others = load.saturating_sub(self.own);
         let free = self.slots.saturating_sub(own + others);
-        self.heard = Some(now);
+        self.updated = Some(now);
         self.own = own;
-        // Where the server is overfilled, this leaves the others what they have.
+        // If the server is over capacity, leaves the other entries the slots they hold.
         let own = own.min(self.slots.saturating_sub(others));
-        let bound = own + free.div_ceil(self.entries);
-        self.bound = bound.max(self.equal()).min(self.slots);
+        let limit = own + free.div_ceil(self.entries);
+        self.limit = limit.max(self.equal_share()).min(self.slots);
     }
 
-    /// Notes that the server refused for lack of room while `in_flight` requests were there.
-    pub fn refused(&mut self, in_flight: u32, now: Timestamp) {
-        self.bound = self.bound.min(in_flight.max(1));
-        self.paused = Some(now + PAUSE);
+    /// Records a rejection for lack of capacity while this entry had `in_flight` requests there.
+    pub fn record_rejection(&mut self, in_flight: u32, now: Timestamp) {
+        self.limit = self.limit.min(in_flight.max(1));
+        self.paused = Some(now + REJECTION_PAUSE);
     }
 
-    /// Notes a good end while `in_flight` requests are left. Without reports it is the only
-    /// sign that the server takes more.
-    pub fn answered(&mut self, in_flight: u32, now: Timestamp) {
-        if !self.is_fresh(now) && in_flight + 1 >= self.bound {
-            self.bound = (self.bound + 1).min(self.slots);
+    /// Records a success that leaves `in_flight` requests there. Without fresh load figures this
+    /// is the only evidence that the server can take more.
+    pub fn record_success(&mut self, in_flight: u32, now: Timestamp) {
+        if !self.is_fresh(now) && in_flight + 1 >= self.limit {
+            self.limit = (self.limit + 1).min(self.slots);
         }
     }
 
-    /// Tells whether this entry may add to the `in_flight` requests that it has there, up to
-    /// `over` beyond its part but never beyond the slots.
-    pub fn allows(&self, in_flight: u32, over: u32, now: Timestamp) -> bool {
-        let bound = (self.bound(now) + over).min(self.slots);
-        self.paused.is_none_or(|end| end < now) && in_flight < bound
+    /// Returns whether this entry may add to its `in_flight` requests there. It may exceed its
+    /// share by `extra` requests, but never the slots of the server.
+    pub fn allows(&self, in_flight: u32, extra: u32, now: Timestamp) -> bool {
+        let limit = (self.limit(now) + extra).min(self.slots);
+        self.paused.is_none_or(|end| end < now) && in_flight < limit
     }
 
-    /// Returns the end of the pause after the last refusal.
+    /// Returns the end of the pause after the last rejection.
     pub const fn paused(&self) -> Option<Timestamp> {
         self.paused
     }
 
-    /// Returns the requests that this entry may have there at once.
-    pub fn bound(&self, now: Timestamp) -> u32 {
-        if self.heard.is_some() && !self.is_fresh(now) {
-            self.bound.max(self.equal())
+    /// Returns the maximum number of requests that this entry may have there at once.
+    pub fn limit(&self, now: Timestamp) -> u32 {
+        if self.updated.is_some() && !self.is_fresh(now) {
+            self.limit.max(self.equal_share())
         } else {
-            self.bound
+            self.limit
         }
     }
 
@@ -107,11 +108,12 @@
         self.entries
     }
 
-    fn equal(&self) -> u32 {
+    fn equal_share(&self) -> u32 {
         self.slots.div_ceil(self.entries)
     }
 
     fn is_fresh(&self, now: Timestamp) -> bool {
-        self.heard.is_some_and(|at| now.since(at) < REPORT_LIFE)
+        self.updated
+            .is_some_and(|at| now.since(at) < REPORT_LIFETIME)
     }
 }
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -65,7 +65,7 @@
             Event::ZoneEntries(count) => self.sender.servers_mut().set_entries(count),
             Event::ListedEntries(count) => self.list(count),
             Event::Demand(demand) => self.limits.share_mut().hear(demand, now),
-            Event::Server(news) => self.sender.servers_mut().apply_news(news),
+            Event::Server(news) => self.sender.servers_mut().apply_update(news),
             Event::Loading(loading) => {
                 self.sender.load(loading, now);
                 self.queues.mark_all();
--- a/azureway-core/tests/sharing.rs
+++ b/azureway-core/tests/sharing.rs
@@ -115,7 +115,7 @@
             for (share, own) in shares.iter_mut().zip(&mut flights) {
                 share.apply_report(&report, *own, now);
                 // What is over the part ends; what is below it is filled.
-                *own = share.bound(now);
+                *own = share.limit(now);
                 prop_assert!(*own <= slots, "more than all slots");
             }
         }
