--- a/azureway-core/src/admit/limits.rs
+++ b/azureway-core/src/admit/account_limits.rs
@@ -3,27 +3,27 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{Allowance, Demand, DemandMeter, DemandShare};
+use super::{Demand, DemandMeter, LimitShare, TokenBucket};
 use crate::domain::{AccountId, ClientAccount, InstanceId, Timestamp, TokenCount, TokenRate};
 
 /// The limits of client accounts at this entry, which hold over all entries.
 #[derive(Clone, Debug, Default)]
-pub struct Limits {
-    accounts: HashMap<AccountId, (DemandMeter, Allowance)>,
-    share: DemandShare,
+pub struct AccountLimits {
+    accounts: HashMap<AccountId, (DemandMeter, TokenBucket)>,
+    share: LimitShare,
 }
 
-impl Limits {
+impl AccountLimits {
     /// Creates limits for a single entry.
     pub fn new() -> Self {
         Self {
             accounts: HashMap::new(),
-            share: DemandShare::new(),
+            share: LimitShare::new(),
         }
     }
 
     /// Returns how limits are shared with the other entries.
-    pub fn share_mut(&mut self) -> &mut DemandShare {
+    pub fn share_mut(&mut self) -> &mut LimitShare {
         &mut self.share
     }
 
@@ -47,7 +47,7 @@
         let entry = self.accounts.entry(account.id.clone());
         let (meter, allowance) = entry.or_insert_with(|| {
             let rate = limit * share.part(&account.id, 0.0, now);
-            (DemandMeter::new(), Allowance::new(rate, now))
+            (DemandMeter::new(), TokenBucket::new(rate, now))
         });
         meter.add(cost, now);
         let rate = limit * share.part(&account.id, meter.rate(now), now);
--- a/azureway-core/src/admit/blocked.rs
+++ b/azureway-core/src/admit/blocked_classes.rs
@@ -2,23 +2,23 @@
 
 use smallvec::SmallVec;
 
-use super::{Queued, ServiceClass};
+use super::{QueuedRequest, ServiceClass};
 use crate::domain::Rank;
 
 /// The classes, by rank, for which no backend server has room at the moment.
 #[derive(Clone, Debug, Default)]
-pub struct Blocked {
+pub struct BlockedClasses {
     classes: SmallVec<[(Rank, ServiceClass); 4]>,
 }
 
-impl Blocked {
+impl BlockedClasses {
     /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Adds the class of a request that found no room.
-    pub fn add(&mut self, queued: &Queued) {
+    pub fn add(&mut self, queued: &QueuedRequest) {
         let class = ServiceClass::of(&queued.request);
         self.classes.push((queued.request.rank, class));
     }
--- a/azureway-core/src/admit/fair_queue.rs
+++ b/azureway-core/src/admit/fair_queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use super::{Blocked, Queued, ServiceClass};
+use super::{BlockedClasses, QueuedRequest, ServiceClass};
 use crate::domain::{AccountId, Rank, RequestId, Timestamp};
 
 /// The place of a request in its class: its virtual start, then its identity.
@@ -18,7 +18,7 @@
 pub struct FairQueue {
     clock: u64,
     finish: HashMap<AccountId, u64>,
-    classes: BTreeMap<ServiceClass, BTreeMap<Place, Queued>>,
+    classes: BTreeMap<ServiceClass, BTreeMap<Place, QueuedRequest>>,
     places: HashMap<RequestId, (ServiceClass, u64)>,
     deadlines: BTreeSet<(Timestamp, RequestId)>,
     backlog: u64,
@@ -62,7 +62,7 @@
     }
 
     /// Adds a request.
-    pub fn push(&mut self, mut queued: Queued) {
+    pub fn push(&mut self, mut queued: QueuedRequest) {
         let account = queued.request.account.clone();
         queued.start = self.start_of(&account);
         self.finish.insert(account, queued.start + queued.charge());
@@ -76,7 +76,7 @@
     }
 
     /// Returns the request that goes first among the classes that are not blocked.
-    pub fn peek(&self, rank: Rank, blocked: &Blocked) -> Option<&Queued> {
+    pub fn peek(&self, rank: Rank, blocked: &BlockedClasses) -> Option<&QueuedRequest> {
         let open = self
             .classes
             .iter()
@@ -86,7 +86,7 @@
     }
 
     /// Takes out a request that is served now.
-    pub fn take(&mut self, id: RequestId) -> Option<Queued> {
+    pub fn take(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let queued = self.pull(id)?;
         self.clock = self.clock.max(queued.start);
         if self.is_empty() {
@@ -97,7 +97,7 @@
     }
 
     /// Takes out a request that is not served, and gives its account the charge back.
-    pub fn remove(&mut self, id: RequestId) -> Option<Queued> {
+    pub fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let queued = self.pull(id)?;
         if let Some(finish) = self.finish.get_mut(&queued.request.account) {
             *finish = finish.saturating_sub(queued.charge());
@@ -106,7 +106,7 @@
     }
 
     /// Takes out every request whose deadline lies before `now`.
-    pub fn expire(&mut self, now: Timestamp) -> Vec<Queued> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<QueuedRequest> {
         let mut late = Vec::new();
         while let Some(&(deadline, id)) = self.deadlines.first() {
             if deadline >= now {
@@ -122,7 +122,7 @@
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    fn pull(&mut self, id: RequestId) -> Option<Queued> {
+    fn pull(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let (class, start) = self.places.remove(&id)?;
         let order = self.classes.get_mut(&class)?;
         let queued = order.remove(&(start, id))?;
--- a/azureway-core/src/admit/demand_share.rs
+++ b/azureway-core/src/admit/limit_share.rs
@@ -14,7 +14,7 @@
 /// within the limit, whichever way a partition runs. An entry that has fallen silent keeps
 /// its part until the platform no longer lists it, since it may well be serving.
 #[derive(Clone, Debug, Default)]
-pub struct DemandShare {
+pub struct LimitShare {
     entries: u32,
     heard: HashMap<InstanceId, Heard>,
 }
@@ -27,7 +27,7 @@
 /// How long what an entry said counts.
 const DEMAND_LIFE: Duration = Duration::from_secs(5);
 
-impl DemandShare {
+impl LimitShare {
     /// Creates the share of a single entry.
     pub fn new() -> Self {
         Self {
--- a/azureway-core/src/admit/mod.rs
+++ b/azureway-core/src/admit/mod.rs
@@ -1,25 +1,25 @@
 //! Which request is served next.
 
-mod admission;
-mod allowance;
-mod blocked;
+mod account_limits;
+mod blocked_classes;
 mod demand;
 mod demand_meter;
-mod demand_share;
 mod fair_queue;
-mod limits;
-mod queued;
+mod limit_share;
+mod pool_queue;
+mod queued_request;
 mod service_class;
 mod service_rate;
+mod token_bucket;
 
-pub use admission::Admission;
-pub use allowance::Allowance;
-pub use blocked::Blocked;
+pub use account_limits::AccountLimits;
+pub use blocked_classes::BlockedClasses;
 pub use demand::Demand;
 pub use demand_meter::DemandMeter;
-pub use demand_share::DemandShare;
 pub use fair_queue::FairQueue;
-pub use limits::Limits;
-pub use queued::Queued;
+pub use limit_share::LimitShare;
+pub use pool_queue::PoolQueue;
+pub use queued_request::QueuedRequest;
 pub use service_class::ServiceClass;
 pub use service_rate::ServiceRate;
+pub use token_bucket::TokenBucket;
--- a/azureway-core/src/admit/admission.rs
+++ b/azureway-core/src/admit/pool_queue.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use super::{Blocked, FairQueue, Queued, ServiceRate};
+use super::{BlockedClasses, FairQueue, QueuedRequest, ServiceRate};
 use crate::domain::{Rank, Request, RequestId, Timestamp};
 
 /// The requests that wait for one pool: urgent work first, with a floor for drafting.
 ///
-/// A request is looked at with [`Admission::peek`] and leaves only with [`Admission::take`],
+/// A request is looked at with [`PoolQueue::peek`] and leaves only with [`PoolQueue::take`],
 /// once a backend server has been found, so that nothing has to be put back.
 #[derive(Debug, Default)]
-pub struct Admission {
+pub struct PoolQueue {
     queues: [FairQueue; 2],
     floor: u8,
     /// What drafting is owed, in hundredths of a token.
@@ -24,7 +24,7 @@
 /// costs more.
 const CREDIT_MAX: u64 = 10_000_000;
 
-impl Admission {
+impl PoolQueue {
     /// Creates an empty order in which drafting keeps `floor` percent of the work.
     pub fn new(floor: u8) -> Self {
         Self {
@@ -79,7 +79,7 @@
     }
 
     /// Adds a request at `now`.
-    pub fn push(&mut self, mut queued: Queued, now: Timestamp) {
+    pub fn push(&mut self, mut queued: QueuedRequest, now: Timestamp) {
         queued.since = now;
         if self.is_empty() {
             self.pace.begin(now);
@@ -88,7 +88,7 @@
     }
 
     /// Returns the request that goes next among the classes that are not blocked.
-    pub fn peek(&self, blocked: &Blocked) -> Option<&Queued> {
+    pub fn peek(&self, blocked: &BlockedClasses) -> Option<&QueuedRequest> {
         let drafting = self.first(Rank::Drafting, blocked);
         let owed = drafting.filter(|q| self.is_owed(&q.request));
         owed.or_else(|| self.first(Rank::Urgent, blocked))
@@ -101,7 +101,7 @@
     }
 
     /// Takes out a request that is served at `now`.
-    pub fn take(&mut self, id: RequestId, now: Timestamp) -> Option<Queued> {
+    pub fn take(&mut self, id: RequestId, now: Timestamp) -> Option<QueuedRequest> {
         let queued = self.queues.iter_mut().find_map(|q| q.take(id))?;
         let cost = queued.request.cost().get();
         if queued.since < now {
@@ -119,12 +119,12 @@
     }
 
     /// Takes out a request that is not served.
-    pub fn remove(&mut self, id: RequestId) -> Option<Queued> {
+    pub fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         self.queues.iter_mut().find_map(|q| q.remove(id))
     }
 
     /// Takes out every request whose deadline lies before `now`.
-    pub fn expire(&mut self, now: Timestamp) -> Vec<Queued> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<QueuedRequest> {
         self.queues.iter_mut().flat_map(|q| q.expire(now)).collect()
     }
 
@@ -133,13 +133,13 @@
         self.queues.iter().filter_map(FairQueue::earliest).min()
     }
 
-    fn first(&self, rank: Rank, blocked: &Blocked) -> Option<&Queued> {
+    fn first(&self, rank: Rank, blocked: &BlockedClasses) -> Option<&QueuedRequest> {
         self.queues[rank.index()].peek(rank, blocked)
     }
 
     /// Notes what drafting is owed when urgent work of `cost` goes first.
     fn earn(&mut self, cost: u64) {
-        let first = self.first(Rank::Drafting, &Blocked::new());
+        let first = self.first(Rank::Drafting, &BlockedClasses::new());
         let bound = CREDIT_MAX.max(first.map_or(0, |q| self.price(&q.request)));
         let earned = cost * u64::from(self.floor);
         self.credit = (self.credit + earned).min(bound);
--- a/azureway-core/src/admit/queued.rs
+++ b/azureway-core/src/admit/queued_request.rs
@@ -5,7 +5,7 @@
 
 /// A request that waits, with its place in the fair order.
 #[derive(Clone, Debug)]
-pub struct Queued {
+pub struct QueuedRequest {
     /// The virtual time at which the request starts, in weighted tokens.
     pub start: u64,
     /// Since when it waits.
@@ -18,7 +18,7 @@
     pub request: Request,
 }
 
-impl Queued {
+impl QueuedRequest {
     /// Creates a request that waits for its first try.
     pub fn new(request: Request, weight: u32) -> Self {
         let plan = AttemptPlan::first(request.id);
--- a/azureway-core/src/admit/allowance.rs
+++ b/azureway-core/src/admit/token_bucket.rs
@@ -10,7 +10,7 @@
 /// A request is let in while the bucket is not in debt, and may then put it into debt, so
 /// that a request larger than the bucket is not refused for ever.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowance {
+pub struct TokenBucket {
     level: f64,
     at: Timestamp,
 }
@@ -18,7 +18,7 @@
 /// The time whose share of the limit a bucket holds at most, in seconds.
 const BURST: f64 = 2.0;
 
-impl Allowance {
+impl TokenBucket {
     /// Creates a full bucket for `rate` tokens a second.
     pub fn new(rate: f64, now: Timestamp) -> Self {
         Self {
--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -1,6 +1,6 @@
 //! The commonly used types, for a glob import.
 
-pub use crate::admit::{Admission, Demand, DemandShare, FairQueue, Limits};
+pub use crate::admit::{AccountLimits, Demand, FairQueue, LimitShare, PoolQueue};
 pub use crate::cache::{Block, BlockChain, BlockKey, CacheIndex, CacheOp, CacheUpdate, Salt};
 pub use crate::claim::{
     ClaimAsk, ClaimAsking, ClaimBook, ClaimCall, ClaimName, ClaimNews, ClaimNonce, ClaimRecord,
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -3,7 +3,7 @@
 use super::{
     Dispatcher, InFlight, Intake, PlacementRequest, Queues, Retries, Retry, RouterConfig, Verdict,
 };
-use crate::admit::{Blocked, Limits, Queued};
+use crate::admit::{AccountLimits, BlockedClasses, QueuedRequest};
 use crate::claim::{ClaimBook, ClaimNews, ClaimVerdict};
 use crate::domain::{Attempt, Refusal, RefusalReason, Request, RequestId, Timestamp};
 use crate::event::{Action, Event, Failure, Finish};
@@ -18,7 +18,7 @@
     pub(super) config: RouterConfig,
     pub(super) fleet: Fleet,
     pub(super) sender: Dispatcher<P>,
-    pub(super) limits: Limits,
+    pub(super) limits: AccountLimits,
     pub(super) queues: Queues,
     pub(super) claims: ClaimBook,
     pub(super) retries: Retries,
@@ -37,7 +37,7 @@
             config,
             fleet: Fleet::new(),
             sender: Dispatcher::new(policy),
-            limits: Limits::new(),
+            limits: AccountLimits::new(),
             queues: Queues::new(),
             claims: ClaimBook::new(),
             tally: OutcomeTally::new(),
@@ -113,7 +113,7 @@
         let account = self.fleet.accounts.get(&request.account);
         if let (Some(service), Some(account)) = (service, account) {
             self.budgets.of(&service.pool, now).earn();
-            let queued = Queued::new(request.clone(), account.weight);
+            let queued = QueuedRequest::new(request.clone(), account.weight);
             self.queues.push(service.pool.clone(), queued, now);
         } else {
             let detail = "the configuration no longer has the service or the client account";
@@ -186,7 +186,7 @@
         let account = self.fleet.accounts.get(&flight.request.account);
         let weight = account.map_or(1, |a| a.weight);
         let (pool, plan) = (flight.pool.clone(), flight.bounce());
-        let queued = Queued::again(flight.request, weight, plan);
+        let queued = QueuedRequest::again(flight.request, weight, plan);
         self.queues.push(pool, queued, now);
     }
 
@@ -236,7 +236,7 @@
     /// Sends requests that wait, pool by pool, for as long as there is a server for the next.
     fn pump(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         while let Some(pool) = self.queues.next_marked() {
-            let mut blocked = Blocked::new();
+            let mut blocked = BlockedClasses::new();
             while let Some((queued, owed)) = self.queues.peek(&pool, &blocked) {
                 let queued = queued.clone();
                 if self.dispatch(
--- a/azureway-core/src/router/intake.rs
+++ b/azureway-core/src/router/intake.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Queues, Verdict};
-use crate::admit::{Admission, Limits};
+use crate::admit::{AccountLimits, PoolQueue};
 use crate::domain::{ClientAccount, ModelService, Refusal, RefusalReason, Request, Timestamp};
 use crate::fleet::Fleet;
 use crate::quarantine::Guard;
@@ -16,7 +16,7 @@
     /// The requests that wait.
     pub queues: &'a Queues,
     /// The limits of client accounts.
-    pub limits: &'a mut Limits,
+    pub limits: &'a mut AccountLimits,
     /// The guard against requests that crash servers.
     pub guard: &'a Guard,
     /// The requests that may wait for a pool.
@@ -77,7 +77,7 @@
         now: Timestamp,
     ) -> Result<(), Refusal> {
         let order = self.queues.get(&service.pool);
-        let wait = order.and_then(|o: &Admission| o.wait(request, now));
+        let wait = order.and_then(|o: &PoolQueue| o.wait(request, now));
         match wait.filter(|w| !request.deadline.allows(now, *w)) {
             None => Ok(()),
             Some(wait) => {
--- a/azureway-core/src/router/queues.rs
+++ b/azureway-core/src/router/queues.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use crate::admit::{Admission, Blocked, Queued};
+use crate::admit::{BlockedClasses, PoolQueue, QueuedRequest};
 use crate::domain::{PoolId, Rank, Request, RequestId, Timestamp};
 
 /// The requests that wait, in one order for each pool.
@@ -10,7 +10,7 @@
 /// A pool is marked when something changed that may let a request of it go.
 #[derive(Debug, Default)]
 pub struct Queues {
-    pools: BTreeMap<PoolId, Admission>,
+    pools: BTreeMap<PoolId, PoolQueue>,
     pool_of: HashMap<RequestId, PoolId>,
     marked: BTreeSet<PoolId>,
     floor: u8,
@@ -47,13 +47,13 @@
     }
 
     /// Returns the order of a pool.
-    pub fn get(&self, pool: &PoolId) -> Option<&Admission> {
+    pub fn get(&self, pool: &PoolId) -> Option<&PoolQueue> {
         self.pools.get(pool)
     }
 
     /// Returns the number of requests that wait for a pool.
     pub fn len_of(&self, pool: &PoolId) -> usize {
-        self.pools.get(pool).map_or(0, Admission::len)
+        self.pools.get(pool).map_or(0, PoolQueue::len)
     }
 
     /// Returns the number of requests that wait.
@@ -72,26 +72,26 @@
     }
 
     /// Adds a request at `now` and marks its pool.
-    pub fn push(&mut self, pool: PoolId, queued: Queued, now: Timestamp) {
+    pub fn push(&mut self, pool: PoolId, queued: QueuedRequest, now: Timestamp) {
         let floor = self.floor;
         self.pool_of.insert(queued.request.id, pool.clone());
         self.marked.insert(pool.clone());
         let order = self
             .pools
             .entry(pool)
-            .or_insert_with(|| Admission::new(floor));
+            .or_insert_with(|| PoolQueue::new(floor));
         order.push(queued, now);
     }
 
     /// Returns the request that goes next at a pool, and whether the floor grants its place.
-    pub fn peek(&self, pool: &PoolId, blocked: &Blocked) -> Option<(&Queued, bool)> {
+    pub fn peek(&self, pool: &PoolId, blocked: &BlockedClasses) -> Option<(&QueuedRequest, bool)> {
         let order = self.pools.get(pool)?;
         let queued = order.peek(blocked)?;
         Some((queued, order.is_owed(&queued.request)))
     }
 
     /// Takes out a request that is served at `now`.
-    pub fn take(&mut self, id: RequestId, now: Timestamp) -> Option<Queued> {
+    pub fn take(&mut self, id: RequestId, now: Timestamp) -> Option<QueuedRequest> {
         let pool = self.pool_of.remove(&id)?;
         self.pools.get_mut(&pool)?.take(id, now)
     }
@@ -118,13 +118,13 @@
 
     /// Returns the earliest arrival of the requests that go next.
     pub fn oldest(&self) -> Option<Timestamp> {
-        let open = Blocked::new();
+        let open = BlockedClasses::new();
         let heads = self.pools.values().filter_map(|q| q.peek(&open));
         heads.map(|q| q.request.arrived).min()
     }
 
     /// Returns the earliest deadline of the requests that wait.
     pub fn earliest(&self) -> Option<Timestamp> {
-        self.pools.values().filter_map(Admission::earliest).min()
+        self.pools.values().filter_map(PoolQueue::earliest).min()
     }
 }
--- a/azureway-core/src/router/suspects.rs
+++ b/azureway-core/src/router/suspects.rs
@@ -1,7 +1,7 @@
 //! What a router does about requests under which backend servers broke.
 
 use super::{InFlight, Retry, Router, Verdict};
-use crate::admit::{Blocked, Queued};
+use crate::admit::{BlockedClasses, QueuedRequest};
 use crate::domain::{Fingerprint, StreamPosition, Timestamp};
 use crate::event::{Action, Failure};
 use crate::quarantine::{Strike, SuspectStatus};
@@ -55,8 +55,8 @@
     /// without holding up others, and what is quarantined. Anything else blocks its class.
     pub(super) fn set_aside(
         &mut self,
-        queued: &Queued,
-        blocked: &mut Blocked,
+        queued: &QueuedRequest,
+        blocked: &mut BlockedClasses,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) {
--- a/azureway-core/tests/sharing.rs
+++ b/azureway-core/tests/sharing.rs
@@ -34,7 +34,7 @@
 
 /// Lets entries tell one another their demand within their groups, and returns the sum of
 /// their parts of an account's limit.
-fn parts(shares: &mut [DemandShare], demands: &[u64], groups: &[bool], now: Timestamp) -> f64 {
+fn parts(shares: &mut [LimitShare], demands: &[u64], groups: &[bool], now: Timestamp) -> f64 {
     let account = AccountId::new("x");
     for speaker in 0..ENTRIES {
         let rates = vec![(account.clone(), TokenRate::new(demands[speaker]))];
@@ -46,7 +46,7 @@
             shares[hearer].hear(&demand, now);
         }
     }
-    let part = |(n, s): (usize, &DemandShare)| s.part(&account, demands[n] as f64, now);
+    let part = |(n, s): (usize, &LimitShare)| s.part(&account, demands[n] as f64, now);
     shares.iter().enumerate().map(part).sum()
 }
 
@@ -56,7 +56,7 @@
     let groups = || prop::collection::vec(any::<bool>(), ENTRIES);
     let rounds = prop::collection::vec((demand(), groups()), 1..6);
     let outcome = runner().run(&rounds, |rounds| {
-        let mut shares = vec![DemandShare::new(); ENTRIES];
+        let mut shares = vec![LimitShare::new(); ENTRIES];
         let entries = u32::try_from(ENTRIES).expect("few");
         shares.iter_mut().for_each(|s| s.set_entries(entries));
         let mut now = Timestamp::ZERO;
@@ -73,7 +73,7 @@
 
 #[gtest]
 fn the_entry_that_is_asked_gets_most_of_a_limit() {
-    let mut shares = vec![DemandShare::new(); ENTRIES];
+    let mut shares = vec![LimitShare::new(); ENTRIES];
     let entries = u32::try_from(ENTRIES).expect("few");
     shares.iter_mut().for_each(|s| s.set_entries(entries));
     let mut demands = [0; ENTRIES];
--- a/azureway-dev/benches/decisions.rs
+++ b/azureway-dev/benches/decisions.rs
@@ -1,6 +1,6 @@
 //! The hot decisions.
 
-use azureway_core::admit::{Demand, DemandShare};
+use azureway_core::admit::{Demand, LimitShare};
 use azureway_core::prelude::{
     Block, BlockKey, CacheOp, CacheUpdate, ConfigVersion, Event, Incarnation, InstanceId,
     Timestamp, TokenCount, TokenRate,
@@ -118,7 +118,7 @@
         instance: InstanceId::new("entry-1"),
         rates: accounts.map(|a| (a, TokenRate::new(1_000))).collect(),
     };
-    let mut share = DemandShare::new();
+    let mut share = LimitShare::new();
     bencher.bench_local(|| share.hear(&demand, Timestamp::from_millis(1)));
 }
 
--- a/azureway-dev/src/slopes/peer_probe.rs
+++ b/azureway-dev/src/slopes/peer_probe.rs
@@ -1,6 +1,6 @@
 //! Growth by peers.
 
-use azureway_core::admit::{Demand, DemandShare};
+use azureway_core::admit::{Demand, LimitShare};
 use azureway_core::prelude::*;
 
 use super::probe::{Probe, time_of};
@@ -24,7 +24,7 @@
     fn measure(size: u64) -> Sample {
         let demands: Vec<Demand> = (0..size).map(demand).collect();
         let heap = Heap::now();
-        let mut share = DemandShare::new();
+        let mut share = LimitShare::new();
         let now = Timestamp::from_millis(1);
         demands.iter().for_each(|d| share.hear(d, now));
         let memory = heap.grown();
