--- a/azureway-core/src/admit/account_limits.rs
+++ b/azureway-core/src/admit/account_limits.rs
@@ -46,11 +46,11 @@
         let (limit, share) = (account.limit.get() as f64, &self.share);
         let entry = self.accounts.entry(account.id.clone());
         let (meter, allowance) = entry.or_insert_with(|| {
-            let rate = limit * share.part(&account.id, 0.0, now);
+            let rate = limit * share.fraction(&account.id, 0.0, now);
             (DemandMeter::new(), TokenBucket::new(rate, now))
         });
         meter.add(cost, now);
-        let rate = limit * share.part(&account.id, meter.rate(now), now);
+        let rate = limit * share.fraction(&account.id, meter.rate(now), now);
         allowance.spend(cost, rate, now)
     }
 
--- a/azureway-core/src/admit/fair_queue.rs
+++ b/azureway-core/src/admit/fair_queue.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns the virtual start that a request of `account` would be given.
-    pub fn start_of(&self, account: &AccountId) -> u64 {
+    pub fn start_tag_for(&self, account: &AccountId) -> u64 {
         // An account that was idle starts now: it saves up no claim on the past.
         let last = self.finish.get(account).copied().unwrap_or(0);
         last.max(self.clock)
@@ -54,8 +54,8 @@
 
     /// Returns the tokens that go before a request of `account` at least: of each account,
     /// what starts before it.
-    pub fn before(&self, account: &AccountId) -> u64 {
-        let start = self.start_of(account);
+    pub fn tokens_ahead(&self, account: &AccountId) -> u64 {
+        let start = self.start_tag_for(account);
         let ahead = |finish: &u64| (*finish).min(start).saturating_sub(self.clock);
         let sum: u64 = self.finish.values().map(ahead).sum();
         sum.min(self.backlog)
@@ -64,15 +64,16 @@
     /// Adds a request.
     pub fn push(&mut self, mut queued: QueuedRequest) {
         let account = queued.request.account.clone();
-        queued.start = self.start_of(&account);
-        self.finish.insert(account, queued.start + queued.charge());
+        queued.start_tag = self.start_tag_for(&account);
+        self.finish
+            .insert(account, queued.start_tag + queued.weighted_cost());
         self.backlog += queued.request.cost().get();
         let (id, class) = (queued.request.id, ServiceClass::of(&queued.request));
         self.deadlines
             .insert((queued.request.deadline.timestamp(), id));
-        self.places.insert(id, (class.clone(), queued.start));
+        self.places.insert(id, (class.clone(), queued.start_tag));
         let order = self.classes.entry(class).or_default();
-        order.insert((queued.start, id), queued);
+        order.insert((queued.start_tag, id), queued);
     }
 
     /// Returns the request that goes first among the classes that are not blocked.
@@ -88,7 +89,7 @@
     /// Takes out a request that is served now.
     pub fn take(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let queued = self.pull(id)?;
-        self.clock = self.clock.max(queued.start);
+        self.clock = self.clock.max(queued.start_tag);
         if self.is_empty() {
             // Nothing waits, so no account is behind another: the clocks can be dropped.
             self.finish.retain(|_, finish| *finish > self.clock);
@@ -100,7 +101,7 @@
     pub fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let queued = self.pull(id)?;
         if let Some(finish) = self.finish.get_mut(&queued.request.account) {
-            *finish = finish.saturating_sub(queued.charge());
+            *finish = finish.saturating_sub(queued.weighted_cost());
         }
         Some(queued)
     }
@@ -118,7 +119,7 @@
     }
 
     /// Returns the earliest deadline of the requests that wait.
-    pub fn earliest(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
--- a/azureway-core/src/admit/limit_share.rs
+++ b/azureway-core/src/admit/limit_share.rs
@@ -42,7 +42,7 @@
     }
 
     /// Notes what another entry said.
-    pub fn hear(&mut self, demand: &Demand, now: Timestamp) {
+    pub fn record(&mut self, demand: &Demand, now: Timestamp) {
         self.heard.retain(|_, (at, _)| now.since(*at) < DEMAND_LIFE);
         let rates = demand.rates.iter();
         let rates = rates.map(|(a, r)| (a.clone(), r.get() as f64)).collect();
@@ -51,7 +51,7 @@
 
     /// Returns the part of the limit of `account`, of which `own` tokens a second are asked
     /// for here.
-    pub fn part(&self, account: &AccountId, own: f64, now: Timestamp) -> f64 {
+    pub fn fraction(&self, account: &AccountId, own: f64, now: Timestamp) -> f64 {
         let live = |(at, _): &&Heard| now.since(*at) < DEMAND_LIFE;
         let others = self.heard.values().filter(live);
         let (mut group, mut demand) = (1.0, own);
--- a/azureway-core/src/admit/pool_queue.rs
+++ b/azureway-core/src/admit/pool_queue.rs
@@ -56,8 +56,8 @@
     }
 
     /// Returns the tokens that go before `request` at least.
-    pub fn before(&self, request: &Request) -> u64 {
-        let own = self.queues[request.rank.index()].before(&request.account);
+    pub fn tokens_ahead(&self, request: &Request) -> u64 {
+        let own = self.queues[request.rank.index()].tokens_ahead(&request.account);
         match request.rank {
             Rank::Urgent => own,
             Rank::Drafting => {
@@ -71,8 +71,8 @@
     }
 
     /// Returns the time for which `request` would wait at least, if that is known.
-    pub fn wait(&self, request: &Request, now: Timestamp) -> Option<Duration> {
-        match self.before(request) {
+    pub fn expected_wait(&self, request: &Request, now: Timestamp) -> Option<Duration> {
+        match self.tokens_ahead(request) {
             0 => None,
             tokens => self.pace.time_for(tokens, now),
         }
@@ -80,7 +80,7 @@
 
     /// Adds a request at `now`.
     pub fn push(&mut self, mut queued: QueuedRequest, now: Timestamp) {
-        queued.since = now;
+        queued.queued_at = now;
         if self.is_empty() {
             self.pace.begin(now);
         }
@@ -90,13 +90,13 @@
     /// Returns the request that goes next among the classes that are not blocked.
     pub fn peek(&self, blocked: &BlockedClasses) -> Option<&QueuedRequest> {
         let drafting = self.first(Rank::Drafting, blocked);
-        let owed = drafting.filter(|q| self.is_owed(&q.request));
+        let owed = drafting.filter(|q| self.has_credit(&q.request));
         owed.or_else(|| self.first(Rank::Urgent, blocked))
             .or(drafting)
     }
 
     /// Tells whether the floor grants `request` its place, whatever urgent work waits.
-    pub fn is_owed(&self, request: &Request) -> bool {
+    pub fn has_credit(&self, request: &Request) -> bool {
         request.rank == Rank::Drafting && self.credit >= self.price(request)
     }
 
@@ -104,7 +104,7 @@
     pub fn take(&mut self, id: RequestId, now: Timestamp) -> Option<QueuedRequest> {
         let queued = self.queues.iter_mut().find_map(|q| q.take(id))?;
         let cost = queued.request.cost().get();
-        if queued.since < now {
+        if queued.queued_at < now {
             self.pace.take(cost, now);
         }
         match queued.request.rank {
@@ -129,8 +129,11 @@
     }
 
     /// Returns the earliest deadline of the requests that wait.
-    pub fn earliest(&self) -> Option<Timestamp> {
-        self.queues.iter().filter_map(FairQueue::earliest).min()
+    pub fn next_deadline(&self) -> Option<Timestamp> {
+        self.queues
+            .iter()
+            .filter_map(FairQueue::next_deadline)
+            .min()
     }
 
     fn first(&self, rank: Rank, blocked: &BlockedClasses) -> Option<&QueuedRequest> {
--- a/azureway-core/src/admit/queued_request.rs
+++ b/azureway-core/src/admit/queued_request.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
     /// The virtual time at which the request starts, in weighted tokens.
-    pub start: u64,
+    pub start_tag: u64,
     /// Since when it waits.
-    pub since: Timestamp,
+    pub queued_at: Timestamp,
     /// The share of its account.
     pub weight: u32,
     /// What is to be tried next.
@@ -22,14 +22,14 @@
     /// Creates a request that waits for its first try.
     pub fn new(request: Request, weight: u32) -> Self {
         let plan = AttemptPlan::first(request.id);
-        Self::again(request, weight, plan)
+        Self::with_plan(request, weight, plan)
     }
 
     /// Creates a request that waits for a later try.
-    pub fn again(request: Request, weight: u32, plan: AttemptPlan) -> Self {
+    pub fn with_plan(request: Request, weight: u32, plan: AttemptPlan) -> Self {
         Self {
-            start: 0,
-            since: Timestamp::ZERO,
+            start_tag: 0,
+            queued_at: Timestamp::ZERO,
             weight: weight.max(1),
             plan,
             request,
@@ -37,7 +37,7 @@
     }
 
     /// Returns the cost of the request over the share of its account.
-    pub fn charge(&self) -> u64 {
+    pub fn weighted_cost(&self) -> u64 {
         (self.request.cost().get() / u64::from(self.weight)).max(1)
     }
 }
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -64,7 +64,7 @@
             Event::ZoneEntries(_) if self.config.shared_servers => {}
             Event::ZoneEntries(count) => self.sender.servers_mut().set_entries(count),
             Event::ListedEntries(count) => self.list(count),
-            Event::Demand(demand) => self.limits.share_mut().hear(demand, now),
+            Event::Demand(demand) => self.limits.share_mut().record(demand, now),
             Event::Server(news) => self.sender.servers_mut().apply_update(news),
             Event::Loading(loading) => {
                 self.sender.load(loading, now);
@@ -186,7 +186,7 @@
         let account = self.fleet.accounts.get(&flight.request.account);
         let weight = account.map_or(1, |a| a.weight);
         let (pool, plan) = (flight.pool.clone(), flight.bounce());
-        let queued = QueuedRequest::again(flight.request, weight, plan);
+        let queued = QueuedRequest::with_plan(flight.request, weight, plan);
         self.queues.push(pool, queued, now);
     }
 
--- a/azureway-core/src/router/intake.rs
+++ b/azureway-core/src/router/intake.rs
@@ -77,7 +77,7 @@
         now: Timestamp,
     ) -> Result<(), Refusal> {
         let order = self.queues.get(&service.pool);
-        let wait = order.and_then(|o: &PoolQueue| o.wait(request, now));
+        let wait = order.and_then(|o: &PoolQueue| o.expected_wait(request, now));
         match wait.filter(|w| !request.deadline.allows(now, *w)) {
             None => Ok(()),
             Some(wait) => {
--- a/azureway-core/src/router/queues.rs
+++ b/azureway-core/src/router/queues.rs
@@ -87,7 +87,7 @@
     pub fn peek(&self, pool: &PoolId, blocked: &BlockedClasses) -> Option<(&QueuedRequest, bool)> {
         let order = self.pools.get(pool)?;
         let queued = order.peek(blocked)?;
-        Some((queued, order.is_owed(&queued.request)))
+        Some((queued, order.has_credit(&queued.request)))
     }
 
     /// Takes out a request that is served at `now`.
@@ -125,6 +125,9 @@
 
     /// Returns the earliest deadline of the requests that wait.
     pub fn earliest(&self) -> Option<Timestamp> {
-        self.pools.values().filter_map(PoolQueue::earliest).min()
+        self.pools
+            .values()
+            .filter_map(PoolQueue::next_deadline)
+            .min()
     }
 }
--- a/azureway-core/tests/sharing.rs
+++ b/azureway-core/tests/sharing.rs
@@ -43,10 +43,10 @@
             rates,
         };
         for hearer in (0..ENTRIES).filter(|h| *h != speaker && groups[*h] == groups[speaker]) {
-            shares[hearer].hear(&demand, now);
+            shares[hearer].record(&demand, now);
         }
     }
-    let part = |(n, s): (usize, &LimitShare)| s.part(&account, demands[n] as f64, now);
+    let part = |(n, s): (usize, &LimitShare)| s.fraction(&account, demands[n] as f64, now);
     shares.iter().enumerate().map(part).sum()
 }
 
@@ -79,7 +79,7 @@
     let mut demands = [0; ENTRIES];
     demands[0] = 1_000;
     parts(&mut shares, &demands, &[true; ENTRIES], Timestamp::ZERO);
-    let part = shares[0].part(&AccountId::new("x"), 1_000.0, Timestamp::ZERO);
+    let part = shares[0].fraction(&AccountId::new("x"), 1_000.0, Timestamp::ZERO);
     expect_that!(part, gt(0.75));
 }
 
--- a/azureway-dev/benches/decisions.rs
+++ b/azureway-dev/benches/decisions.rs
@@ -119,7 +119,7 @@
         rates: accounts.map(|a| (a, TokenRate::new(1_000))).collect(),
     };
     let mut share = LimitShare::new();
-    bencher.bench_local(|| share.hear(&demand, Timestamp::from_millis(1)));
+    bencher.bench_local(|| share.record(&demand, Timestamp::from_millis(1)));
 }
 
 /// Writes a heartbeat that tells of 8 members and 12 accounts.
--- a/azureway-dev/src/slopes/peer_probe.rs
+++ b/azureway-dev/src/slopes/peer_probe.rs
@@ -26,11 +26,11 @@
         let heap = Heap::now();
         let mut share = LimitShare::new();
         let now = Timestamp::from_millis(1);
-        demands.iter().for_each(|d| share.hear(d, now));
+        demands.iter().for_each(|d| share.record(d, now));
         let memory = heap.grown();
         let time = time_of(MESSAGES, |n| {
             let place = n as usize % demands.len();
-            share.hear(&demands[place], now);
+            share.record(&demands[place], now);
         });
         Sample {
             size,
