--- a/azureway-cli/src/store/driver.rs
+++ b/azureway-cli/src/store/driver.rs
@@ -44,7 +44,7 @@
             }
             let reply = self.carry_out(edit.step());
             if matches!(reply, EditReply::Failed | EditReply::NoAnswer) {
-                thread::park_timeout(self.backoff.fail());
+                thread::park_timeout(self.backoff.next_delay());
             }
             edit.handle(reply);
         }
--- a/azureway-core/src/claim/gate.rs
+++ b/azureway-core/src/claim/gate.rs
@@ -43,7 +43,7 @@
         }
         let due = now >= self.due;
         if due {
-            self.due = now + self.backoff.fail();
+            self.due = now + self.backoff.next_delay();
         }
         due
     }
--- a/azureway-core/src/member/catch_up.rs
+++ b/azureway-core/src/member/catch_up.rs
@@ -107,7 +107,7 @@
         if self.queue.is_empty() {
             self.refill(peers, zone);
         }
-        self.next = now + self.backoff.fail();
+        self.next = now + self.backoff.next_delay();
         let id = self.queue.pop()?;
         peers.get(&id).map(|m| m.latest.instance.clone())
     }
--- a/azureway-core/src/retry/backoff.rs
+++ b/azureway-core/src/retry/backoff.rs
@@ -37,7 +37,7 @@
     }
 
     /// Notes a failure and returns the wait: between half of the full wait and all of it.
-    pub fn fail(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let factor = 1u32.checked_shl(self.failures).unwrap_or(u32::MAX);
         let full = self.base.saturating_mul(factor).min(self.cap);
         self.failures = self.failures.saturating_add(1);
--- a/azureway-core/src/retry/budget.rs
+++ b/azureway-core/src/retry/budget.rs
@@ -46,12 +46,12 @@
     /// Sets this entry's part of the slack of all `entries`.
     #[must_use]
     pub fn with_slack(mut self, slack: RetrySlack, entries: u32) -> Self {
-        self.share(slack, entries);
+        self.set_slack(slack, entries);
         self
     }
 
     /// Takes over a changed number of entries that share the slack.
-    pub fn share(&mut self, slack: RetrySlack, entries: u32) {
+    pub fn set_slack(&mut self, slack: RetrySlack, entries: u32) {
         let half = u64::from(slack.count) * RETRY_COST / 2 / u64::from(entries.max(1));
         self.bound = half.max(RETRY_COST);
         self.pace = half / whole_seconds(slack.window);
@@ -59,7 +59,7 @@
     }
 
     /// Notes a first try.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.saved = (self.saved + self.percent).min(self.bound);
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Returns the retries that are left.
-    pub const fn left(&self) -> u64 {
+    pub const fn available(&self) -> u64 {
         self.saved / RETRY_COST
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Takes a retry out of the budget. Returns whether there was one.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         let has_retry = self.has_retry();
         self.saved -= if has_retry { RETRY_COST } else { 0 };
         has_retry
--- a/azureway-core/src/retry/budgets.rs
+++ b/azureway-core/src/retry/budgets.rs
@@ -40,7 +40,7 @@
         if let Some(slack) = self.slack {
             self.pools
                 .values_mut()
-                .for_each(|b| b.share(slack, entries));
+                .for_each(|b| b.set_slack(slack, entries));
         }
     }
 
@@ -51,7 +51,7 @@
 
     /// Returns the budget of a pool at `now`. Without a slack that is counted by pools, one
     /// budget serves all of them.
-    pub fn of(&mut self, pool: &PoolId, now: Timestamp) -> &mut RetryBudget {
+    pub fn for_pool(&mut self, pool: &PoolId, now: Timestamp) -> &mut RetryBudget {
         let Some(slack) = self.slack else {
             self.common.refill(now);
             return &mut self.common;
@@ -74,10 +74,10 @@
     }
 
     /// Returns the retries that are left over all pools.
-    pub fn left(&self) -> u64 {
+    pub fn available(&self) -> u64 {
         match self.slack {
-            Some(_) => self.pools.values().map(RetryBudget::left).sum(),
-            None => self.common.left(),
+            Some(_) => self.pools.values().map(RetryBudget::available).sum(),
+            None => self.common.available(),
         }
     }
 
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -112,7 +112,7 @@
         let service = self.fleet.services.get(&request.service);
         let account = self.fleet.accounts.get(&request.account);
         if let (Some(service), Some(account)) = (service, account) {
-            self.budgets.of(&service.pool, now).earn();
+            self.budgets.for_pool(&service.pool, now).deposit();
             let queued = QueuedRequest::new(request.clone(), account.weight);
             self.queues.push(service.pool.clone(), queued, now);
         } else {
@@ -179,7 +179,7 @@
     /// Lets a request that a server had no room for wait again.
     fn wait(&mut self, flight: InFlight, now: Timestamp, out: &mut Vec<Action>) {
         // Where all entries share the budget, what servers refuse counts in it too.
-        if self.budgets.is_shared() && !self.budgets.of(&flight.pool, now).spend() {
+        if self.budgets.is_shared() && !self.budgets.for_pool(&flight.pool, now).try_spend() {
             let refusal = Verdict::give_up(false, true);
             return out.push(Action::Refuse(flight.attempt.id, refusal));
         }
@@ -222,10 +222,10 @@
             let pool = service.map(|s| s.pool.clone());
             let allowed = pool
                 .as_ref()
-                .is_some_and(|p| self.budgets.of(p, now).has_retry());
+                .is_some_and(|p| self.budgets.for_pool(p, now).has_retry());
             if allowed && self.dispatch(want, now, out) {
                 if let Some(pool) = &pool {
-                    self.budgets.of(pool, now).spend();
+                    self.budgets.for_pool(pool, now).try_spend();
                 }
             } else {
                 self.retries.push(retry);
--- a/azureway-core/src/router/views.rs
+++ b/azureway-core/src/router/views.rs
@@ -49,7 +49,7 @@
             queued: Rank::ALL.map(|rank| self.queues.depth(rank)),
             in_flight: self.sender.flights().len(),
             retries: self.retries.len(),
-            retry_budget: self.budgets.left(),
+            retry_budget: self.budgets.available(),
             claims: self.claims.pending(),
             suspects: self.guarded(SuspectStatus::Suspect),
             quarantined: self.guarded(SuspectStatus::Quarantined),
--- a/azureway-core/src/watch/watch_schedule.rs
+++ b/azureway-core/src/watch/watch_schedule.rs
@@ -88,7 +88,7 @@
         self.due = if self.chosen {
             now + self.gap
         } else {
-            now + self.checks.fail()
+            now + self.checks.next_delay()
         };
     }
 
@@ -101,9 +101,9 @@
         // Who only checks leaves the platform to those who watch.
         let checks = !self.chosen && self.after.is_some();
         let wait = if checks {
-            self.checks.fail()
+            self.checks.next_delay()
         } else {
-            self.backoff.fail()
+            self.backoff.next_delay()
         };
         self.due = now + wait;
     }
--- a/azureway-core/tests/retries.rs
+++ b/azureway-core/tests/retries.rs
@@ -36,9 +36,9 @@
         let (mut now, mut log) = (Timestamp::from_millis(3_600_000), Vec::new());
         for (wait, entry, requests, wanted) in steps {
             now = now + Duration::from_millis(wait);
-            let budget = all[entry % entries as usize].of(&pool, now);
-            (0..requests).for_each(|_| budget.earn());
-            let retries = (0..wanted).filter(|_| budget.spend()).count();
+            let budget = all[entry % entries as usize].for_pool(&pool, now);
+            (0..requests).for_each(|_| budget.deposit());
+            let retries = (0..wanted).filter(|_| budget.try_spend()).count();
             log.push((now, requests, retries));
         }
         for (start, ..) in &log {
@@ -64,8 +64,8 @@
     let (one, other) = (PoolId::new("one"), PoolId::new("other"));
     let mut budgets = RetryBudgets::new(PERCENT, Some(slack(2)));
     let now = Timestamp::from_millis(3_600_000);
-    (0..1_000).for_each(|_| budgets.of(&one, now).earn());
-    let spent = (0..100).filter(|_| budgets.of(&other, now).spend());
+    (0..1_000).for_each(|_| budgets.for_pool(&one, now).deposit());
+    let spent = (0..100).filter(|_| budgets.for_pool(&other, now).try_spend());
     expect_that!(spent.count(), le(2));
 }
 
@@ -77,7 +77,7 @@
     let mut budgets = RetryBudgets::new(PERCENT, Some(slack(48)));
     budgets.set_entries(1);
     let now = Timestamp::from_millis(3_600_000);
-    expect_that!(budgets.of(&pool, now).left(), eq(3));
+    expect_that!(budgets.for_pool(&pool, now).available(), eq(3));
 }
 
 #[gtest]
@@ -85,7 +85,7 @@
     let pool = PoolId::new("one");
     let mut budgets = RetryBudgets::new(PERCENT, Some(slack(48)));
     let now = Timestamp::from_millis(3_600_000);
-    expect_that!(budgets.of(&pool, now).left(), eq(3));
+    expect_that!(budgets.for_pool(&pool, now).available(), eq(3));
     budgets.set_entries(12);
-    expect_that!(budgets.of(&pool, now).left(), eq(2));
+    expect_that!(budgets.for_pool(&pool, now).available(), eq(2));
 }
--- a/azureway-entry/src/claim/claimer.rs
+++ b/azureway-entry/src/claim/claimer.rs
@@ -73,7 +73,7 @@
             if let ClaimStep::Done(news) = step {
                 return news;
             }
-            let stopped = run.failures() > failures && self.is_stopped(backoff.fail());
+            let stopped = run.failures() > failures && self.is_stopped(backoff.next_delay());
             if stopped || self.is_late(order) {
                 return ClaimNews::Unavailable(id);
             }
--- a/azureway-entry/src/news/news_reader.rs
+++ b/azureway-entry/src/news/news_reader.rs
@@ -71,7 +71,7 @@
                     }
                     lost = true;
                     self.listening.resync();
-                    std::thread::park_timeout(backoff.fail());
+                    std::thread::park_timeout(backoff.next_delay());
                 }
             }
         }
