--- a/azureway-core/src/member/seen_updates.rs
+++ b/azureway-core/src/member/seen_updates.rs
@@ -62,7 +62,7 @@
 
 fn holds(news: &GossipUpdate) -> Duration {
     match news {
-        GossipUpdate::Strike(strike) => strike.left,
+        GossipUpdate::Strike(strike) => strike.ttl,
         GossipUpdate::Server(_) | GossipUpdate::Member(_) => SERVER_TIME,
         GossipUpdate::Loading(loading) => loading.duration,
     }
@@ -79,7 +79,7 @@
 fn aged(news: &GossipUpdate, left: Duration) -> GossipUpdate {
     let mut news = news.clone();
     if let GossipUpdate::Strike(strike) = &mut news {
-        strike.left = left;
+        strike.ttl = left;
     }
     news
 }
--- a/azureway-core/src/quarantine/guard.rs
+++ b/azureway-core/src/quarantine/crash_guard.rs
@@ -7,21 +7,21 @@
 /// The guard against requests that crash backend servers: who is suspected, which suspects
 /// run where, and what peers have to hear of it.
 #[derive(Clone, Debug, Default)]
-pub struct Guard {
+pub struct CrashGuard {
     quarantine: Quarantine,
     isolation: Isolation,
     news: Vec<Strike>,
 }
 
-impl Guard {
+impl CrashGuard {
     /// Creates a guard that suspects nobody.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Returns how a request stands.
-    pub fn standing(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
-        self.quarantine.standing(fingerprint, now)
+    pub fn status(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
+        self.quarantine.status(fingerprint, now)
     }
 
     /// Returns the number of requests that stand so.
@@ -30,32 +30,32 @@
     }
 
     /// Tells whether a request may not run.
-    pub fn is_barred(&self, fingerprint: &Fingerprint, now: Timestamp) -> bool {
-        self.standing(fingerprint, now) == SuspectStatus::Quarantined
+    pub fn is_quarantined(&self, fingerprint: &Fingerprint, now: Timestamp) -> bool {
+        self.status(fingerprint, now) == SuspectStatus::Quarantined
     }
 
     /// Tells whether a request may run on a server: a suspect only where no other suspect
     /// runs, and only one copy of it at a time. `begun` tells whether its stream has begun.
-    pub fn admits(
+    pub fn allows(
         &self,
         request: &Request,
         begun: bool,
         server: &ServerId,
         now: Timestamp,
     ) -> bool {
-        match self.standing(&request.fingerprint, now) {
+        match self.status(&request.fingerprint, now) {
             SuspectStatus::Clear => true,
             SuspectStatus::Quarantined if !begun => false,
             SuspectStatus::Suspect | SuspectStatus::Quarantined => {
                 let apart = self.isolation.servers().all(|s| s != server);
-                apart && !self.isolation.runs(&request.fingerprint)
+                apart && !self.isolation.is_running(&request.fingerprint)
             }
         }
     }
 
     /// Notes that a request runs on a server.
     pub fn begin(&mut self, request: &Request, server: &ServerId, now: Timestamp) {
-        if self.standing(&request.fingerprint, now) != SuspectStatus::Clear {
+        if self.status(&request.fingerprint, now) != SuspectStatus::Clear {
             self.isolation
                 .begin(request.id, request.fingerprint, server.clone());
         }
@@ -67,13 +67,13 @@
     }
 
     /// Notes that a request ran well.
-    pub fn finish(&mut self, request: &Request, now: Timestamp) {
+    pub fn record_success(&mut self, request: &Request, now: Timestamp) {
         let cleared = self.quarantine.clear(&request.fingerprint, now);
         self.news.extend(cleared);
     }
 
     /// Notes that a request failed at a site whose server was last heard with `known`.
-    pub fn fail(
+    pub fn record_failure(
         &mut self,
         request: &Request,
         failure: &Failure,
@@ -89,28 +89,35 @@
             | FailureKind::Busy
             | FailureKind::Declined => return,
             _ if returned => StrikeState::Confirmed,
-            FailureKind::Broken => StrikeState::Unproved,
+            FailureKind::Broken => StrikeState::Unconfirmed,
             // A silent connection or a bad answer says little of the server by itself.
-            FailureKind::Silent | FailureKind::Faulty => StrikeState::Watched,
+            FailureKind::Silent | FailureKind::Faulty => StrikeState::Tentative,
         };
         let fingerprint = request.fingerprint;
-        let strike = self.quarantine.strike(fingerprint, site, state, now);
+        let strike = self.quarantine.add_strike(fingerprint, site, state, now);
         self.news.push(strike);
     }
 
     /// Notes that a server was heard with an incarnation.
-    pub fn hear(&mut self, server: &ServerId, incarnation: Incarnation, now: Timestamp) {
-        let settled = self.quarantine.hear(server, incarnation, now);
+    pub fn observe_incarnation(
+        &mut self,
+        server: &ServerId,
+        incarnation: Incarnation,
+        now: Timestamp,
+    ) {
+        let settled = self
+            .quarantine
+            .observe_incarnation(server, incarnation, now);
         self.news.extend(settled);
     }
 
     /// Takes in a peer's strike. Returns whether its request may not run from now on.
     pub fn merge(&mut self, strike: &Strike, now: Timestamp) -> bool {
-        self.quarantine.merge(strike, now) && self.is_barred(&strike.fingerprint, now)
+        self.quarantine.merge(strike, now) && self.is_quarantined(&strike.fingerprint, now)
     }
 
     /// Takes out what peers have to hear.
-    pub fn take_news(&mut self) -> Vec<Strike> {
+    pub fn take_updates(&mut self) -> Vec<Strike> {
         std::mem::take(&mut self.news)
     }
 }
--- a/azureway-core/src/quarantine/isolation.rs
+++ b/azureway-core/src/quarantine/isolation.rs
@@ -26,7 +26,7 @@
     }
 
     /// Tells whether a copy of a suspect runs already.
-    pub fn runs(&self, fingerprint: &Fingerprint) -> bool {
+    pub fn is_running(&self, fingerprint: &Fingerprint) -> bool {
         self.running.iter().any(|r| r.1 == *fingerprint)
     }
 
--- a/azureway-core/src/quarantine/quarantined.rs
+++ b/azureway-core/src/quarantine/quarantined.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::{CrashSite, Record, Strike, StrikeState, SuspectStatus};
+use super::{CrashSite, Strike, StrikeSet, StrikeState, SuspectStatus};
 use crate::domain::{Fingerprint, Incarnation, ServerId, Timestamp};
 
 /// The requests that backend servers broke under, by fingerprint.
@@ -13,7 +13,7 @@
 /// heard with the same one or when the request runs well.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    records: BTreeMap<Fingerprint, Record>,
+    records: BTreeMap<Fingerprint, StrikeSet>,
     /// The servers whose next words can still settle a strike.
     open: BTreeSet<ServerId>,
     /// The sites that a quarantined request accounts for, with the end of its quarantine.
@@ -36,11 +36,11 @@
     }
 
     /// Returns how a request stands.
-    pub fn standing(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
+    pub fn status(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
         let Some(record) = self.records.get(fingerprint) else {
             return SuspectStatus::Clear;
         };
-        match record.standing(PATIENCE, now) {
+        match record.status(PATIENCE, now) {
             SuspectStatus::Suspect if self.is_explained(record, now) => SuspectStatus::Clear,
             standing => standing,
         }
@@ -49,11 +49,11 @@
     /// Returns the number of requests that stand so.
     pub fn count(&self, standing: SuspectStatus, now: Timestamp) -> usize {
         let all = self.records.keys();
-        all.filter(|f| self.standing(f, now) == standing).count()
+        all.filter(|f| self.status(f, now) == standing).count()
     }
 
     /// Notes that a request was running when a server broke, and returns the strike.
-    pub fn strike(
+    pub fn add_strike(
         &mut self,
         fingerprint: Fingerprint,
         site: CrashSite,
@@ -68,7 +68,7 @@
     /// Takes in a strike, its own or a peer's. Returns whether it was new.
     pub fn merge(&mut self, strike: &Strike, now: Timestamp) -> bool {
         self.make_room(now);
-        if strike.state.is_open() {
+        if strike.state.is_unresolved() {
             self.open.insert(strike.site.server.clone());
         }
         if strike.state == StrikeState::Cleared {
@@ -76,7 +76,7 @@
         }
         let record = self.records.entry(strike.fingerprint).or_default();
         let fresh = record.merge(strike, now);
-        if fresh && self.standing(&strike.fingerprint, now) == SuspectStatus::Quarantined {
+        if fresh && self.status(&strike.fingerprint, now) == SuspectStatus::Quarantined {
             self.explain(&strike.fingerprint, now);
         }
         fresh
@@ -87,13 +87,13 @@
         let Some(record) = self.records.get(fingerprint) else {
             return Vec::new();
         };
-        let sites = record.open().map(|(site, ..)| site.clone()).collect();
+        let sites = record.active().map(|(site, ..)| site.clone()).collect();
         self.settle(*fingerprint, sites, StrikeState::Cleared, now)
     }
 
     /// Notes that a server was heard with an incarnation, and returns the strikes that this
     /// confirms or clears.
-    pub fn hear(
+    pub fn observe_incarnation(
         &mut self,
         server: &ServerId,
         incarnation: Incarnation,
@@ -106,7 +106,7 @@
         let prints: Vec<_> = self.records.keys().copied().collect();
         for print in prints {
             let record = &self.records[&print];
-            let judged = record.open().filter(|(site, ..)| site.server == *server);
+            let judged = record.active().filter(|(site, ..)| site.server == *server);
             let judged = judged.filter_map(|e| verdict(e, incarnation, now));
             let judged: Vec<_> = judged.collect();
             for (site, state) in judged {
@@ -130,9 +130,9 @@
     }
 
     fn has_open(&self, server: &ServerId) -> bool {
-        let open = |r: &Record| {
-            r.open()
-                .any(|(site, state, _)| state.is_open() && site.server == *server)
+        let open = |r: &StrikeSet| {
+            r.active()
+                .any(|(site, state, _)| state.is_unresolved() && site.server == *server)
         };
         self.records.values().any(open)
     }
@@ -141,15 +141,15 @@
     /// there keep their strikes, since another one of them may be the culprit.
     fn explain(&mut self, culprit: &Fingerprint, now: Timestamp) {
         let until = now + STRIKE_TIME;
-        let sites = self.records[culprit].open();
+        let sites = self.records[culprit].active();
         let sites = sites.map(|(site, ..)| (site.clone(), until));
         self.explained.extend(sites);
     }
 
     /// Tells whether a quarantined request accounts for every strike of a suspect.
-    fn is_explained(&self, record: &Record, now: Timestamp) -> bool {
+    fn is_explained(&self, record: &StrikeSet, now: Timestamp) -> bool {
         let known = |site| self.explained.get(site).is_some_and(|until| *until > now);
-        record.open().all(|(site, ..)| known(site))
+        record.active().all(|(site, ..)| known(site))
     }
 
     fn settle(
@@ -176,7 +176,7 @@
         if self.records.len() < RECORDS_MAX {
             return;
         }
-        let free = |r: &Record| r.standing(PATIENCE, now) != SuspectStatus::Quarantined;
+        let free = |r: &StrikeSet| r.status(PATIENCE, now) != SuspectStatus::Quarantined;
         let victim = self.records.iter().find(|(_, r)| free(r));
         let victim = victim.or(self.records.iter().next()).map(|(p, _)| *p);
         if let Some(victim) = victim {
@@ -191,7 +191,7 @@
     incarnation: Incarnation,
     now: Timestamp,
 ) -> Option<(CrashSite, StrikeState)> {
-    if !state.is_open() || site.incarnation == Incarnation::ZERO {
+    if !state.is_unresolved() || site.incarnation == Incarnation::ZERO {
         return None;
     }
     if incarnation > site.incarnation {
--- a/azureway-core/src/quarantine/strike.rs
+++ b/azureway-core/src/quarantine/strike.rs
@@ -15,22 +15,22 @@
     /// How sure it is.
     pub state: StrikeState,
     /// How long it still holds. Passing it on never makes it longer.
-    pub left: Duration,
+    pub ttl: Duration,
 }
 
 impl Strike {
-    /// Creates a strike that holds for `left`.
+    /// Creates a strike that holds for `ttl`.
     pub const fn new(
         fingerprint: Fingerprint,
         site: CrashSite,
         state: StrikeState,
-        left: Duration,
+        ttl: Duration,
     ) -> Self {
         Self {
             fingerprint,
             site,
             state,
-            left,
+            ttl,
         }
     }
 }
--- a/azureway-core/src/quarantine/record.rs
+++ b/azureway-core/src/quarantine/strike_set.rs
@@ -12,7 +12,7 @@
 
 /// The strikes of one request, at most one a site.
 #[derive(Clone, Debug, Default)]
-pub struct Record {
+pub struct StrikeSet {
     entries: SmallVec<[Entry; 2]>,
 }
 
@@ -21,7 +21,7 @@
 /// The strikes of one request that are kept. Twice what quarantines it, for cleared ones.
 const ENTRIES_MAX: usize = 2 * STRIKES_MAX;
 
-impl Record {
+impl StrikeSet {
     /// Creates an empty record.
     pub fn new() -> Self {
         Self::default()
@@ -29,7 +29,7 @@
 
     /// Takes in a strike. Returns whether it was new.
     pub fn merge(&mut self, strike: &Strike, now: Timestamp) -> bool {
-        let until = now + strike.left;
+        let until = now + strike.ttl;
         if let Some(old) = self.entries.iter_mut().find(|e| e.0 == strike.site) {
             if strike.state <= old.1 {
                 return false;
@@ -47,14 +47,14 @@
 
     /// Returns how the request stands. `patience` is how long an unproved strike counts whose
     /// server's incarnation is not known, since nothing can prove or clear it.
-    pub fn standing(&self, patience: Duration, now: Timestamp) -> SuspectStatus {
+    pub fn status(&self, patience: Duration, now: Timestamp) -> SuspectStatus {
         let counts = |e: &&Entry| match e.1 {
             _ if e.3 <= now => false,
-            StrikeState::Unproved if e.0.incarnation == Incarnation::ZERO => {
+            StrikeState::Unconfirmed if e.0.incarnation == Incarnation::ZERO => {
                 now.since(e.2) < patience
             }
-            StrikeState::Unproved | StrikeState::Confirmed => true,
-            StrikeState::Watched | StrikeState::Cleared => false,
+            StrikeState::Unconfirmed | StrikeState::Confirmed => true,
+            StrikeState::Tentative | StrikeState::Cleared => false,
         };
         match self.entries.iter().filter(counts).count() {
             0 => SuspectStatus::Clear,
@@ -64,7 +64,7 @@
     }
 
     /// Returns the strikes that are not cleared, each with the time since which it stands.
-    pub fn open(&self) -> impl Iterator<Item = (&CrashSite, StrikeState, Timestamp)> {
+    pub fn active(&self) -> impl Iterator<Item = (&CrashSite, StrikeState, Timestamp)> {
         let open = self.entries.iter();
         open.filter(|e| e.1 != StrikeState::Cleared)
             .map(|e| (&e.0, e.1, e.2))
@@ -80,8 +80,8 @@
     fn drop_weakest(&mut self) {
         let key = |e: &Entry| match e.1 {
             StrikeState::Cleared => (0, e.2),
-            StrikeState::Watched => (1, e.2),
-            StrikeState::Unproved => (2, e.2),
+            StrikeState::Tentative => (1, e.2),
+            StrikeState::Unconfirmed => (2, e.2),
             StrikeState::Confirmed => (3, e.2),
         };
         let places = 0..self.entries.len();
--- a/azureway-core/src/quarantine/strike_state.rs
+++ b/azureway-core/src/quarantine/strike_state.rs
@@ -5,9 +5,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum StrikeState {
     /// The connection went silent or the answer was bad. It does not count by itself.
-    Watched,
+    Tentative,
     /// The connection broke. The server may or may not have crashed.
-    Unproved,
+    Unconfirmed,
     /// The server came back with another incarnation: it crashed.
     Confirmed,
     /// The server did not crash, or the request ran well elsewhere.
@@ -17,14 +17,14 @@
 impl StrikeState {
     /// Every state, in order.
     pub const ALL: [Self; 4] = [
-        Self::Watched,
-        Self::Unproved,
+        Self::Tentative,
+        Self::Unconfirmed,
         Self::Confirmed,
         Self::Cleared,
     ];
 
     /// Tells whether the server's next words can still tell what happened.
-    pub const fn is_open(self) -> bool {
-        matches!(self, Self::Watched | Self::Unproved)
+    pub const fn is_unresolved(self) -> bool {
+        matches!(self, Self::Tentative | Self::Unconfirmed)
     }
 }
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -6,7 +6,7 @@
 use crate::event::{Dispatch, Failure};
 use crate::fleet::{Fleet, LoadReport, LoadSample, ServerTable};
 use crate::member::{LoadNotice, ServerStatus, ServerUpdate};
-use crate::quarantine::{CrashSite, Guard};
+use crate::quarantine::{CrashGuard, CrashSite};
 use crate::route::{Estimate, Policy, ReplicaScaler};
 
 /// Sends requests to backend servers, and keeps what that takes: the servers, the index of
@@ -18,7 +18,7 @@
     index: CacheIndex,
     scaler: ReplicaScaler,
     flights: InFlightTable,
-    guard: Guard,
+    guard: CrashGuard,
 }
 
 impl<P: Policy> Dispatcher<P> {
@@ -30,7 +30,7 @@
             index: CacheIndex::new(),
             scaler: ReplicaScaler::new(),
             flights: InFlightTable::new(),
-            guard: Guard::new(),
+            guard: CrashGuard::new(),
         }
     }
 
@@ -50,12 +50,12 @@
     }
 
     /// Returns the guard against requests that crash servers.
-    pub const fn guard(&self) -> &Guard {
+    pub const fn guard(&self) -> &CrashGuard {
         &self.guard
     }
 
     /// Returns the guard against requests that crash servers, to be told.
-    pub fn guard_mut(&mut self) -> &mut Guard {
+    pub fn guard_mut(&mut self) -> &mut CrashGuard {
         &mut self.guard
     }
 
@@ -68,7 +68,8 @@
         for server in fleet.servers.values() {
             if let Some(loaded) = server.listed {
                 self.index.track(&server.id, loaded.incarnation);
-                self.guard.hear(&server.id, loaded.incarnation, now);
+                self.guard
+                    .observe_incarnation(&server.id, loaded.incarnation, now);
             }
         }
     }
@@ -91,7 +92,8 @@
 
     /// Takes in a report. Returns the pool of the server.
     pub fn report(&mut self, report: &LoadReport, now: Timestamp) -> Option<&PoolId> {
-        self.guard.hear(&report.server, report.incarnation, now);
+        self.guard
+            .observe_incarnation(&report.server, report.incarnation, now);
         self.servers.apply_report(report, now)
     }
 
@@ -178,7 +180,7 @@
         if let Some(state) = self.servers.get_mut(&flight.server) {
             state.record_success(now.since(flight.begun), now);
         }
-        self.guard.finish(&flight.request, now);
+        self.guard.record_success(&flight.request, now);
         Some(flight)
     }
 
@@ -238,6 +240,7 @@
         let known = self.servers.get(&flight.server);
         let known = known.map_or(Incarnation::ZERO, |s| s.incarnation);
         let site = CrashSite::new(flight.server.clone(), flight.incarnation);
-        self.guard.fail(&flight.request, failure, site, known, now);
+        self.guard
+            .record_failure(&flight.request, failure, site, known, now);
     }
 }
--- a/azureway-core/src/router/intake.rs
+++ b/azureway-core/src/router/intake.rs
@@ -6,7 +6,7 @@
 use crate::admit::{AccountLimits, PoolQueue};
 use crate::domain::{ClientAccount, ModelService, Refusal, RefusalReason, Request, Timestamp};
 use crate::fleet::Fleet;
-use crate::quarantine::Guard;
+use crate::quarantine::CrashGuard;
 
 /// What is looked at to tell whether a request may wait.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     /// The limits of client accounts.
     pub limits: &'a mut AccountLimits,
     /// The guard against requests that crash servers.
-    pub guard: &'a Guard,
+    pub guard: &'a CrashGuard,
     /// The requests that may wait for a pool.
     pub bound: usize,
     /// Whether the instance is shutting down.
@@ -45,7 +45,7 @@
         if request.deadline.is_past(now) {
             return Err(refusal(RefusalReason::Deadline, "the deadline has passed"));
         }
-        if self.guard.is_barred(&request.fingerprint, now) {
+        if self.guard.is_quarantined(&request.fingerprint, now) {
             return Err(Verdict::barred(true));
         }
         let service = self.service(request)?;
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -8,7 +8,7 @@
 use crate::cache::CacheIndex;
 use crate::domain::{ModelService, Request, Timestamp};
 use crate::fleet::{Fleet, ServerState, ServerTable};
-use crate::quarantine::Guard;
+use crate::quarantine::CrashGuard;
 use crate::route::{
     Candidate, Estimate, Locality, Policy, Rendezvous, ReplicaScaler, RequestProfile,
 };
@@ -27,7 +27,7 @@
     /// Over how many replicas each prefix is spread.
     pub scaler: &'a ReplicaScaler,
     /// The guard against requests that crash servers.
-    pub guard: &'a Guard,
+    pub guard: &'a CrashGuard,
 }
 
 /// A short list of candidates.
@@ -204,7 +204,7 @@
     fn admits(&self, want: PlacementRequest<'_>, state: &ServerState, now: Timestamp) -> bool {
         let begun = want.is_begun();
         self.guard
-            .admits(want.request, begun, &state.server.id, now)
+            .allows(want.request, begun, &state.server.id, now)
     }
 
     /// Returns the least weight of the servers that the prefix is kept on. These are chosen
--- a/azureway-core/src/router/suspects.rs
+++ b/azureway-core/src/router/suspects.rs
@@ -10,7 +10,7 @@
 impl<P: Policy> Router<P> {
     /// Returns how a request stands after what its earlier sendings did.
     pub fn suspect_status(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
-        self.sender.guard().standing(fingerprint, now)
+        self.sender.guard().status(fingerprint, now)
     }
 
     /// Judges a failed try. A request that is quarantined by now is not tried again, unless it
@@ -23,7 +23,7 @@
         out: &mut Vec<Action>,
     ) -> Verdict {
         let fingerprint = &flight.request.fingerprint;
-        if self.sender.guard().is_barred(fingerprint, now) {
+        if self.sender.guard().is_quarantined(fingerprint, now) {
             self.banish(fingerprint, out);
             if failure.position <= flight.position {
                 let untouched = flight.untouched && failure.sent.is_not_run();
@@ -76,7 +76,7 @@
 
     /// Appends what peers have to hear of strikes.
     pub(super) fn tell_strikes(&mut self, out: &mut Vec<Action>) {
-        let news = self.sender.guard_mut().take_news();
+        let news = self.sender.guard_mut().take_updates();
         out.extend(news.into_iter().map(Action::BroadcastStrike));
     }
 }
--- a/azureway-wire/src/peer/news.rs
+++ b/azureway-wire/src/peer/news.rs
@@ -39,7 +39,7 @@
             server: strike.site.server.as_str().to_owned(),
             incarnation: strike.site.incarnation.get(),
             state: strike.state as u32,
-            left_ms: u32::try_from(strike.left.as_millis()).unwrap_or(u32::MAX),
+            left_ms: u32::try_from(strike.ttl.as_millis()).unwrap_or(u32::MAX),
         }
     }
 }
