--- a/azureway-core/src/claim/gate.rs
+++ b/azureway-core/src/claim/breaker.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use super::ClaimTicket;
+use super::ClaimHandle;
 use crate::domain::Timestamp;
 use crate::retry::Backoff;
 
 /// Spares a platform that does not answer: after some failures in a row only a claim now and
 /// then is asked for, and the others are refused at once.
 #[derive(Clone, Debug)]
-pub struct ClaimGate {
+pub struct ClaimBreaker {
     failures: u32,
     backoff: Backoff,
     due: Timestamp,
-    doubtful: Vec<ClaimTicket>,
+    doubtful: Vec<ClaimHandle>,
 }
 
 /// The failures in a row after which claims are spared.
@@ -25,7 +25,7 @@
 /// The claims in doubt that are remembered. Beyond that they stay open until they are swept.
 const DOUBTFUL_MAX: usize = 64;
 
-impl ClaimGate {
+impl ClaimBreaker {
     /// Creates an open gate.
     pub const fn new() -> Self {
         Self {
@@ -49,7 +49,7 @@
     }
 
     /// Notes that the platform did not answer, and a claim that may have been written.
-    pub fn fail(&mut self, ticket: ClaimTicket, now: Timestamp) {
+    pub fn fail(&mut self, ticket: ClaimHandle, now: Timestamp) {
         if self.failures == 0 {
             // The names differ between entries, and so does the jitter.
             let seed = u64::from(ticket.name.shard()) << 32 | ticket.id.sequence();
@@ -63,13 +63,13 @@
     }
 
     /// Notes that the platform answered. Returns the claims that are now to be given back.
-    pub fn answer(&mut self) -> Vec<ClaimTicket> {
+    pub fn answer(&mut self) -> Vec<ClaimHandle> {
         self.failures = 0;
         std::mem::take(&mut self.doubtful)
     }
 }
 
-impl Default for ClaimGate {
+impl Default for ClaimBreaker {
     fn default() -> Self {
         Self::new()
     }
--- a/azureway-core/src/claim/settling.rs
+++ b/azureway-core/src/claim/closing.rs
@@ -1,12 +1,12 @@
 //! The calls that finish a claim or give it back.
 
-use super::{ClaimNews, ClaimNonce, ClaimReply, ClaimStep, ClaimTicket};
+use super::{ClaimHandle, ClaimNonce, ClaimOutcome, ClaimReply, ClaimStep};
 use crate::domain::RequestId;
 
 /// The calls that finish a claim or give it back. What stays undone leaves the claim open,
 /// which is safe: the key is not run again.
 #[derive(Clone, Debug)]
-pub struct ClaimSettling {
+pub struct ClaimClosing {
     id: RequestId,
     nonce: ClaimNonce,
     last: ClaimStep,
@@ -16,14 +16,14 @@
 /// The calls without a useful answer after which the claim is left open.
 const FAILURES_MAX: u32 = 4;
 
-impl ClaimSettling {
+impl ClaimClosing {
     /// Creates the calls that note the end of a run.
-    pub fn finish(ticket: &ClaimTicket) -> Self {
+    pub fn finish(ticket: &ClaimHandle) -> Self {
         Self::new(ticket.id, ClaimStep::Write(ticket.version))
     }
 
     /// Creates the calls that give a claim back.
-    pub fn release(ticket: &ClaimTicket) -> Self {
+    pub fn release(ticket: &ClaimHandle) -> Self {
         let first = match ticket.version {
             0 => ClaimStep::Read,
             version => ClaimStep::Delete(version),
@@ -65,7 +65,7 @@
     }
 
     const fn done(&self) -> ClaimStep {
-        ClaimStep::Done(ClaimNews::Settled(self.id))
+        ClaimStep::Done(ClaimOutcome::Settled(self.id))
     }
 
     fn retry(&mut self) -> ClaimStep {
--- a/azureway-core/src/claim/call.rs
+++ b/azureway-core/src/claim/command.rs
@@ -1,20 +1,20 @@
 //! What the platform is to be asked for a claim.
 
-use super::{ClaimAsk, ClaimTicket};
+use super::{ClaimHandle, ClaimRequest};
 use crate::domain::RequestId;
 
 /// What the platform is to be asked for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimCall {
+pub enum ClaimCommand {
     /// Create the claim, or tell who holds it.
-    Ask(ClaimAsk),
+    Ask(ClaimRequest),
     /// Note that the request has run to its end.
-    Finish(ClaimTicket),
+    Finish(ClaimHandle),
     /// Give the claim back: the request has not run and will not.
-    Release(ClaimTicket),
+    Release(ClaimHandle),
 }
 
-impl ClaimCall {
+impl ClaimCommand {
     /// Returns the request that the claim is for.
     pub const fn id(&self) -> RequestId {
         match self {
--- a/azureway-core/src/claim/asking.rs
+++ b/azureway-core/src/claim/creation.rs
@@ -1,13 +1,13 @@
 //! The calls that create a claim.
 
-use super::{ClaimNews, ClaimNonce, ClaimReply, ClaimStep};
+use super::{ClaimNonce, ClaimOutcome, ClaimReply, ClaimStep};
 use crate::domain::RequestId;
 
 /// The calls that create a claim. Each reply leads to the next call or to the end.
 ///
 /// A lost answer is resolved by reading the object: the nonce tells whether it is ours.
 #[derive(Clone, Debug)]
-pub struct ClaimAsking {
+pub struct ClaimCreation {
     id: RequestId,
     nonce: ClaimNonce,
     failures: u32,
@@ -16,7 +16,7 @@
 /// The calls without a useful answer after which the platform counts as unavailable.
 const FAILURES_MAX: u32 = 4;
 
-impl ClaimAsking {
+impl ClaimCreation {
     /// Creates the calls for the claim of a request.
     pub fn new(id: RequestId) -> Self {
         Self {
@@ -38,7 +38,7 @@
             ClaimReply::Found(version, record) if record.nonce == self.nonce => {
                 self.granted(version)
             }
-            ClaimReply::Found(_, record) => ClaimStep::Done(ClaimNews::Held(self.id, record)),
+            ClaimReply::Found(_, record) => ClaimStep::Done(ClaimOutcome::Held(self.id, record)),
             ClaimReply::Conflict => ClaimStep::Read,
             // The holder gave the claim back, or a lost write did not take effect.
             ClaimReply::Absent => self.retry(ClaimStep::Write(0)),
@@ -53,7 +53,7 @@
     }
 
     const fn granted(&self, version: u64) -> ClaimStep {
-        ClaimStep::Done(ClaimNews::Granted(self.id, version))
+        ClaimStep::Done(ClaimOutcome::Granted(self.id, version))
     }
 
     fn retry(&mut self, step: ClaimStep) -> ClaimStep {
@@ -61,7 +61,7 @@
         if self.failures < FAILURES_MAX {
             step
         } else {
-            ClaimStep::Done(ClaimNews::Unavailable(self.id))
+            ClaimStep::Done(ClaimOutcome::Unavailable(self.id))
         }
     }
 }
--- a/azureway-core/src/claim/verdict.rs
+++ b/azureway-core/src/claim/decision.rs
@@ -7,7 +7,7 @@
 
 /// What follows for a request from the news of its claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimVerdict {
+pub enum ClaimDecision {
     /// The request holds its claim and may be sent.
     Go(Box<Request>),
     /// An earlier sending has run; its answer is given again.
@@ -21,7 +21,7 @@
 /// When it is worth asking again for a claim that another sending holds.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-impl ClaimVerdict {
+impl ClaimDecision {
     /// Tells what a claim that another sending holds means for a request.
     pub fn judge(request: &Request, record: &ClaimRecord) -> Self {
         if record.fingerprint != request.fingerprint {
--- a/azureway-core/src/claim/ticket.rs
+++ b/azureway-core/src/claim/handle.rs
@@ -5,7 +5,7 @@
 
 /// A claim that this entry holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClaimTicket {
+pub struct ClaimHandle {
     /// The request that the claim is for.
     pub id: RequestId,
     /// The name of the claim.
@@ -16,7 +16,7 @@
     pub version: u64,
 }
 
-impl ClaimTicket {
+impl ClaimHandle {
     /// Returns the record of the finished claim.
     pub fn finished(&self, answer: Option<ShortAnswer>) -> ClaimRecord {
         ClaimRecord {
--- a/azureway-core/src/claim/mod.rs
+++ b/azureway-core/src/claim/mod.rs
@@ -1,45 +1,45 @@
 //! At most once: claims on idempotency keys, which entries share through the platform.
 //!
-//! [`ClaimBook`] decides when a claim is asked for, used, finished or given back;
-//! [`ClaimAsking`] and [`ClaimSettling`] decide the calls of one such step, so that an answer
+//! [`ClaimTable`] decides when a claim is asked for, used, finished or given back;
+//! [`ClaimCreation`] and [`ClaimClosing`] decide the calls of one such step, so that an answer
 //! that was lost after its write took effect is told from a write that was not.
 
-mod ask;
-mod asking;
-mod book;
-mod call;
-mod gate;
-mod held;
+mod breaker;
+mod closing;
+mod command;
+mod creation;
+mod decision;
+mod handle;
 mod name;
-mod news;
 mod nonce;
+mod operation;
+mod outcome;
 mod record;
 mod reply;
-mod run;
-mod settling;
+mod request;
 mod short_answer;
 mod state;
 mod step;
 mod sweep;
-mod ticket;
-mod verdict;
+mod table;
+mod tracked;
 
-pub use ask::ClaimAsk;
-pub use asking::ClaimAsking;
-pub use book::ClaimBook;
-pub use call::ClaimCall;
-pub use gate::ClaimGate;
-pub use held::HeldClaim;
+pub use breaker::ClaimBreaker;
+pub use closing::ClaimClosing;
+pub use command::ClaimCommand;
+pub use creation::ClaimCreation;
+pub use decision::ClaimDecision;
+pub use handle::ClaimHandle;
 pub use name::ClaimName;
-pub use news::ClaimNews;
 pub use nonce::ClaimNonce;
+pub use operation::ClaimOperation;
+pub use outcome::ClaimOutcome;
 pub use record::ClaimRecord;
 pub use reply::ClaimReply;
-pub use run::ClaimRun;
-pub use settling::ClaimSettling;
+pub use request::ClaimRequest;
 pub use short_answer::ShortAnswer;
 pub use state::ClaimState;
 pub use step::ClaimStep;
 pub use sweep::ClaimSweep;
-pub use ticket::ClaimTicket;
-pub use verdict::ClaimVerdict;
+pub use table::ClaimTable;
+pub use tracked::TrackedClaim;
--- a/azureway-core/src/claim/run.rs
+++ b/azureway-core/src/claim/operation.rs
@@ -1,23 +1,23 @@
 //! The calls that one wish of the book takes.
 
-use super::{ClaimAsking, ClaimCall, ClaimReply, ClaimSettling, ClaimStep};
+use super::{ClaimClosing, ClaimCommand, ClaimCreation, ClaimReply, ClaimStep};
 
 /// The calls that one wish of the book takes, whatever it is.
 #[derive(Clone, Debug)]
-pub enum ClaimRun {
+pub enum ClaimOperation {
     /// A claim is being created.
-    Asking(ClaimAsking),
+    Asking(ClaimCreation),
     /// A claim is being finished or given back.
-    Settling(ClaimSettling),
+    Settling(ClaimClosing),
 }
 
-impl ClaimRun {
+impl ClaimOperation {
     /// Creates the calls for a wish.
-    pub fn new(call: &ClaimCall) -> Self {
+    pub fn new(call: &ClaimCommand) -> Self {
         match call {
-            ClaimCall::Ask(ask) => Self::Asking(ClaimAsking::new(ask.id)),
-            ClaimCall::Finish(ticket) => Self::Settling(ClaimSettling::finish(ticket)),
-            ClaimCall::Release(ticket) => Self::Settling(ClaimSettling::release(ticket)),
+            ClaimCommand::Ask(ask) => Self::Asking(ClaimCreation::new(ask.id)),
+            ClaimCommand::Finish(ticket) => Self::Settling(ClaimClosing::finish(ticket)),
+            ClaimCommand::Release(ticket) => Self::Settling(ClaimClosing::release(ticket)),
         }
     }
 
--- a/azureway-core/src/claim/news.rs
+++ b/azureway-core/src/claim/outcome.rs
@@ -5,7 +5,7 @@
 
 /// What became of a call for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimNews {
+pub enum ClaimOutcome {
     /// The claim was created for the request and has this version.
     Granted(RequestId, u64),
     /// Another sending with the same key holds the claim.
@@ -18,7 +18,7 @@
     Settled(RequestId),
 }
 
-impl ClaimNews {
+impl ClaimOutcome {
     /// Returns the request that the claim is for.
     pub const fn id(&self) -> RequestId {
         match self {
--- a/azureway-core/src/claim/ask.rs
+++ b/azureway-core/src/claim/request.rs
@@ -5,7 +5,7 @@
 
 /// The wish for a claim on an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The request that the claim is for.
     pub id: RequestId,
     /// The name of the claim.
@@ -16,7 +16,7 @@
     pub until: Timestamp,
 }
 
-impl ClaimAsk {
+impl ClaimRequest {
     /// Returns the record to be created.
     pub fn record(&self) -> ClaimRecord {
         ClaimRecord::open(ClaimNonce::of(self.id), self.fingerprint)
--- a/azureway-core/src/claim/step.rs
+++ b/azureway-core/src/claim/step.rs
@@ -1,6 +1,6 @@
 //! The next call for a claim.
 
-use super::ClaimNews;
+use super::ClaimOutcome;
 
 /// The next call to the platform for a claim, or the end.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -12,5 +12,5 @@
     /// Delete the object if it has this version.
     Delete(u64),
     /// No further call is needed.
-    Done(ClaimNews),
+    Done(ClaimOutcome),
 }
--- a/azureway-core/src/claim/book.rs
+++ b/azureway-core/src/claim/table.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    ClaimAsk, ClaimCall, ClaimGate, ClaimName, ClaimNews, ClaimRecord, ClaimTicket, ClaimVerdict,
-    HeldClaim,
+    ClaimBreaker, ClaimCommand, ClaimDecision, ClaimHandle, ClaimName, ClaimOutcome, ClaimRecord,
+    ClaimRequest, TrackedClaim,
 };
 use crate::domain::{Attempt, Deadline, ModelService, Request, RequestId, Timestamp};
 use crate::event::{Action, Failure};
@@ -16,12 +16,12 @@
 /// A claim is asked for before its request may wait for a server, finished when the request
 /// has run, and given back only when it is certain that the request has not run and will not.
 #[derive(Debug, Default)]
-pub struct ClaimBook {
-    claims: BTreeMap<RequestId, HeldClaim>,
+pub struct ClaimTable {
+    claims: BTreeMap<RequestId, TrackedClaim>,
     names: BTreeMap<ClaimName, RequestId>,
     /// When the platform has been waited for long enough, also for claims that were answered.
     limits: BTreeSet<(Timestamp, RequestId)>,
-    gate: ClaimGate,
+    gate: ClaimBreaker,
 }
 
 /// How long the platform is waited for: a claim whose answer is lost once is still resolved.
@@ -29,7 +29,7 @@
 /// How long a claim may be used: far shorter than claims are kept.
 const USE_TIME: Duration = Duration::from_secs(60 * 60);
 
-impl ClaimBook {
+impl ClaimTable {
     /// Creates an empty book.
     pub fn new() -> Self {
         Self::default()
@@ -45,26 +45,26 @@
     pub fn covers(&self, request: &Request, service: &ModelService, servers: &ServerTable) -> bool {
         let claim = self.claims.get(&request.id);
         !request.needs_claim()
-            || matches!(claim, Some(HeldClaim::Held(_) | HeldClaim::Sent(..)))
+            || matches!(claim, Some(TrackedClaim::Held(_) | TrackedClaim::Sent(..)))
             || servers.all_keyed(&service.pool)
     }
 
     /// Asks for the claim of a request, which waits in the book meanwhile, or refuses a request
     /// whose key this entry is already working on.
     pub fn ask(&mut self, request: &Request, now: Timestamp) -> Action {
-        let name = HeldClaim::name_of(request);
+        let name = TrackedClaim::name_of(request);
         if self.names.contains_key(&name) {
-            return Action::Refuse(request.id, ClaimVerdict::running());
+            return Action::Refuse(request.id, ClaimDecision::running());
         }
         if !self.gate.allows(now) {
-            return Action::Refuse(request.id, ClaimVerdict::unavailable());
+            return Action::Refuse(request.id, ClaimDecision::unavailable());
         }
         let until = request.deadline.timestamp().min(now + PATIENCE);
-        let claim = HeldClaim::Asking(Box::new(request.clone()));
+        let claim = TrackedClaim::Asking(Box::new(request.clone()));
         self.claims.insert(request.id, claim);
         self.names.insert(name, request.id);
         self.limits.insert((until, request.id));
-        Action::Claim(ClaimCall::Ask(ClaimAsk {
+        Action::Claim(ClaimCommand::Ask(ClaimRequest {
             id: request.id,
             name,
             fingerprint: request.fingerprint,
@@ -75,27 +75,29 @@
     /// Takes in what became of a call. A claim that nobody needs any more is given back.
     pub fn hear(
         &mut self,
-        news: &ClaimNews,
+        news: &ClaimOutcome,
         now: Timestamp,
         out: &mut Vec<Action>,
-    ) -> ClaimVerdict {
+    ) -> ClaimDecision {
         match news {
-            ClaimNews::Granted(id, version) => {
+            ClaimOutcome::Granted(id, version) => {
                 self.give_back(out);
                 self.grant(*id, *version, now, out)
             }
-            ClaimNews::Held(id, record) => {
+            ClaimOutcome::Held(id, record) => {
                 self.give_back(out);
                 self.held(*id, record)
             }
-            ClaimNews::Unavailable(id) => self.unavailable(*id, now),
-            ClaimNews::Unasked(id) => match self.remove(*id) {
-                Some(HeldClaim::Asking(..)) => ClaimVerdict::Refuse(ClaimVerdict::unavailable()),
-                _ => ClaimVerdict::Nothing,
+            ClaimOutcome::Unavailable(id) => self.unavailable(*id, now),
+            ClaimOutcome::Unasked(id) => match self.remove(*id) {
+                Some(TrackedClaim::Asking(..)) => {
+                    ClaimDecision::Refuse(ClaimDecision::unavailable())
+                }
+                _ => ClaimDecision::Nothing,
             },
-            ClaimNews::Settled(id) => {
+            ClaimOutcome::Settled(id) => {
                 self.remove(*id);
-                ClaimVerdict::Nothing
+                ClaimDecision::Nothing
             }
         }
     }
@@ -104,8 +106,8 @@
     /// answers all the same; the caller may ask for that answer again.
     pub fn hang_up(&mut self, id: RequestId, whole: bool) {
         match self.claims.get_mut(&id) {
-            Some(HeldClaim::Sent(_, _, left)) if whole => *left = true,
-            Some(HeldClaim::Sent(..)) => drop(self.remove(id)),
+            Some(TrackedClaim::Sent(_, _, left)) if whole => *left = true,
+            Some(TrackedClaim::Sent(..)) => drop(self.remove(id)),
             _ => {}
         }
     }
@@ -114,15 +116,15 @@
     /// before did not run, or the request would not wait for another try.
     pub fn withdraw(&mut self, id: RequestId, out: &mut Vec<Action>) {
         match self.claims.get_mut(&id) {
-            Some(claim @ HeldClaim::Asking(..)) => drop_claim(claim),
-            Some(HeldClaim::Held(_) | HeldClaim::Sent(_, _, false)) => self.release(id, out),
+            Some(claim @ TrackedClaim::Asking(..)) => drop_claim(claim),
+            Some(TrackedClaim::Held(_) | TrackedClaim::Sent(_, _, false)) => self.release(id, out),
             _ => {}
         }
     }
 
     /// Notes that a request has run to its end.
     pub fn finish(&mut self, attempt: Attempt, out: &mut Vec<Action>) {
-        let Some(HeldClaim::Sent(ticket, sent, _)) = self.claims.get(&attempt.id) else {
+        let Some(TrackedClaim::Sent(ticket, sent, _)) = self.claims.get(&attempt.id) else {
             return;
         };
         if *sent != attempt {
@@ -130,15 +132,15 @@
         }
         let ticket = *ticket;
         self.claims
-            .insert(attempt.id, HeldClaim::Settling(ticket.name));
-        out.push(Action::Claim(ClaimCall::Finish(ticket)));
+            .insert(attempt.id, TrackedClaim::Settling(ticket.name));
+        out.push(Action::Claim(ClaimCommand::Finish(ticket)));
     }
 
     /// Notes the failure of a try whose caller has left; nobody refuses the request then.
     pub fn fail(&mut self, failure: &Failure, out: &mut Vec<Action>) {
         let id = failure.attempt.id;
         match self.claims.get(&id) {
-            Some(HeldClaim::Sent(_, sent, true)) if *sent == failure.attempt => {
+            Some(TrackedClaim::Sent(_, sent, true)) if *sent == failure.attempt => {
                 self.end(id, failure.sent.is_not_run(), out);
             }
             _ => {}
@@ -149,9 +151,9 @@
     pub fn expire(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         while let Some((_, id)) = self.limits.first().copied().filter(|(t, _)| *t < now) {
             self.limits.pop_first();
-            if let Some(claim @ HeldClaim::Asking(..)) = self.claims.get_mut(&id) {
+            if let Some(claim @ TrackedClaim::Asking(..)) = self.claims.get_mut(&id) {
                 drop_claim(claim);
-                out.push(Action::Refuse(id, ClaimVerdict::unavailable()));
+                out.push(Action::Refuse(id, ClaimDecision::unavailable()));
             }
         }
     }
@@ -185,42 +187,42 @@
         version: u64,
         now: Timestamp,
         out: &mut Vec<Action>,
-    ) -> ClaimVerdict {
+    ) -> ClaimDecision {
         match self.claims.get(&id).cloned() {
-            Some(HeldClaim::Asking(mut request)) => {
-                let claim = HeldClaim::Held(ticket(&request, version));
+            Some(TrackedClaim::Asking(mut request)) => {
+                let claim = TrackedClaim::Held(ticket(&request, version));
                 self.claims.insert(id, claim);
                 // After a long pause the claim could be gone: it is not used then.
                 let last = request.deadline.timestamp().min(now + USE_TIME);
                 request.deadline = Deadline::new(last);
-                ClaimVerdict::Go(request)
+                ClaimDecision::Go(request)
             }
-            Some(HeldClaim::Dropped(ticket)) => {
-                let ticket = ClaimTicket { version, ..ticket };
-                self.claims.insert(id, HeldClaim::Held(ticket));
+            Some(TrackedClaim::Dropped(ticket)) => {
+                let ticket = ClaimHandle { version, ..ticket };
+                self.claims.insert(id, TrackedClaim::Held(ticket));
                 self.release(id, out);
-                ClaimVerdict::Nothing
+                ClaimDecision::Nothing
             }
-            _ => ClaimVerdict::Nothing,
+            _ => ClaimDecision::Nothing,
         }
     }
 
-    fn held(&mut self, id: RequestId, record: &ClaimRecord) -> ClaimVerdict {
+    fn held(&mut self, id: RequestId, record: &ClaimRecord) -> ClaimDecision {
         match self.remove(id) {
-            Some(HeldClaim::Asking(request)) => ClaimVerdict::judge(&request, record),
-            _ => ClaimVerdict::Nothing,
+            Some(TrackedClaim::Asking(request)) => ClaimDecision::judge(&request, record),
+            _ => ClaimDecision::Nothing,
         }
     }
 
     /// Remembers a claim that may have been written all the same.
-    fn unavailable(&mut self, id: RequestId, now: Timestamp) -> ClaimVerdict {
+    fn unavailable(&mut self, id: RequestId, now: Timestamp) -> ClaimDecision {
         let (ticket, verdict) = match self.remove(id) {
-            Some(HeldClaim::Asking(request)) => {
-                let refusal = ClaimVerdict::unavailable();
-                (ticket(&request, 0), ClaimVerdict::Refuse(refusal))
+            Some(TrackedClaim::Asking(request)) => {
+                let refusal = ClaimDecision::unavailable();
+                (ticket(&request, 0), ClaimDecision::Refuse(refusal))
             }
-            Some(HeldClaim::Dropped(ticket)) => (ticket, ClaimVerdict::Nothing),
-            _ => return ClaimVerdict::Nothing,
+            Some(TrackedClaim::Dropped(ticket)) => (ticket, ClaimDecision::Nothing),
+            _ => return ClaimDecision::Nothing,
         };
         self.gate.fail(ticket, now);
         verdict
@@ -230,15 +232,15 @@
     fn give_back(&mut self, out: &mut Vec<Action>) {
         for ticket in self.gate.answer() {
             self.claims
-                .insert(ticket.id, HeldClaim::Settling(ticket.name));
-            out.push(Action::Claim(ClaimCall::Release(ticket)));
+                .insert(ticket.id, TrackedClaim::Settling(ticket.name));
+            out.push(Action::Claim(ClaimCommand::Release(ticket)));
         }
     }
 
     fn send(&mut self, attempt: Attempt) {
         let claim = self.claims.get_mut(&attempt.id);
-        if let Some(HeldClaim::Held(ticket) | HeldClaim::Sent(ticket, ..)) = claim {
-            let sent = HeldClaim::Sent(*ticket, attempt, false);
+        if let Some(TrackedClaim::Held(ticket) | TrackedClaim::Sent(ticket, ..)) = claim {
+            let sent = TrackedClaim::Sent(*ticket, attempt, false);
             self.claims.insert(attempt.id, sent);
         }
     }
@@ -246,22 +248,24 @@
     /// Ends a claim whose request is over. One that may have run stays in the platform.
     fn end(&mut self, id: RequestId, not_run: bool, out: &mut Vec<Action>) {
         match self.claims.get(&id) {
-            Some(HeldClaim::Held(_) | HeldClaim::Sent(..)) if not_run => self.release(id, out),
-            Some(HeldClaim::Held(_) | HeldClaim::Sent(..)) => drop(self.remove(id)),
+            Some(TrackedClaim::Held(_) | TrackedClaim::Sent(..)) if not_run => {
+                self.release(id, out)
+            }
+            Some(TrackedClaim::Held(_) | TrackedClaim::Sent(..)) => drop(self.remove(id)),
             _ => {}
         }
     }
 
     fn release(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let claim = self.claims.get(&id);
-        if let Some(HeldClaim::Held(ticket) | HeldClaim::Sent(ticket, ..)) = claim {
+        if let Some(TrackedClaim::Held(ticket) | TrackedClaim::Sent(ticket, ..)) = claim {
             let ticket = *ticket;
-            self.claims.insert(id, HeldClaim::Settling(ticket.name));
-            out.push(Action::Claim(ClaimCall::Release(ticket)));
+            self.claims.insert(id, TrackedClaim::Settling(ticket.name));
+            out.push(Action::Claim(ClaimCommand::Release(ticket)));
         }
     }
 
-    fn remove(&mut self, id: RequestId) -> Option<HeldClaim> {
+    fn remove(&mut self, id: RequestId) -> Option<TrackedClaim> {
         let name = self.claims.get(&id)?.name();
         if self.names.get(&name) == Some(&id) {
             self.names.remove(&name);
@@ -270,21 +274,21 @@
     }
 }
 
-fn ticket(request: &Request, version: u64) -> ClaimTicket {
-    ClaimTicket {
+fn ticket(request: &Request, version: u64) -> ClaimHandle {
+    ClaimHandle {
         id: request.id,
-        name: HeldClaim::name_of(request),
+        name: TrackedClaim::name_of(request),
         fingerprint: request.fingerprint,
         version,
     }
 }
 
-fn drop_claim(claim: &mut HeldClaim) {
-    if let HeldClaim::Asking(request) = claim {
-        *claim = HeldClaim::Dropped(ticket(request, 0));
+fn drop_claim(claim: &mut TrackedClaim) {
+    if let TrackedClaim::Asking(request) = claim {
+        *claim = TrackedClaim::Dropped(ticket(request, 0));
     }
 }
 
-const fn is_pending(claim: &HeldClaim) -> bool {
-    !matches!(claim, HeldClaim::Held(_) | HeldClaim::Sent(..))
+const fn is_pending(claim: &TrackedClaim) -> bool {
+    !matches!(claim, TrackedClaim::Held(_) | TrackedClaim::Sent(..))
 }
--- a/azureway-core/src/claim/held.rs
+++ b/azureway-core/src/claim/tracked.rs
@@ -1,24 +1,24 @@
 //! What the book knows of one claim.
 
-use super::{ClaimName, ClaimTicket};
+use super::{ClaimHandle, ClaimName};
 use crate::domain::{Attempt, Request};
 
 /// What the book knows of one claim, from the wish for it to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HeldClaim {
+pub enum TrackedClaim {
     /// The platform is being asked.
     Asking(Box<Request>),
     /// The request was refused, or its caller left, before the platform had answered.
-    Dropped(ClaimTicket),
+    Dropped(ClaimHandle),
     /// The claim is held and the request waits.
-    Held(ClaimTicket),
+    Held(ClaimHandle),
     /// The request was sent. The flag tells whether its caller has left.
-    Sent(ClaimTicket, Attempt, bool),
+    Sent(ClaimHandle, Attempt, bool),
     /// The claim is being finished or given back.
     Settling(ClaimName),
 }
 
-impl HeldClaim {
+impl TrackedClaim {
     /// Returns the name of the claim that a request needs.
     ///
     /// # Panics
--- a/azureway-core/src/event/action.rs
+++ b/azureway-core/src/event/action.rs
@@ -1,7 +1,7 @@
 //! What the router wants done.
 
 use super::Dispatch;
-use crate::claim::{ClaimCall, ShortAnswer};
+use crate::claim::{ClaimCommand, ShortAnswer};
 use crate::domain::{Attempt, Refusal, RequestId, ServerId};
 use crate::member::ServerUpdate;
 use crate::quarantine::Strike;
@@ -16,7 +16,7 @@
     /// Give the caller the answer of an earlier sending again.
     ReplayAnswer(RequestId, ShortAnswer),
     /// Ask the platform for a claim, or settle one. Each call must be followed by its news.
-    Claim(ClaimCall),
+    Claim(ClaimCommand),
     /// Stop a try.
     Cancel(Attempt),
     /// Tell the other entry instances of a backend server.
--- a/azureway-core/src/event/input.rs
+++ b/azureway-core/src/event/input.rs
@@ -3,7 +3,7 @@
 use super::{Failure, Finish};
 use crate::admit::Demand;
 use crate::cache::CacheUpdate;
-use crate::claim::ClaimNews;
+use crate::claim::ClaimOutcome;
 use crate::domain::{Attempt, Request, RequestId, ServerId};
 use crate::fleet::{Fleet, LoadReport, LoadSample};
 use crate::member::{LoadNotice, ServerUpdate};
@@ -23,7 +23,7 @@
     /// A try failed.
     Failed(&'a Failure),
     /// A call for a claim ended.
-    Claim(&'a ClaimNews),
+    Claim(&'a ClaimOutcome),
     /// A backend server told of its cache.
     Cache(&'a CacheUpdate<'a>),
     /// A backend server told of its load.
--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -3,9 +3,9 @@
 pub use crate::admit::{AccountLimits, Demand, FairQueue, LimitShare, PoolQueue};
 pub use crate::cache::{Block, BlockChain, BlockKey, CacheIndex, CacheOp, CacheUpdate, Salt};
 pub use crate::claim::{
-    ClaimAsk, ClaimAsking, ClaimBook, ClaimCall, ClaimName, ClaimNews, ClaimNonce, ClaimRecord,
-    ClaimReply, ClaimRun, ClaimSettling, ClaimState, ClaimStep, ClaimSweep, ClaimTicket,
-    ClaimVerdict, ShortAnswer,
+    ClaimClosing, ClaimCommand, ClaimCreation, ClaimDecision, ClaimHandle, ClaimName, ClaimNonce,
+    ClaimOperation, ClaimOutcome, ClaimRecord, ClaimReply, ClaimRequest, ClaimState, ClaimStep,
+    ClaimSweep, ClaimTable, ShortAnswer,
 };
 pub use crate::config::{
     ChangeId, ChangeMetadata, ChangeTime, DocumentCheck, Edit, EditOutcome, EditReply, EditStep,
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -4,7 +4,7 @@
     Dispatcher, InFlight, Intake, PlacementRequest, Queues, Retries, Retry, RouterConfig, Verdict,
 };
 use crate::admit::{AccountLimits, BlockedClasses, QueuedRequest};
-use crate::claim::{ClaimBook, ClaimNews, ClaimVerdict};
+use crate::claim::{ClaimDecision, ClaimOutcome, ClaimTable};
 use crate::domain::{Attempt, Refusal, RefusalReason, Request, RequestId, Timestamp};
 use crate::event::{Action, Event, Failure, Finish};
 use crate::fleet::Fleet;
@@ -20,7 +20,7 @@
     pub(super) sender: Dispatcher<P>,
     pub(super) limits: AccountLimits,
     pub(super) queues: Queues,
-    pub(super) claims: ClaimBook,
+    pub(super) claims: ClaimTable,
     pub(super) retries: Retries,
     pub(super) budgets: RetryBudgets,
     pub(super) tally: OutcomeTally,
@@ -39,7 +39,7 @@
             sender: Dispatcher::new(policy),
             limits: AccountLimits::new(),
             queues: Queues::new(),
-            claims: ClaimBook::new(),
+            claims: ClaimTable::new(),
             tally: OutcomeTally::new(),
             draining: false,
             seen: Timestamp::ZERO,
@@ -122,12 +122,12 @@
         }
     }
 
-    fn claimed(&mut self, news: &ClaimNews, now: Timestamp, out: &mut Vec<Action>) {
+    fn claimed(&mut self, news: &ClaimOutcome, now: Timestamp, out: &mut Vec<Action>) {
         match self.claims.hear(news, now, out) {
-            ClaimVerdict::Go(request) => self.enqueue(&request, now, out),
-            ClaimVerdict::Repeat(answer) => out.push(Action::ReplayAnswer(news.id(), answer)),
-            ClaimVerdict::Refuse(refusal) => out.push(Action::Refuse(news.id(), refusal)),
-            ClaimVerdict::Nothing => {}
+            ClaimDecision::Go(request) => self.enqueue(&request, now, out),
+            ClaimDecision::Repeat(answer) => out.push(Action::ReplayAnswer(news.id(), answer)),
+            ClaimDecision::Refuse(refusal) => out.push(Action::Refuse(news.id(), refusal)),
+            ClaimDecision::Nothing => {}
         }
     }
 
--- a/azureway-core/tests/claims/world.rs
+++ b/azureway-core/tests/claims/world.rs
@@ -33,7 +33,7 @@
 /// An entry with its calls to the platform and its tries at the server.
 struct Entry {
     bench: Bench,
-    calls: VecDeque<(ClaimRun, ClaimCall, ClaimStep)>,
+    calls: VecDeque<(ClaimOperation, ClaimCommand, ClaimStep)>,
     tries: VecDeque<Attempt>,
     cut: bool,
     lose: bool,
@@ -217,7 +217,7 @@
         let entry = &mut self.entries[at];
         match action {
             Action::Claim(call) => {
-                let run = ClaimRun::new(&call);
+                let run = ClaimOperation::new(&call);
                 let step = run.first();
                 entry.calls.push_back((run, call, step));
             }
@@ -234,7 +234,7 @@
         sending.fate = fate;
     }
 
-    fn serve(&mut self, at: usize, call: &ClaimCall, step: &ClaimStep) -> ClaimReply {
+    fn serve(&mut self, at: usize, call: &ClaimCommand, step: &ClaimStep) -> ClaimReply {
         self.calls += 1;
         let (name, record) = parts(call);
         let entry = &mut self.entries[at];
@@ -289,10 +289,10 @@
     bench
 }
 
-fn parts(call: &ClaimCall) -> (ClaimName, ClaimRecord) {
+fn parts(call: &ClaimCommand) -> (ClaimName, ClaimRecord) {
     let answer = ShortAnswer::new(200, "text/plain", b"done");
     match call {
-        ClaimCall::Ask(ask) => (ask.name, ask.record()),
-        ClaimCall::Finish(t) | ClaimCall::Release(t) => (t.name, t.finished(answer)),
+        ClaimCommand::Ask(ask) => (ask.name, ask.record()),
+        ClaimCommand::Finish(t) | ClaimCommand::Release(t) => (t.name, t.finished(answer)),
     }
 }
--- a/azureway-dev/src/replay/platform_model.rs
+++ b/azureway-dev/src/replay/platform_model.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azureway_core::claim::{ClaimCall, ClaimNews};
+use azureway_core::claim::{ClaimCommand, ClaimOutcome};
 
 /// A small model of the platform: it grants every claim, or is away.
 #[derive(Clone, Copy, Debug, Default)]
@@ -23,12 +23,14 @@
     }
 
     /// Returns what becomes of a call, and after what time.
-    pub const fn answer(self, call: &ClaimCall) -> (Duration, ClaimNews) {
+    pub const fn answer(self, call: &ClaimCommand) -> (Duration, ClaimOutcome) {
         let id = call.id();
         match call {
-            ClaimCall::Ask(_) if self.away => (ANSWER_LIMIT, ClaimNews::Unavailable(id)),
-            ClaimCall::Ask(_) => (ANSWER_TIME, ClaimNews::Granted(id, 1)),
-            ClaimCall::Finish(_) | ClaimCall::Release(_) => (ANSWER_TIME, ClaimNews::Settled(id)),
+            ClaimCommand::Ask(_) if self.away => (ANSWER_LIMIT, ClaimOutcome::Unavailable(id)),
+            ClaimCommand::Ask(_) => (ANSWER_TIME, ClaimOutcome::Granted(id, 1)),
+            ClaimCommand::Finish(_) | ClaimCommand::Release(_) => {
+                (ANSWER_TIME, ClaimOutcome::Settled(id))
+            }
         }
     }
 }
--- a/azureway-dev/src/replay/replay_event.rs
+++ b/azureway-dev/src/replay/replay_event.rs
@@ -1,6 +1,6 @@
 //! Something that happens in a replay.
 
-use azureway_core::claim::ClaimNews;
+use azureway_core::claim::ClaimOutcome;
 use azureway_core::prelude::{
     Attempt, FailureKind, Finish, Incarnation, SendState, WeightsVersion,
 };
@@ -29,7 +29,7 @@
     /// An engine's news reaches the entry.
     Hear(Box<News>),
     /// A call for a claim ends.
-    Claim(ClaimNews),
+    Claim(ClaimOutcome),
     /// An engine comes back from a crash.
     Return(usize),
     /// An engine's incarnation has loaded weights.
--- a/azureway-entry/src/claim/claim_client.rs
+++ b/azureway-entry/src/claim/claim_client.rs
@@ -1,6 +1,6 @@
 //! The deciding duty's side of claims.
 
-use azureway_core::prelude::{ClaimCall, ClaimNews, RequestId, ShortAnswer};
+use azureway_core::prelude::{ClaimCommand, ClaimOutcome, RequestId, ShortAnswer};
 use flume::Sender;
 
 use super::{ClaimOrder, ClaimRings};
@@ -30,11 +30,11 @@
 
     /// Places a call. Returns its news at once if the ring is full: decisions do not wait, a
     /// claim that cannot be asked for is not granted, and one not settled stays open.
-    pub fn place(&mut self, call: ClaimCall) -> Option<ClaimNews> {
+    pub fn place(&mut self, call: ClaimCommand) -> Option<ClaimOutcome> {
         let id = call.id();
         let unplaced = match call {
-            ClaimCall::Ask(_) => ClaimNews::Unasked(id),
-            ClaimCall::Finish(_) | ClaimCall::Release(_) => ClaimNews::Settled(id),
+            ClaimCommand::Ask(_) => ClaimOutcome::Unasked(id),
+            ClaimCommand::Finish(_) | ClaimCommand::Release(_) => ClaimOutcome::Settled(id),
         };
         let offered = self.offered.take().filter(|(of, _)| *of == id);
         let answer = offered.map(|(_, answer)| answer);
--- a/azureway-entry/src/claim/claimer.rs
+++ b/azureway-entry/src/claim/claimer.rs
@@ -56,12 +56,12 @@
         }
     }
 
-    fn carry_out(&self, order: &ClaimOrder) -> ClaimNews {
+    fn carry_out(&self, order: &ClaimOrder) -> ClaimOutcome {
         let id = order.call.id();
         if self.is_late(order) {
-            return ClaimNews::Unasked(id);
+            return ClaimOutcome::Unasked(id);
         }
-        let mut run = ClaimRun::new(&order.call);
+        let mut run = ClaimOperation::new(&order.call);
         let mut backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP, self.seed ^ id.sequence());
         let mut step = run.first();
         loop {
@@ -75,7 +75,7 @@
             }
             let stopped = run.failures() > failures && self.is_stopped(backoff.next_delay());
             if stopped || self.is_late(order) {
-                return ClaimNews::Unavailable(id);
+                return ClaimOutcome::Unavailable(id);
             }
         }
     }
@@ -83,8 +83,8 @@
     /// Tells whether nobody waits for the claim any more.
     fn is_late(&self, order: &ClaimOrder) -> bool {
         match &order.call {
-            ClaimCall::Ask(ask) => ask.until < self.clock.now(),
-            ClaimCall::Finish(_) | ClaimCall::Release(_) => false,
+            ClaimCommand::Ask(ask) => ask.until < self.clock.now(),
+            ClaimCommand::Finish(_) | ClaimCommand::Release(_) => false,
         }
     }
 
@@ -93,10 +93,10 @@
     }
 
     /// Makes one call. A step that is an end already is handed back as news.
-    fn call(&self, order: &ClaimOrder, step: &ClaimStep) -> Result<ClaimReply, ClaimNews> {
+    fn call(&self, order: &ClaimOrder, step: &ClaimStep) -> Result<ClaimReply, ClaimOutcome> {
         let (name, record) = match &order.call {
-            ClaimCall::Ask(ask) => (ask.name, ask.record()),
-            ClaimCall::Finish(t) | ClaimCall::Release(t) => {
+            ClaimCommand::Ask(ask) => (ask.name, ask.record()),
+            ClaimCommand::Finish(t) | ClaimCommand::Release(t) => {
                 (t.name, t.finished(order.answer.clone()))
             }
         };
--- a/azureway-entry/src/decide/message.rs
+++ b/azureway-entry/src/decide/message.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use azureway_core::prelude::{
-    Attempt, ClaimNews, ConfigVersion, Failure, Finish, Fleet, LoadReport, LoadSample, RequestId,
-    ServerId, ShortAnswer,
+    Attempt, ClaimOutcome, ConfigVersion, Failure, Finish, Fleet, LoadReport, LoadSample,
+    RequestId, ServerId, ShortAnswer,
 };
 use flume::Sender;
 
@@ -25,7 +25,7 @@
     /// A try ended well, with an answer that is short enough to be kept.
     Answered(Finish, ShortAnswer),
     /// A call for a claim ended.
-    Claim(ClaimNews),
+    Claim(ClaimOutcome),
     /// A try failed.
     Failed(Failure),
     /// A backend server told of its load.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -128,13 +128,13 @@
 //! use azureway::prelude::*;
 //!
 //! let id = RequestId::new(1, 1);
-//! let mut calls = ClaimAsking::new(id);
+//! let mut calls = ClaimCreation::new(id);
 //! assert_eq!(calls.first(), ClaimStep::Write(0));
 //! assert_eq!(calls.next(ClaimReply::Lost), ClaimStep::Read);
 //! let request = Fingerprint::of("wax-desk", "orders", b"order 17");
 //! let own = ClaimRecord::open(ClaimNonce::of(id), request);
 //! let end = calls.next(ClaimReply::Found(9, own));
-//! assert_eq!(end, ClaimStep::Done(ClaimNews::Granted(id, 9)));
+//! assert_eq!(end, ClaimStep::Done(ClaimOutcome::Granted(id, 9)));
 //! ```
 //!
 //! Membership: heartbeats go to some peers a round, and the embedder carries them.
