--- a/azureway-core/src/claim/breaker.rs
+++ b/azureway-core/src/claim/breaker.rs
@@ -49,7 +49,7 @@
     }
 
     /// Notes that the platform did not answer, and a claim that may have been written.
-    pub fn fail(&mut self, ticket: ClaimHandle, now: Timestamp) {
+    pub fn record_failure(&mut self, ticket: ClaimHandle, now: Timestamp) {
         if self.failures == 0 {
             // The names differ between entries, and so does the jitter.
             let seed = u64::from(ticket.name.shard()) << 32 | ticket.id.sequence();
@@ -63,7 +63,7 @@
     }
 
     /// Notes that the platform answered. Returns the claims that are now to be given back.
-    pub fn answer(&mut self) -> Vec<ClaimHandle> {
+    pub fn record_answer(&mut self) -> Vec<ClaimHandle> {
         self.failures = 0;
         std::mem::take(&mut self.doubtful)
     }
--- a/azureway-core/src/claim/closing.rs
+++ b/azureway-core/src/claim/closing.rs
@@ -65,7 +65,7 @@
     }
 
     const fn done(&self) -> ClaimStep {
-        ClaimStep::Done(ClaimOutcome::Settled(self.id))
+        ClaimStep::Done(ClaimOutcome::Closed(self.id))
     }
 
     fn retry(&mut self) -> ClaimStep {
--- a/azureway-core/src/claim/command.rs
+++ b/azureway-core/src/claim/command.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimCommand {
     /// Create the claim, or tell who holds it.
-    Ask(ClaimRequest),
+    Create(ClaimRequest),
     /// Note that the request has run to its end.
     Finish(ClaimHandle),
     /// Give the claim back: the request has not run and will not.
@@ -18,7 +18,7 @@
     /// Returns the request that the claim is for.
     pub const fn id(&self) -> RequestId {
         match self {
-            Self::Ask(ask) => ask.id,
+            Self::Create(ask) => ask.id,
             Self::Finish(ticket) | Self::Release(ticket) => ticket.id,
         }
     }
--- a/azureway-core/src/claim/creation.rs
+++ b/azureway-core/src/claim/creation.rs
@@ -38,7 +38,9 @@
             ClaimReply::Found(version, record) if record.nonce == self.nonce => {
                 self.granted(version)
             }
-            ClaimReply::Found(_, record) => ClaimStep::Done(ClaimOutcome::Held(self.id, record)),
+            ClaimReply::Found(_, record) => {
+                ClaimStep::Done(ClaimOutcome::AlreadyHeld(self.id, record))
+            }
             ClaimReply::Conflict => ClaimStep::Read,
             // The holder gave the claim back, or a lost write did not take effect.
             ClaimReply::Absent => self.retry(ClaimStep::Write(0)),
--- a/azureway-core/src/claim/decision.rs
+++ b/azureway-core/src/claim/decision.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
     /// The request holds its claim and may be sent.
-    Go(Box<Request>),
+    Proceed(Box<Request>),
     /// An earlier sending has run; its answer is given again.
-    Repeat(ShortAnswer),
+    ReplayAnswer(ShortAnswer),
     /// The request is refused.
     Refuse(Refusal),
     /// Nobody waits for the request any more.
@@ -23,14 +23,14 @@
 
 impl ClaimDecision {
     /// Tells what a claim that another sending holds means for a request.
-    pub fn judge(request: &Request, record: &ClaimRecord) -> Self {
+    pub fn for_existing(request: &Request, record: &ClaimRecord) -> Self {
         if record.fingerprint != request.fingerprint {
             let detail = "the idempotency key was used for another request";
             return Self::Refuse(Refusal::maybe_run(RefusalReason::Duplicate, detail));
         }
         match &record.state {
-            ClaimState::Open => Self::Refuse(Self::running()),
-            ClaimState::Finished(Some(answer)) => Self::Repeat(answer.clone()),
+            ClaimState::Open => Self::Refuse(Self::in_progress()),
+            ClaimState::Finished(Some(answer)) => Self::ReplayAnswer(answer.clone()),
             ClaimState::Finished(None) => {
                 let detail = "the request has run, and its answer was too long to be kept";
                 Self::Refuse(Refusal::maybe_run(RefusalReason::Duplicate, detail))
@@ -39,7 +39,7 @@
     }
 
     /// Returns the refusal of a request whose key runs, or may have run, elsewhere.
-    pub fn running() -> Refusal {
+    pub fn in_progress() -> Refusal {
         let detail = "an earlier sending with this key is running or has run; it is not run again";
         Refusal::maybe_run(RefusalReason::Duplicate, detail).with_retry(RETRY_AFTER)
     }
--- a/azureway-core/src/claim/outcome.rs
+++ b/azureway-core/src/claim/outcome.rs
@@ -9,13 +9,13 @@
     /// The claim was created for the request and has this version.
     Granted(RequestId, u64),
     /// Another sending with the same key holds the claim.
-    Held(RequestId, ClaimRecord),
+    AlreadyHeld(RequestId, ClaimRecord),
     /// The platform did not answer in time. The claim may have been created all the same.
     Unavailable(RequestId),
     /// The platform was not asked, since nobody waits any more or too many calls wait.
-    Unasked(RequestId),
+    Skipped(RequestId),
     /// The claim was finished or given back, or that was given up.
-    Settled(RequestId),
+    Closed(RequestId),
 }
 
 impl ClaimOutcome {
@@ -23,10 +23,10 @@
     pub const fn id(&self) -> RequestId {
         match self {
             Self::Granted(id, _)
-            | Self::Held(id, _)
+            | Self::AlreadyHeld(id, _)
             | Self::Unavailable(id)
-            | Self::Unasked(id)
-            | Self::Settled(id) => *id,
+            | Self::Skipped(id)
+            | Self::Closed(id) => *id,
         }
     }
 }
--- a/azureway-core/src/claim/request.rs
+++ b/azureway-core/src/claim/request.rs
@@ -13,7 +13,7 @@
     /// What the request has in common with the same request sent again.
     pub fingerprint: Fingerprint,
     /// When the claim is no longer of use.
-    pub until: Timestamp,
+    pub deadline: Timestamp,
 }
 
 impl ClaimRequest {
--- a/azureway-core/src/claim/table.rs
+++ b/azureway-core/src/claim/table.rs
@@ -42,7 +42,12 @@
 
     /// Tells whether a request may be sent: it holds its claim, or it needs none because it may
     /// repeat, has no key, or goes to servers that check keys themselves.
-    pub fn covers(&self, request: &Request, service: &ModelService, servers: &ServerTable) -> bool {
+    pub fn permits(
+        &self,
+        request: &Request,
+        service: &ModelService,
+        servers: &ServerTable,
+    ) -> bool {
         let claim = self.claims.get(&request.id);
         !request.needs_claim()
             || matches!(claim, Some(TrackedClaim::Held(_) | TrackedClaim::Sent(..)))
@@ -51,29 +56,29 @@
 
     /// Asks for the claim of a request, which waits in the book meanwhile, or refuses a request
     /// whose key this entry is already working on.
-    pub fn ask(&mut self, request: &Request, now: Timestamp) -> Action {
+    pub fn request(&mut self, request: &Request, now: Timestamp) -> Action {
         let name = TrackedClaim::name_of(request);
         if self.names.contains_key(&name) {
-            return Action::Refuse(request.id, ClaimDecision::running());
+            return Action::Refuse(request.id, ClaimDecision::in_progress());
         }
         if !self.gate.allows(now) {
             return Action::Refuse(request.id, ClaimDecision::unavailable());
         }
-        let until = request.deadline.timestamp().min(now + PATIENCE);
-        let claim = TrackedClaim::Asking(Box::new(request.clone()));
+        let deadline = request.deadline.timestamp().min(now + PATIENCE);
+        let claim = TrackedClaim::Requested(Box::new(request.clone()));
         self.claims.insert(request.id, claim);
         self.names.insert(name, request.id);
-        self.limits.insert((until, request.id));
-        Action::Claim(ClaimCommand::Ask(ClaimRequest {
+        self.limits.insert((deadline, request.id));
+        Action::Claim(ClaimCommand::Create(ClaimRequest {
             id: request.id,
             name,
             fingerprint: request.fingerprint,
-            until,
+            deadline,
         }))
     }
 
     /// Takes in what became of a call. A claim that nobody needs any more is given back.
-    pub fn hear(
+    pub fn handle_outcome(
         &mut self,
         news: &ClaimOutcome,
         now: Timestamp,
@@ -84,18 +89,18 @@
                 self.give_back(out);
                 self.grant(*id, *version, now, out)
             }
-            ClaimOutcome::Held(id, record) => {
+            ClaimOutcome::AlreadyHeld(id, record) => {
                 self.give_back(out);
                 self.held(*id, record)
             }
             ClaimOutcome::Unavailable(id) => self.unavailable(*id, now),
-            ClaimOutcome::Unasked(id) => match self.remove(*id) {
-                Some(TrackedClaim::Asking(..)) => {
+            ClaimOutcome::Skipped(id) => match self.remove(*id) {
+                Some(TrackedClaim::Requested(..)) => {
                     ClaimDecision::Refuse(ClaimDecision::unavailable())
                 }
                 _ => ClaimDecision::Nothing,
             },
-            ClaimOutcome::Settled(id) => {
+            ClaimOutcome::Closed(id) => {
                 self.remove(*id);
                 ClaimDecision::Nothing
             }
@@ -114,9 +119,9 @@
 
     /// Notes that the caller of a request that is not in flight has left. Whatever was tried
     /// before did not run, or the request would not wait for another try.
-    pub fn withdraw(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    pub fn cancel(&mut self, id: RequestId, out: &mut Vec<Action>) {
         match self.claims.get_mut(&id) {
-            Some(claim @ TrackedClaim::Asking(..)) => drop_claim(claim),
+            Some(claim @ TrackedClaim::Requested(..)) => drop_claim(claim),
             Some(TrackedClaim::Held(_) | TrackedClaim::Sent(_, _, false)) => self.release(id, out),
             _ => {}
         }
@@ -132,7 +137,7 @@
         }
         let ticket = *ticket;
         self.claims
-            .insert(attempt.id, TrackedClaim::Settling(ticket.name));
+            .insert(attempt.id, TrackedClaim::Closing(ticket.name));
         out.push(Action::Claim(ClaimCommand::Finish(ticket)));
     }
 
@@ -151,7 +156,7 @@
     pub fn expire(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         while let Some((_, id)) = self.limits.first().copied().filter(|(t, _)| *t < now) {
             self.limits.pop_first();
-            if let Some(claim @ TrackedClaim::Asking(..)) = self.claims.get_mut(&id) {
+            if let Some(claim @ TrackedClaim::Requested(..)) = self.claims.get_mut(&id) {
                 drop_claim(claim);
                 out.push(Action::Refuse(id, ClaimDecision::unavailable()));
             }
@@ -159,13 +164,13 @@
     }
 
     /// Returns when the next request has waited long enough for the platform.
-    pub fn earliest(&self) -> Option<Timestamp> {
+    pub fn next_timeout(&self) -> Option<Timestamp> {
         self.limits.first().map(|(time, _)| *time)
     }
 
     /// Follows what the router has decided from place `start` of `out` on: a request that was
     /// sent uses its claim, and one that was refused gives it back if it has not run.
-    pub fn follow(&mut self, start: usize, out: &mut Vec<Action>) {
+    pub fn apply_actions(&mut self, start: usize, out: &mut Vec<Action>) {
         if self.claims.is_empty() {
             return;
         }
@@ -189,15 +194,15 @@
         out: &mut Vec<Action>,
     ) -> ClaimDecision {
         match self.claims.get(&id).cloned() {
-            Some(TrackedClaim::Asking(mut request)) => {
+            Some(TrackedClaim::Requested(mut request)) => {
                 let claim = TrackedClaim::Held(ticket(&request, version));
                 self.claims.insert(id, claim);
                 // After a long pause the claim could be gone: it is not used then.
                 let last = request.deadline.timestamp().min(now + USE_TIME);
                 request.deadline = Deadline::new(last);
-                ClaimDecision::Go(request)
+                ClaimDecision::Proceed(request)
             }
-            Some(TrackedClaim::Dropped(ticket)) => {
+            Some(TrackedClaim::Abandoned(ticket)) => {
                 let ticket = ClaimHandle { version, ..ticket };
                 self.claims.insert(id, TrackedClaim::Held(ticket));
                 self.release(id, out);
@@ -209,7 +214,7 @@
 
     fn held(&mut self, id: RequestId, record: &ClaimRecord) -> ClaimDecision {
         match self.remove(id) {
-            Some(TrackedClaim::Asking(request)) => ClaimDecision::judge(&request, record),
+            Some(TrackedClaim::Requested(request)) => ClaimDecision::for_existing(&request, record),
             _ => ClaimDecision::Nothing,
         }
     }
@@ -217,22 +222,22 @@
     /// Remembers a claim that may have been written all the same.
     fn unavailable(&mut self, id: RequestId, now: Timestamp) -> ClaimDecision {
         let (ticket, verdict) = match self.remove(id) {
-            Some(TrackedClaim::Asking(request)) => {
+            Some(TrackedClaim::Requested(request)) => {
                 let refusal = ClaimDecision::unavailable();
                 (ticket(&request, 0), ClaimDecision::Refuse(refusal))
             }
-            Some(TrackedClaim::Dropped(ticket)) => (ticket, ClaimDecision::Nothing),
+            Some(TrackedClaim::Abandoned(ticket)) => (ticket, ClaimDecision::Nothing),
             _ => return ClaimDecision::Nothing,
         };
-        self.gate.fail(ticket, now);
+        self.gate.record_failure(ticket, now);
         verdict
     }
 
     /// Gives back the claims that were in doubt, now that the platform answers.
     fn give_back(&mut self, out: &mut Vec<Action>) {
-        for ticket in self.gate.answer() {
+        for ticket in self.gate.record_answer() {
             self.claims
-                .insert(ticket.id, TrackedClaim::Settling(ticket.name));
+                .insert(ticket.id, TrackedClaim::Closing(ticket.name));
             out.push(Action::Claim(ClaimCommand::Release(ticket)));
         }
     }
@@ -260,7 +265,7 @@
         let claim = self.claims.get(&id);
         if let Some(TrackedClaim::Held(ticket) | TrackedClaim::Sent(ticket, ..)) = claim {
             let ticket = *ticket;
-            self.claims.insert(id, TrackedClaim::Settling(ticket.name));
+            self.claims.insert(id, TrackedClaim::Closing(ticket.name));
             out.push(Action::Claim(ClaimCommand::Release(ticket)));
         }
     }
@@ -284,8 +289,8 @@
 }
 
 fn drop_claim(claim: &mut TrackedClaim) {
-    if let TrackedClaim::Asking(request) = claim {
-        *claim = TrackedClaim::Dropped(ticket(request, 0));
+    if let TrackedClaim::Requested(request) = claim {
+        *claim = TrackedClaim::Abandoned(ticket(request, 0));
     }
 }
 
--- a/azureway-core/src/claim/tracked.rs
+++ b/azureway-core/src/claim/tracked.rs
@@ -7,15 +7,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrackedClaim {
     /// The platform is being asked.
-    Asking(Box<Request>),
+    Requested(Box<Request>),
     /// The request was refused, or its caller left, before the platform had answered.
-    Dropped(ClaimHandle),
+    Abandoned(ClaimHandle),
     /// The claim is held and the request waits.
     Held(ClaimHandle),
     /// The request was sent. The flag tells whether its caller has left.
     Sent(ClaimHandle, Attempt, bool),
     /// The claim is being finished or given back.
-    Settling(ClaimName),
+    Closing(ClaimName),
 }
 
 impl TrackedClaim {
@@ -35,9 +35,9 @@
     /// Returns the name of the claim.
     pub fn name(&self) -> ClaimName {
         match self {
-            Self::Asking(request) => Self::name_of(request),
-            Self::Dropped(ticket) | Self::Held(ticket) | Self::Sent(ticket, ..) => ticket.name,
-            Self::Settling(name) => *name,
+            Self::Requested(request) => Self::name_of(request),
+            Self::Abandoned(ticket) | Self::Held(ticket) | Self::Sent(ticket, ..) => ticket.name,
+            Self::Closing(name) => *name,
         }
     }
 }
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -82,7 +82,7 @@
         self.try_again(now, out);
         self.pump(now, out);
         self.tell_strikes(out);
-        self.claims.follow(start, out);
+        self.claims.apply_actions(start, out);
         self.tally.follow(&out[start..], now);
     }
 
@@ -99,10 +99,10 @@
         let servers = self.sender.servers();
         let action = match intake.check(request, now) {
             Err(refusal) => Action::Refuse(request.id, refusal),
-            Ok((service, _)) if self.claims.covers(request, service, servers) => {
+            Ok((service, _)) if self.claims.permits(request, service, servers) => {
                 return self.enqueue(request, now, out);
             }
-            Ok(_) => self.claims.ask(request, now),
+            Ok(_) => self.claims.request(request, now),
         };
         out.push(action);
     }
@@ -123,9 +123,9 @@
     }
 
     fn claimed(&mut self, news: &ClaimOutcome, now: Timestamp, out: &mut Vec<Action>) {
-        match self.claims.hear(news, now, out) {
-            ClaimDecision::Go(request) => self.enqueue(&request, now, out),
-            ClaimDecision::Repeat(answer) => out.push(Action::ReplayAnswer(news.id(), answer)),
+        match self.claims.handle_outcome(news, now, out) {
+            ClaimDecision::Proceed(request) => self.enqueue(&request, now, out),
+            ClaimDecision::ReplayAnswer(answer) => out.push(Action::ReplayAnswer(news.id(), answer)),
             ClaimDecision::Refuse(refusal) => out.push(Action::Refuse(news.id(), refusal)),
             ClaimDecision::Nothing => {}
         }
@@ -143,7 +143,7 @@
         if self.retries.remove(id).is_none() {
             self.queues.remove(id);
         }
-        self.claims.withdraw(id, out);
+        self.claims.cancel(id, out);
     }
 
     fn start(&mut self, attempt: Attempt, now: Timestamp) {
@@ -261,7 +261,7 @@
     ) -> bool {
         let service = self.fleet.services.get(&want.request.service);
         let servers = self.sender.servers();
-        if !service.is_some_and(|s| self.claims.covers(want.request, s, servers)) {
+        if !service.is_some_and(|s| self.claims.permits(want.request, s, servers)) {
             return false;
         }
         let order = self.sender.send(want, &self.config, &self.fleet, now);
--- a/azureway-core/src/router/views.rs
+++ b/azureway-core/src/router/views.rs
@@ -17,7 +17,7 @@
         let abroad = self.queues.oldest().map(|t| t + self.config.remote_delay);
         let abroad = abroad.filter(|t| *t > self.seen && self.fleet.has_regions());
         let trial = limit.and_then(|_| self.sender.servers().next_retry(self.seen));
-        let claims = self.claims.earliest();
+        let claims = self.claims.next_timeout();
         let refill = self.budgets.next_refill();
         let refill = refill.filter(|_| !self.retries.is_empty());
         let times = [limit, trial, abroad, refill, claims];
--- a/azureway-core/tests/claims/world.rs
+++ b/azureway-core/tests/claims/world.rs
@@ -292,7 +292,7 @@
 fn parts(call: &ClaimCommand) -> (ClaimName, ClaimRecord) {
     let answer = ShortAnswer::new(200, "text/plain", b"done");
     match call {
-        ClaimCommand::Ask(ask) => (ask.name, ask.record()),
+        ClaimCommand::Create(ask) => (ask.name, ask.record()),
         ClaimCommand::Finish(t) | ClaimCommand::Release(t) => (t.name, t.finished(answer)),
     }
 }
--- a/azureway-dev/src/replay/platform_model.rs
+++ b/azureway-dev/src/replay/platform_model.rs
@@ -26,10 +26,10 @@
     pub const fn answer(self, call: &ClaimCommand) -> (Duration, ClaimOutcome) {
         let id = call.id();
         match call {
-            ClaimCommand::Ask(_) if self.away => (ANSWER_LIMIT, ClaimOutcome::Unavailable(id)),
-            ClaimCommand::Ask(_) => (ANSWER_TIME, ClaimOutcome::Granted(id, 1)),
+            ClaimCommand::Create(_) if self.away => (ANSWER_LIMIT, ClaimOutcome::Unavailable(id)),
+            ClaimCommand::Create(_) => (ANSWER_TIME, ClaimOutcome::Granted(id, 1)),
             ClaimCommand::Finish(_) | ClaimCommand::Release(_) => {
-                (ANSWER_TIME, ClaimOutcome::Settled(id))
+                (ANSWER_TIME, ClaimOutcome::Closed(id))
             }
         }
     }
--- a/azureway-entry/src/claim/claim_client.rs
+++ b/azureway-entry/src/claim/claim_client.rs
@@ -33,8 +33,8 @@
     pub fn place(&mut self, call: ClaimCommand) -> Option<ClaimOutcome> {
         let id = call.id();
         let unplaced = match call {
-            ClaimCommand::Ask(_) => ClaimOutcome::Unasked(id),
-            ClaimCommand::Finish(_) | ClaimCommand::Release(_) => ClaimOutcome::Settled(id),
+            ClaimCommand::Create(_) => ClaimOutcome::Skipped(id),
+            ClaimCommand::Finish(_) | ClaimCommand::Release(_) => ClaimOutcome::Closed(id),
         };
         let offered = self.offered.take().filter(|(of, _)| *of == id);
         let answer = offered.map(|(_, answer)| answer);
--- a/azureway-entry/src/claim/claimer.rs
+++ b/azureway-entry/src/claim/claimer.rs
@@ -59,7 +59,7 @@
     fn carry_out(&self, order: &ClaimOrder) -> ClaimOutcome {
         let id = order.call.id();
         if self.is_late(order) {
-            return ClaimOutcome::Unasked(id);
+            return ClaimOutcome::Skipped(id);
         }
         let mut run = ClaimOperation::new(&order.call);
         let mut backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP, self.seed ^ id.sequence());
@@ -83,7 +83,7 @@
     /// Tells whether nobody waits for the claim any more.
     fn is_late(&self, order: &ClaimOrder) -> bool {
         match &order.call {
-            ClaimCommand::Ask(ask) => ask.until < self.clock.now(),
+            ClaimCommand::Create(ask) => ask.deadline < self.clock.now(),
             ClaimCommand::Finish(_) | ClaimCommand::Release(_) => false,
         }
     }
@@ -95,7 +95,7 @@
     /// Makes one call. A step that is an end already is handed back as news.
     fn call(&self, order: &ClaimOrder, step: &ClaimStep) -> Result<ClaimReply, ClaimOutcome> {
         let (name, record) = match &order.call {
-            ClaimCommand::Ask(ask) => (ask.name, ask.record()),
+            ClaimCommand::Create(ask) => (ask.name, ask.record()),
             ClaimCommand::Finish(t) | ClaimCommand::Release(t) => {
                 (t.name, t.finished(order.answer.clone()))
             }
