--- a/src/lib.rs
+++ b/src/lib.rs
@@ -44,10 +44,10 @@
 //! use azureway::prelude::*;
 //!
 //! let mut budget = RetryBudget::new(20);
-//! while budget.spend() {}
-//! (0..5).for_each(|_| budget.earn());
-//! assert!(budget.spend());
-//! assert!(!budget.spend());
+//! while budget.try_spend() {}
+//! (0..5).for_each(|_| budget.deposit());
+//! assert!(budget.try_spend());
+//! assert!(!budget.try_spend());
 //! ```
 //!
 //! A change of a shared document: the embedder carries out each step against its store.
