--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -125,7 +125,9 @@
     fn claimed(&mut self, news: &ClaimOutcome, now: Timestamp, out: &mut Vec<Action>) {
         match self.claims.handle_outcome(news, now, out) {
             ClaimDecision::Proceed(request) => self.enqueue(&request, now, out),
-            ClaimDecision::ReplayAnswer(answer) => out.push(Action::ReplayAnswer(news.id(), answer)),
+            ClaimDecision::ReplayAnswer(answer) => {
+                out.push(Action::ReplayAnswer(news.id(), answer))
+            }
             ClaimDecision::Refuse(refusal) => out.push(Action::Refuse(news.id(), refusal)),
             ClaimDecision::Nothing => {}
         }
