--- a/azureway-core/src/route/candidate.rs
+++ b/azureway-core/src/route/candidate.rs
@@ -5,19 +5,19 @@
 use crate::domain::TokenCount;
 use crate::fleet::ServerState;
 
-/// A backend server that could take a request, and what is special to the two of them.
+/// A backend server that could take a request, with the figures that depend on both.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// The server.
+    /// The runtime state of the server.
     pub state: &'a ServerState,
-    /// The tokens of the prompt that it is believed to hold.
+    /// The tokens at the head of the prompt that are believed to be cached there.
     pub cached: TokenCount,
-    /// The time one way over the link to it.
+    /// The one-way latency of the network link to the server.
     pub link: Duration,
-    /// What the traffic to it costs, as time.
+    /// The cost of the traffic to the server, converted to time.
     pub traffic_cost: Duration,
-    /// How strongly the prefix prefers it.
+    /// The rendezvous weight of the server for the prefix; the highest is preferred.
     pub weight: u64,
-    /// Whether it is one of the servers that the prefix is kept on.
+    /// Whether the server is one of the replicas that the prefix is placed on.
     pub replica: bool,
 }
--- a/azureway-core/src/route/decaying_peak.rs
+++ b/azureway-core/src/route/decaying_peak.rs
@@ -1,42 +1,42 @@
-//! How much a prefix is asked for.
+//! The requests in flight for a prefix and their decaying peak.
 
 use std::time::Duration;
 
 use crate::domain::Timestamp;
 
-/// The time in which a past peak loses half of its height.
+/// The time in which a past peak decays to half.
 const HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// How much a prefix is asked for: its requests in flight and their fading peak.
+/// The requests in flight for a prefix and the exponentially decaying peak of their number.
 ///
-/// The peak fades slowly, so that a prefix does not lose replicas between two bursts and
-/// pay for them again.
+/// The peak decays slowly, so that a prefix does not lose its replicas between two bursts and
+/// have to be computed on them again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingPeak {
-    flights: u32,
+    in_flight: u32,
     peak: f64,
-    at: Timestamp,
+    updated: Timestamp,
 }
 
 impl DecayingPeak {
-    /// Notes a request that was sent at `now`.
+    /// Records a request that was sent at `now`.
     pub fn begin(&mut self, now: Timestamp) {
-        self.flights += 1;
+        self.in_flight += 1;
         self.peak = self.level(now);
-        self.at = now;
+        self.updated = now;
     }
 
-    /// Notes a request that ended at `now`.
+    /// Records a request that ended at `now`.
     pub fn end(&mut self, now: Timestamp) {
         self.peak = self.level(now);
-        self.at = now;
-        self.flights = self.flights.saturating_sub(1);
+        self.updated = now;
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Returns the requests in flight, or their faded peak if that is higher.
+    /// Returns the number of requests in flight, or the decayed peak if that is higher.
     pub fn level(&self, now: Timestamp) -> f64 {
-        let age = now.since(self.at).as_secs_f64();
-        let faded = self.peak * (-age / HALF_LIFE.as_secs_f64()).exp2();
-        faded.max(f64::from(self.flights))
+        let age = now.since(self.updated).as_secs_f64();
+        let decayed = self.peak * (-age / HALF_LIFE.as_secs_f64()).exp2();
+        decayed.max(f64::from(self.in_flight))
     }
 }
--- a/azureway-core/src/route/estimate.rs
+++ b/azureway-core/src/route/estimate.rs
@@ -1,37 +1,38 @@
-//! The estimated time to first token at a candidate.
+//! The estimated time to first token and cost of a request at a candidate.
 
 use std::time::Duration;
 
 use super::{Candidate, RequestProfile};
 use crate::domain::Timestamp;
 
-/// The parts of the estimated time to first token at a candidate.
+/// The components of the estimated time to first token and of the cost at a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Estimate {
-    /// The time until the server turns to the prompt.
+    /// The queueing time until the server starts on the prompt.
     pub wait: Duration,
-    /// The time to compute what is not cached.
+    /// The time to compute the uncached tokens of the prompt.
     pub prefill: Duration,
-    /// The time on the link, there and back.
+    /// The round-trip time of the network link.
     pub link: Duration,
-    /// The time by which computing holds up the requests beside it.
+    /// The delay that the prefill causes to the other requests at the server.
     pub interference: Duration,
-    /// What the traffic costs, as time.
+    /// The cost of the traffic to the server, converted to time.
     pub traffic_cost: Duration,
-    /// What computing a prefix costs that another server may hold, as time.
+    /// The cost of computing prefix tokens that another server may have cached, as time.
     pub recompute: Duration,
 }
 
-/// How much the time to compute a prompt on a full server counts for the requests beside it.
+/// The weight of the delay to other requests: the multiple of the prefill time that counts at a
+/// full server.
 const INTERFERENCE_FACTOR: u32 = 4;
 
 impl Estimate {
-    /// Estimates the time to first token of `profile` at `candidate`.
+    /// Estimates the time to first token and the cost of a request at `candidate`.
     pub fn new(profile: RequestProfile, candidate: &Candidate<'_>, now: Timestamp) -> Self {
         let state = candidate.state;
         let server = &state.server;
-        let missing = profile.prompt.saturating_sub(candidate.cached);
-        let prefill = server.prefill.time_for(missing);
+        let uncached = profile.prompt.saturating_sub(candidate.cached);
+        let prefill = server.prefill.time_for(uncached);
         Self {
             wait: server.prefill.time_for(state.pending_tokens()) + state.slot_wait(now),
             prefill,
@@ -51,8 +52,9 @@
             .saturating_add(self.prefill)
             .saturating_add(self.link)
     }
-    /// Returns what the choice costs: the time to first token, the traffic, and the time by
-    /// which computing the prompt holds up the requests beside it.
+
+    /// Returns the total cost: the time to first token, the traffic, the recomputed prefix and the
+    /// delay to the other requests at the server.
     pub const fn cost(&self) -> Duration {
         self.total()
             .saturating_add(self.interference)
--- a/azureway-core/src/route/least_loaded.rs
+++ b/azureway-core/src/route/least_loaded.rs
@@ -1,9 +1,9 @@
-//! The server with the least load.
+//! The least-loaded policy.
 
 use super::{Candidate, Policy, RequestProfile};
 use crate::domain::Timestamp;
 
-/// Chooses the server that runs the fewest requests. A baseline.
+/// Chooses the server with the fewest requests. It serves as a baseline.
 #[derive(Clone, Debug, Default)]
 pub struct LeastLoaded;
 
@@ -23,9 +23,9 @@
         candidates: &[Candidate<'_>],
         now: Timestamp,
     ) -> Option<usize> {
-        let places = candidates.iter().enumerate();
-        places
+        let indexed = candidates.iter().enumerate();
+        indexed
             .min_by_key(|(_, c)| c.state.load(now))
-            .map(|(place, _)| place)
+            .map(|(index, _)| index)
     }
 }
--- a/azureway-core/src/route/locality.rs
+++ b/azureway-core/src/route/locality.rs
@@ -1,17 +1,17 @@
-//! How far away a backend server stands.
+//! The network distance between an entry and a backend server.
 
-/// How far away a backend server stands, the nearest first.
+/// The network distance between an entry and a backend server, ordered from the nearest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Locality {
     /// In the entry's own availability zone.
     Zone,
     /// In another availability zone of the same region.
     Region,
-    /// In another region, to which traffic is paid by volume.
+    /// In another region. Traffic to it is charged by volume.
     Remote,
 }
 
 impl Locality {
-    /// Every locality, the nearest first.
+    /// All localities, the nearest first.
     pub const ALL: [Self; 3] = [Self::Zone, Self::Region, Self::Remote];
 }
--- a/azureway-core/src/route/mod.rs
+++ b/azureway-core/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Where a request goes.
+//! Routing policies and the estimates that they choose a backend server by.
 
 mod candidate;
 mod decaying_peak;
--- a/azureway-core/src/route/policy.rs
+++ b/azureway-core/src/route/policy.rs
@@ -3,16 +3,16 @@
 use super::{Candidate, RequestProfile};
 use crate::domain::Timestamp;
 
-/// A way to choose a backend server for a request.
+/// A routing policy, which chooses a backend server for a request.
 ///
-/// A policy is a generic parameter of the router, so that a replay compares several.
+/// The policy is a generic parameter of the router, so that a replay can compare several.
 pub trait Policy {
     /// The name of the policy in reports.
     const NAME: &'static str;
 
-    /// Returns the place of the chosen candidate, or `None` if there is none.
+    /// Returns the index of the chosen candidate, or `None` if `candidates` is empty.
     ///
-    /// `candidates` come in the order of their names, which is the same at every entry.
+    /// `candidates` are ordered by server name, so that the order is the same at every entry.
     fn choose(
         &mut self,
         profile: RequestProfile,
--- a/azureway-core/src/route/prefix_hash.rs
+++ b/azureway-core/src/route/prefix_hash.rs
@@ -1,9 +1,10 @@
-//! The server that the prefix prefers.
+//! The prefix-hash policy.
 
 use super::{Candidate, Policy, Rendezvous, RequestProfile};
 use crate::domain::Timestamp;
 
-/// Chooses the server that the prefix prefers, whatever its load. A baseline.
+/// Chooses the server with the highest rendezvous weight for the prefix, whatever its load. It
+/// serves as a baseline.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixHash;
 
@@ -24,9 +25,9 @@
         _: Timestamp,
     ) -> Option<usize> {
         let order = Rendezvous::new(profile.prefix);
-        let places = candidates.iter().enumerate();
-        places
+        let indexed = candidates.iter().enumerate();
+        indexed
             .max_by_key(|(_, c)| order.weight(&c.state.server.id))
-            .map(|(place, _)| place)
+            .map(|(index, _)| index)
     }
 }
--- a/azureway-core/src/route/prefix_load.rs
+++ b/azureway-core/src/route/prefix_load.rs
@@ -1,21 +1,21 @@
-//! The product's policy: the least estimated time to first token.
+//! The default policy: the least estimated cost, with prefix affinity among equals.
 
 use std::time::Duration;
 
 use super::{Candidate, Estimate, Policy, RequestProfile, mix};
 use crate::domain::Timestamp;
 
-/// Chooses the server with the least estimated time to first token, with what it costs the
-/// requests behind to compute the prompt.
+/// Chooses the server with the least [`Estimate::cost`]: the estimated time to first token, the
+/// traffic, the recomputed prefix and the delay that the prefill causes to other requests.
 ///
-/// Estimates that differ by less than the reports can tell count as equal. Among equals a
-/// server that the prefix is kept on goes first, and among these each request draws its
-/// own, so that entries which hold the same stale report do not all choose the same one.
+/// Costs that differ by less than the accuracy of load reports count as equal. Among equals,
+/// replicas of the prefix are preferred, and the request's seed picks one of them, so that
+/// entries with the same stale report do not all choose the same server.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixLoad;
 
-/// The difference between two estimates that still counts as none.
-const SLACK: Duration = Duration::from_millis(20);
+/// The largest difference between two costs that count as equal.
+const TIE_MARGIN: Duration = Duration::from_millis(20);
 
 impl PrefixLoad {
     /// Creates the policy.
@@ -34,15 +34,15 @@
         now: Timestamp,
     ) -> Option<usize> {
         let cost = |c: &Candidate<'_>| Estimate::new(profile, c, now).cost();
-        let bound = candidates.iter().map(cost).min()? + SLACK;
+        let limit = candidates.iter().map(cost).min()? + TIE_MARGIN;
         let order = |c: &Candidate<'_>| match c.replica {
             true => (true, mix(c.weight ^ profile.seed)),
             false => (false, c.weight),
         };
-        let places = candidates.iter().enumerate();
-        places
-            .filter(|(_, c)| cost(c) <= bound)
+        let indexed = candidates.iter().enumerate();
+        indexed
+            .filter(|(_, c)| cost(c) <= limit)
             .max_by_key(|(_, c)| order(c))
-            .map(|(place, _)| place)
+            .map(|(index, _)| index)
     }
 }
--- a/azureway-core/src/route/rendezvous.rs
+++ b/azureway-core/src/route/rendezvous.rs
@@ -1,41 +1,41 @@
-//! An order of servers that every entry computes alike.
+//! Rendezvous hashing of prefixes to servers.
 
 use crate::domain::{PrefixKey, ServerId};
 
-/// The order in which a prefix prefers servers: by a digest of both, highest first.
+/// Rendezvous hashing: a prefix prefers the servers with the highest digest of both.
 ///
-/// Each entry computes the same order without history or peers, and a server that comes
-/// or goes moves only the prefixes that it gains or loses.
+/// Every entry computes the same order without history or communication, and adding or removing
+/// a server moves only the prefixes that it gains or loses.
 #[derive(Clone, Copy, Debug)]
 pub struct Rendezvous {
     prefix: PrefixKey,
 }
 
-/// The offset basis of the 64-bit FNV-1a digest.
+/// The offset basis of the 64-bit FNV-1a hash.
 const FNV_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// The prime of the 64-bit FNV-1a digest.
+/// The prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 impl Rendezvous {
-    /// Creates the order for `prefix`.
+    /// Creates the preference order of `prefix`.
     pub const fn new(prefix: PrefixKey) -> Self {
         Self { prefix }
     }
 
-    /// Returns how strongly the prefix prefers `server`.
+    /// Returns the weight of `server` for the prefix; the highest is preferred.
     pub fn weight(&self, server: &ServerId) -> u64 {
         let prefix = self.prefix.get().to_le_bytes();
         let bytes = server.as_str().bytes().chain(prefix);
-        let sum = bytes.fold(FNV_BASIS, |sum, b| {
-            (sum ^ u64::from(b)).wrapping_mul(FNV_PRIME)
+        let hash = bytes.fold(FNV_BASIS, |hash, b| {
+            (hash ^ u64::from(b)).wrapping_mul(FNV_PRIME)
         });
-        mix(sum)
+        mix(hash)
     }
 }
 
-/// Spreads the last input bytes over all bits, which FNV-1a alone does not.
-pub(super) const fn mix(sum: u64) -> u64 {
-    let sum = (sum ^ (sum >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
-    let sum = (sum ^ (sum >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
-    sum ^ (sum >> 33)
+/// Mixes the last input bytes into all bits, which FNV-1a alone does not.
+pub(super) const fn mix(hash: u64) -> u64 {
+    let hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
+    let hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
+    hash ^ (hash >> 33)
 }
--- a/azureway-core/src/route/request_profile.rs
+++ b/azureway-core/src/route/request_profile.rs
@@ -1,19 +1,19 @@
-//! What a policy is told of a request.
+//! The properties of a request that a routing policy uses.
 
 use crate::domain::{PrefixKey, Rank, TokenCount};
 
-/// What a policy is told of a request.
+/// The properties of a request that a routing policy uses.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestProfile {
     /// The key of the shared prefix.
     pub prefix: PrefixKey,
-    /// The rank.
+    /// The rank of the request.
     pub rank: Rank,
-    /// The tokens of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt: TokenCount,
-    /// The tokens of the shared prefix, where servers can fetch it from one another: computing
-    /// it once more is a waste.
+    /// The length of the shared prefix in tokens if servers can fetch it from one another, so
+    /// that computing it again is a waste, or zero.
     pub fetchable: TokenCount,
-    /// A number that differs between requests, for choices that must not all be the same.
+    /// A number that differs between requests, to spread choices that would otherwise coincide.
     pub seed: u64,
 }
--- a/azureway-core/src/route/round_robin.rs
+++ b/azureway-core/src/route/round_robin.rs
@@ -1,9 +1,9 @@
-//! Each server in its turn.
+//! The round-robin policy.
 
 use super::{Candidate, Policy, RequestProfile};
 use crate::domain::Timestamp;
 
-/// Gives each server its turn. A baseline.
+/// Chooses the servers in turn. It serves as a baseline.
 #[derive(Clone, Debug, Default)]
 pub struct RoundRobin {
     turn: usize,
--- a/azureway-core/src/route/static_split.rs
+++ b/azureway-core/src/route/static_split.rs
@@ -1,4 +1,4 @@
-//! A split of the work that looks at no report.
+//! The static-split policy, which uses no load reports.
 
 use smallvec::SmallVec;
 
@@ -6,8 +6,9 @@
 use crate::admit::DemandMeter;
 use crate::domain::Timestamp;
 
-/// Draws a server with the probabilities that minimise the sum of the mean sojourn times of
-/// independent queues, given only the servers' rates and the rate of arrivals. A baseline.
+/// Picks a server at random with the probabilities that minimise the sum of the mean sojourn
+/// times of independent queues, given only the servers' rates and the arrival rate. It serves as
+/// a baseline.
 ///
 /// The probabilities are those of Guo, Lu and Squillante, *Optimal Probabilistic Routing in
 /// Distributed Parallel Queues*, equation 14, for Poisson arrivals and equal variances.
@@ -16,8 +17,8 @@
     arrivals: DemandMeter,
 }
 
-/// The range of a draw.
-const DRAW_RANGE: f64 = 18_446_744_073_709_551_616.0;
+/// The range of a 64-bit random number, 2^64.
+const SEED_RANGE: f64 = 18_446_744_073_709_551_616.0;
 
 impl StaticSplit {
     /// Creates the policy.
@@ -39,19 +40,19 @@
         let entries = candidates.first()?.state.entries();
         let arrivals = self.arrivals.rate(now) * f64::from(entries);
         let shares = shares(candidates, arrivals);
-        let whole: f64 = shares.iter().sum();
-        let mut left = mix(profile.seed) as f64 / DRAW_RANGE * whole;
+        let total: f64 = shares.iter().sum();
+        let mut remaining = mix(profile.seed) as f64 / SEED_RANGE * total;
         let last = candidates.len() - 1;
-        let passes = |share: &f64| {
-            left -= share;
-            left < 0.0
+        let selects = |share: &f64| {
+            remaining -= share;
+            remaining < 0.0
         };
-        Some(shares.iter().position(passes).unwrap_or(last))
+        Some(shares.iter().position(selects).unwrap_or(last))
     }
 }
 
-/// Returns each server's rate less an equal part of the rate to spare; a server that would
-/// get less than nothing gets nothing, and the spare rate is that of the others.
+/// Returns each server's rate less an equal part of the spare rate. A server whose share would be
+/// negative gets none and does not contribute to the spare rate.
 fn shares(candidates: &[Candidate<'_>], arrivals: f64) -> SmallVec<[f64; 16]> {
     let rates = candidates
         .iter()
@@ -60,9 +61,9 @@
     let mut used = rates.clone();
     used.sort_unstable_by(|a, b| b.total_cmp(a));
     let mut spare = 0.0;
-    while let Some(least) = used.last() {
+    while let Some(slowest) = used.last() {
         spare = (used.iter().sum::<f64>() - arrivals).max(0.0) / used.len() as f64;
-        if *least >= spare {
+        if *slowest >= spare {
             break;
         }
         used.pop();
