--- a/azureway-core/src/order/config.rs
+++ b/azureway-core/src/order/config.rs
@@ -1,53 +1,53 @@
-//! The bounds of orders.
+//! The limits of load orders.
 
 use std::time::Duration;
 
 use super::LoadMode;
 
-/// The bounds of orders.
+/// The limits of load orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderConfig {
-    /// The loads that the weight store takes in a second, over all pools.
+    /// The rate of loads that the weight store can serve, per second over all pools.
     pub store_rate: u32,
-    /// How long a load counts as running if nothing is heard of its end.
+    /// How long a load counts as pending if its end is not reported.
     pub load_timeout: Duration,
-    /// How long a load holds up the next one if nothing is heard of its end.
+    /// How long a load occupies one of its pool's load slots if its end is not reported.
     pub slot_timeout: Duration,
-    /// What becomes of the runs of a server that loads.
+    /// How a server treats its running requests when it loads weights.
     pub mode: LoadMode,
 }
 
-/// The default rate of loads a second.
-const DEFAULT_STORE: u32 = 4;
-/// The default limit of a load.
-const DEFAULT_LIMIT: Duration = Duration::from_secs(10);
+/// The default rate of loads per second.
+const DEFAULT_STORE_RATE: u32 = 4;
+/// The default timeout of a load.
+const DEFAULT_LOAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl OrderConfig {
-    /// Creates the default bounds.
+    /// Creates the default limits.
     pub const fn new() -> Self {
         Self {
-            store_rate: DEFAULT_STORE,
-            load_timeout: DEFAULT_LIMIT,
-            slot_timeout: DEFAULT_LIMIT,
+            store_rate: DEFAULT_STORE_RATE,
+            load_timeout: DEFAULT_LOAD_TIMEOUT,
+            slot_timeout: DEFAULT_LOAD_TIMEOUT,
             mode: LoadMode::Drain,
         }
     }
 
-    /// Sets the loads that the weight store takes in a second.
+    /// Sets the rate of loads that the weight store can serve, per second.
     #[must_use]
     pub const fn with_store_rate(mut self, store_rate: u32) -> Self {
         self.store_rate = store_rate;
         self
     }
 
-    /// Sets how long a load holds up the next one if nothing is heard of its end.
+    /// Sets how long a load occupies a load slot if its end is not reported.
     #[must_use]
     pub const fn with_slot_timeout(mut self, slot_timeout: Duration) -> Self {
         self.slot_timeout = slot_timeout;
         self
     }
 
-    /// Sets what becomes of the runs of a server that loads.
+    /// Sets how a server treats its running requests when it loads weights.
     #[must_use]
     pub const fn with_mode(mut self, mode: LoadMode) -> Self {
         self.mode = mode;
--- a/azureway-core/src/order/load_mode.rs
+++ b/azureway-core/src/order/load_mode.rs
@@ -1,12 +1,12 @@
-//! What becomes of the runs of a server that loads weights.
+//! The treatment of running requests during a load.
 
-/// What becomes of the runs of a server that loads weights.
+/// How a server treats its running requests when it loads weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadMode {
-    /// The server ends its runs first and takes no work meanwhile, so that the longest run
-    /// holds up the load.
+    /// The server first completes its running requests and accepts no others, so that the longest
+    /// one delays the load.
     #[default]
     Drain,
-    /// The runs go on under the new weights after a pause as long as the load.
+    /// The running requests pause for the load and continue with the new weights.
     Swap,
 }
--- a/azureway-core/src/order/load_order.rs
+++ b/azureway-core/src/order/load_order.rs
@@ -1,26 +1,28 @@
-//! An order to load weights.
+//! An order to a backend server to load weights.
 
 use std::net::SocketAddr;
 
 use super::LoadMode;
 use crate::domain::{ConfigVersion, ModelId, ServerId, WeightsVersion};
 
-/// An order to load weights. It states the desired end: a server that has the weights does
-/// nothing, so that a late or doubled order does no harm.
+/// An order to a backend server to load weights.
+///
+/// It is idempotent: a server that already has the weights does nothing, so that a late or
+/// duplicate order does no harm.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadOrder {
-    /// The server.
+    /// The server that loads the weights.
     pub server: ServerId,
-    /// Its address.
+    /// The address of the server.
     pub address: SocketAddr,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether the server rejects an order with an old fencing number.
     pub fenced: bool,
-    /// The model, where the configuration names it.
+    /// The model, if the configuration names it.
     pub model: Option<ModelId>,
-    /// The weights to have.
+    /// The weights version to load.
     pub weights: WeightsVersion,
-    /// What becomes of the runs of the server.
+    /// How the server treats its running requests.
     pub mode: LoadMode,
-    /// The version of the configuration that asks for them.
+    /// The configuration version that requires the weights.
     pub config: ConfigVersion,
 }
--- a/azureway-core/src/order/planner.rs
+++ b/azureway-core/src/order/planner.rs
@@ -1,54 +1,54 @@
-//! Which order goes next.
+//! Planning of load orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Load, LoadOrder, OrderConfig, PoolView, StoreLimiter};
+use super::{LoadOrder, OrderConfig, PendingLoad, PoolView, StoreLimiter};
 use crate::domain::{
     BackendServer, BackendServerPool, ConfigVersion, ModelId, ModelService, ServerId, ServiceKind,
     Timestamp, WeightsVersion,
 };
 use crate::fleet::{Fleet, LoadReport};
 
-/// The time after which an order that failed is given again: a server that has crashed needs
-/// longer to come back, and one that answers late has answered by then.
-const RETRY_TIME: Duration = Duration::from_secs(1);
+/// The delay before a failed order is sent again. A server that replies late has replied by then;
+/// one that crashed needs longer to restart.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Compares what the configuration wants loaded with what the servers report, and returns one
-/// order at a time.
+/// Plans load orders, one at a time, by comparing the weights that the configuration requires with
+/// those that the servers report.
 #[derive(Clone, Debug)]
 pub struct OrderPlanner {
     config: OrderConfig,
     fleet: Fleet,
     reported: BTreeMap<ServerId, WeightsVersion>,
-    loads: BTreeMap<ServerId, Load>,
-    budget: StoreLimiter,
-    /// The loads that held up the next one when an order was last looked for.
-    busy: usize,
-    /// Whether something has changed since no order was found.
+    loads: BTreeMap<ServerId, PendingLoad>,
+    store_limiter: StoreLimiter,
+    /// The number of loads that occupied a slot when planning last ran.
+    active_loads: usize,
+    /// Whether anything has changed since planning last found no order.
     changed: bool,
 }
 
 impl OrderPlanner {
-    /// Creates a planner that knows no configuration yet.
+    /// Creates a planner without a configuration.
     pub fn new(config: OrderConfig) -> Self {
         Self {
-            budget: StoreLimiter::new(config.store_rate),
+            store_limiter: StoreLimiter::new(config.store_rate),
             config,
             fleet: Fleet::new(),
             reported: BTreeMap::new(),
             loads: BTreeMap::new(),
-            busy: 0,
+            active_loads: 0,
             changed: false,
         }
     }
 
-    /// Returns the version of the configuration in force.
+    /// Returns the configuration version in effect.
     pub const fn version(&self) -> ConfigVersion {
         self.fleet.version
     }
 
-    /// Takes over a newer configuration.
+    /// Adopts `fleet` if its version is newer.
     pub fn adopt(&mut self, fleet: &Fleet) {
         if fleet.version > self.fleet.version {
             self.fleet = fleet.clone();
@@ -56,17 +56,17 @@
             let servers = &self.fleet.servers;
             self.reported.retain(|id, _| servers.contains_key(id));
             self.loads.retain(|id, _| servers.contains_key(id));
-            self.read_list();
+            self.apply_listed_weights();
         }
     }
 
-    /// Takes in what the platform's list says of the servers' weights.
-    fn read_list(&mut self) {
+    /// Applies the weights of the servers in the platform's list.
+    fn apply_listed_weights(&mut self) {
         for server in self.fleet.servers.values() {
             let Some(weights) = server.listed.and_then(|l| l.weights) else {
                 continue;
             };
-            // The list lags behind the answers, and weights only become newer.
+            // The list lags behind the servers' responses, and weights only become newer.
             let known = self.reported.get(&server.id).copied().unwrap_or_default();
             self.reported.insert(server.id.clone(), known.max(weights));
             if self
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes in what a server says of its weights. One that is leaving gets no orders.
+    /// Applies a server's load report. A server that is leaving gets no orders.
     pub fn apply_report(&mut self, report: &LoadReport, now: Timestamp) {
         let (server, weights) = (&report.server, report.weights);
         if report.leaving {
@@ -87,28 +87,31 @@
             self.loads.remove(server);
             return;
         }
-        let had = self.reported.insert(server.clone(), weights);
-        self.changed |= had != Some(weights);
+        let previous = self.reported.insert(server.clone(), weights);
+        self.changed |= previous != Some(weights);
         if self.loads.get(server).is_some_and(|l| l.weights == weights) {
             self.loads.remove(server);
             self.changed = true;
         }
-        // A server that has just lost its weights is loading, also on an earlier holder's order.
-        if weights == WeightsVersion::ZERO && had != Some(weights) {
-            let until = now + self.config.load_timeout;
-            let busy = now + self.config.slot_timeout;
-            let load = Load {
+        // A server that now reports no weights is loading, possibly on an earlier holder's order.
+        if weights == WeightsVersion::ZERO && previous != Some(weights) {
+            let expires = now + self.config.load_timeout;
+            let slot_until = now + self.config.slot_timeout;
+            let load = PendingLoad {
                 weights,
-                busy,
-                until,
+                slot_until,
+                expires,
             };
             self.loads.entry(server.clone()).or_insert(load);
         }
     }
 
-    /// Takes in the weights that a server answered with.
+    /// Records the weights that a server sent with a response.
     pub fn observe_weights(&mut self, server: &ServerId, weights: WeightsVersion) {
-        let newer = self.reported.get(server).is_none_or(|had| *had < weights);
+        let newer = self
+            .reported
+            .get(server)
+            .is_none_or(|previous| *previous < weights);
         if newer && self.fleet.servers.contains_key(server) {
             self.reported.insert(server.clone(), weights);
             self.loads.remove(server);
@@ -116,81 +119,85 @@
         }
     }
 
-    /// Takes in that an order failed: it holds up no other one, and is given again in a while
-    /// unless the server turns out to have carried it out.
+    /// Records that an order failed. Its load slot becomes free, and the order is sent again after
+    /// a delay unless the server reports the weights.
     pub fn record_failure(&mut self, server: &ServerId, now: Timestamp) {
         if let Some(load) = self.loads.get_mut(server) {
-            load.busy = now;
-            load.until = now + RETRY_TIME;
+            load.slot_until = now;
+            load.expires = now + RETRY_DELAY;
             self.changed = true;
         }
     }
 
-    /// Returns the next order, if one may be sent at `now`, and counts its load as running.
+    /// Returns the next order, if one may be sent at `now`, and records its load as pending.
     pub fn next_order(&mut self, now: Timestamp) -> Option<LoadOrder> {
-        let loads = self.loads.len();
-        self.loads.retain(|_, load| load.until > now);
-        let busy = self.loads.values().filter(|l| l.busy > now).count();
-        self.changed |= self.loads.len() < loads || busy < self.busy;
-        self.busy = busy;
-        if now < self.budget.free() || !self.changed {
+        let before = self.loads.len();
+        self.loads.retain(|_, load| load.expires > now);
+        let active = self.loads.values().filter(|l| l.slot_until > now).count();
+        self.changed |= self.loads.len() < before || active < self.active_loads;
+        self.active_loads = active;
+        if now < self.store_limiter.available_at() || !self.changed {
             return None;
         }
-        let order = self.fleet.pools.values().find_map(|p| self.order(p, now));
+        let order = self
+            .fleet
+            .pools
+            .values()
+            .find_map(|p| self.plan_order(p, now));
         self.changed = order.is_some();
         let order = order?;
-        let load = Load {
+        let load = PendingLoad {
             weights: order.weights,
-            busy: now + self.config.slot_timeout,
-            until: now + self.config.load_timeout,
+            slot_until: now + self.config.slot_timeout,
+            expires: now + self.config.load_timeout,
         };
         self.loads.insert(order.server.clone(), load);
-        self.busy += 1;
-        self.budget.spend(now);
+        self.active_loads += 1;
+        self.store_limiter.record_load(now);
         Some(order)
     }
 
-    /// Returns when the next order may be possible without further news.
+    /// Returns when the next order may become possible without further reports.
     pub fn next_wakeup(&self, now: Timestamp) -> Option<Timestamp> {
-        let waits = self.budget.free();
-        let limits = self.loads.values().flat_map(|l| [l.busy, l.until]);
-        limits.chain([waits]).filter(|t| *t > now).min()
+        let available = self.store_limiter.available_at();
+        let ends = self.loads.values().flat_map(|l| [l.slot_until, l.expires]);
+        ends.chain([available]).filter(|t| *t > now).min()
     }
 
-    fn order(&self, pool: &BackendServerPool, now: Timestamp) -> Option<LoadOrder> {
-        let view = self.view(pool);
-        let bound = usize::try_from(pool.max_loads).unwrap_or(usize::MAX);
-        if view.wanted.is_empty() || view.loading(now) >= bound {
+    fn plan_order(&self, pool: &BackendServerPool, now: Timestamp) -> Option<LoadOrder> {
+        let view = self.pool_view(pool);
+        let limit = usize::try_from(pool.max_loads).unwrap_or(usize::MAX);
+        if view.required.is_empty() || view.active_loads(now) >= limit {
             return None;
         }
-        let (server, weights) = view.next()?;
+        let (server, weights) = view.next_load()?;
         Some(LoadOrder {
             server: server.id.clone(),
             address: server.address,
             fenced: server.fenced,
-            model: self.model(pool, weights),
+            model: self.model_for(pool, weights),
             weights,
             mode: self.config.mode,
             config: self.fleet.version,
         })
     }
 
-    /// Returns the model of a pool that is wanted with these weights.
-    fn model(&self, pool: &BackendServerPool, weights: WeightsVersion) -> Option<ModelId> {
+    /// Returns the model that a service of the pool requires with these weights.
+    fn model_for(&self, pool: &BackendServerPool, weights: WeightsVersion) -> Option<ModelId> {
         let mut services = self.fleet.services.values();
         let service = services.find(|s| s.pool == pool.id && s.weights == weights)?;
         service.rollout.as_ref().map(|r| r.model.clone())
     }
 
-    fn view(&self, pool: &BackendServerPool) -> PoolView<'_> {
+    fn pool_view(&self, pool: &BackendServerPool) -> PoolView<'_> {
         let serves = |s: &&ModelService| s.pool == pool.id && s.kind == ServiceKind::Model;
         let services = self.fleet.services.values().filter(serves);
         let servers = self.fleet.servers.values();
         let servers = servers.filter(|s| s.pool == pool.id && !s.leaving);
-        let heard = |s: &BackendServer| self.reported.get(&s.id).copied();
+        let reported = |s: &BackendServer| self.reported.get(&s.id).copied();
         PoolView {
-            wanted: services.map(|s| s.weights).collect(),
-            servers: servers.filter_map(|s| Some((s, heard(s)?))).collect(),
+            required: services.map(|s| s.weights).collect(),
+            servers: servers.filter_map(|s| Some((s, reported(s)?))).collect(),
             loads: &self.loads,
         }
     }
--- a/azureway-core/src/order/pool_view.rs
+++ b/azureway-core/src/order/pool_view.rs
@@ -1,84 +1,92 @@
-//! The weights of one pool: wanted, loaded and being loaded.
+//! The weights of one pool: required, loaded and being loaded.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::Load;
+use super::PendingLoad;
 use crate::domain::{BackendServer, ServerId, Timestamp, WeightsVersion};
 
-/// The weights of one pool: wanted, loaded and being loaded.
+/// The weights of one pool: required, loaded and being loaded.
 #[derive(Clone, Debug)]
 pub struct PoolView<'a> {
-    /// The weights that the services of the pool want.
-    pub wanted: BTreeSet<WeightsVersion>,
-    /// The servers that can be ordered, each with what it last said to have loaded.
+    /// The weights that the services of the pool require.
+    pub required: BTreeSet<WeightsVersion>,
+    /// The servers that can get orders, each with the weights that it last reported.
     pub servers: Vec<(&'a BackendServer, WeightsVersion)>,
-    /// The loads that were ordered.
-    pub loads: &'a BTreeMap<ServerId, Load>,
+    /// The pending loads, also those of other pools.
+    pub loads: &'a BTreeMap<ServerId, PendingLoad>,
 }
 
 impl<'a> PoolView<'a> {
-    /// Returns the next server to order, and the weights that it is to load.
-    pub fn next(&self) -> Option<(&'a BackendServer, WeightsVersion)> {
-        let short = self.wanted.iter().filter(|w| self.short(**w) > 0);
-        // The weights that fewest servers will have go first.
-        let weights = *short.min_by_key(|w| self.coming(**w))?;
-        let donor = self.idle().filter(|(_, had)| self.can_take(*had));
-        let unwanted_first = donor.min_by_key(|(s, had)| (self.wanted.contains(had), *had, &s.id));
-        unwanted_first.map(|(server, _)| (server, weights))
+    /// Returns the server that gets the next order, and the weights that it is to load.
+    pub fn next_load(&self) -> Option<(&'a BackendServer, WeightsVersion)> {
+        let missing = self.required.iter().filter(|w| self.missing_count(**w) > 0);
+        // Weights that the fewest servers will have go first.
+        let weights = *missing.min_by_key(|w| self.expected_count(**w))?;
+        let replaceable = self.idle().filter(|(_, loaded)| self.can_replace(*loaded));
+        // Servers whose weights no service requires are replaced first, the oldest weights leading.
+        let server =
+            replaceable.min_by_key(|(s, loaded)| (self.required.contains(loaded), *loaded, &s.id));
+        server.map(|(server, _)| (server, weights))
     }
 
-    /// Returns the servers whose loads hold up the next one at `now`.
-    pub fn loading(&self, now: Timestamp) -> usize {
+    /// Returns the number of loads that occupy a slot at `now`.
+    pub fn active_loads(&self, now: Timestamp) -> usize {
         let loads = self
             .servers
             .iter()
             .filter_map(|(s, _)| self.loads.get(&s.id));
-        loads.filter(|l| l.busy > now).count()
+        loads.filter(|l| l.slot_until > now).count()
     }
 
-    /// Returns the servers that are not loading.
+    /// Returns the servers without a pending load.
     fn idle(&self) -> impl Iterator<Item = (&'a BackendServer, WeightsVersion)> {
         let servers = self.servers.iter().copied();
         servers.filter(|(s, _)| !self.loads.contains_key(&s.id))
     }
 
-    /// Returns the servers that have the weights now.
-    fn warm(&self, weights: WeightsVersion) -> usize {
-        self.idle().filter(|(_, had)| *had == weights).count()
+    /// Returns the number of servers that have the weights now.
+    fn loaded_count(&self, weights: WeightsVersion) -> usize {
+        self.idle().filter(|(_, loaded)| *loaded == weights).count()
     }
 
-    /// Returns the servers that have the weights or will have.
-    fn coming(&self, weights: WeightsVersion) -> usize {
+    /// Returns the number of servers that have the weights or are loading them.
+    fn expected_count(&self, weights: WeightsVersion) -> usize {
         let loads = self
             .servers
             .iter()
             .filter_map(|(s, _)| self.loads.get(&s.id));
-        self.warm(weights) + loads.filter(|l| l.weights == weights).count()
+        self.loaded_count(weights) + loads.filter(|l| l.weights == weights).count()
     }
 
-    /// Returns the servers that the weights are to have: an even share.
-    fn goal(&self, weights: WeightsVersion) -> usize {
-        let place = self.wanted.iter().position(|w| *w == weights).unwrap_or(0);
-        let (share, rest) = (
-            self.servers.len() / self.wanted.len(),
-            self.servers.len() % self.wanted.len(),
+    /// Returns the number of servers that should have the weights: an even share.
+    fn target_count(&self, weights: WeightsVersion) -> usize {
+        let index = self
+            .required
+            .iter()
+            .position(|w| *w == weights)
+            .unwrap_or(0);
+        let (share, remainder) = (
+            self.servers.len() / self.required.len(),
+            self.servers.len() % self.required.len(),
         );
-        share + usize::from(place < rest)
+        share + usize::from(index < remainder)
     }
 
-    fn short(&self, weights: WeightsVersion) -> usize {
-        self.goal(weights).saturating_sub(self.coming(weights))
+    fn missing_count(&self, weights: WeightsVersion) -> usize {
+        self.target_count(weights)
+            .saturating_sub(self.expected_count(weights))
     }
 
-    /// Tells whether a server may give up what it has. The last warm replica of a model stays;
-    /// so does one server with old weights until a server has wanted ones, since other entries
-    /// may not have the new configuration yet.
-    fn can_take(&self, had: WeightsVersion) -> bool {
-        if self.wanted.contains(&had) {
-            return self.warm(had) > 1 && self.coming(had) > self.goal(had);
+    /// Returns whether the weights that a server has loaded may be replaced. The last server that
+    /// has required weights keeps them. So does the last server with old weights until another
+    /// server has required ones, since other entries may not have the new configuration yet.
+    fn can_replace(&self, loaded: WeightsVersion) -> bool {
+        if self.required.contains(&loaded) {
+            return self.loaded_count(loaded) > 1
+                && self.expected_count(loaded) > self.target_count(loaded);
         }
-        let served = self.wanted.iter().any(|w| self.warm(*w) > 0);
-        let empty = had == WeightsVersion::ZERO;
+        let served = self.required.iter().any(|w| self.loaded_count(*w) > 0);
+        let empty = loaded == WeightsVersion::ZERO;
         empty || served || self.idle().count() > 1 || self.servers.len() == 1
     }
 }
--- a/azureway-core/src/order/store_limiter.rs
+++ b/azureway-core/src/order/store_limiter.rs
@@ -1,33 +1,33 @@
-//! The weight store's rate.
+//! The rate limit of the weight store.
 
 use crate::domain::Timestamp;
 
-/// The weight store's rate: loads are spread evenly, with none saved up.
+/// The rate limit of the weight store: loads are spaced evenly, without bursts.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimiter {
-    gap: u64,
-    free: Timestamp,
+    interval: u64,
+    available_at: Timestamp,
 }
 
-/// The microseconds of a second.
-const SECOND: u64 = 1_000_000;
+/// The number of microseconds in a second.
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 impl StoreLimiter {
-    /// Creates a budget of `rate` loads a second.
+    /// Creates a limiter of `rate` loads per second.
     pub fn new(rate: u32) -> Self {
         Self {
-            gap: SECOND / u64::from(rate.max(1)),
-            free: Timestamp::ZERO,
+            interval: MICROS_PER_SECOND / u64::from(rate.max(1)),
+            available_at: Timestamp::ZERO,
         }
     }
 
-    /// Returns when the next load may begin.
-    pub const fn free(&self) -> Timestamp {
-        self.free
+    /// Returns when the next load may start.
+    pub const fn available_at(&self) -> Timestamp {
+        self.available_at
     }
 
-    /// Notes a load that begins at `now`.
-    pub fn spend(&mut self, now: Timestamp) {
-        self.free = Timestamp::from_micros(now.as_micros().saturating_add(self.gap));
+    /// Records a load that starts at `now`.
+    pub fn record_load(&mut self, now: Timestamp) {
+        self.available_at = Timestamp::from_micros(now.as_micros().saturating_add(self.interval));
     }
 }
