--- a/azureway-core/src/lease/config.rs
+++ b/azureway-core/src/lease/config.rs
@@ -1,17 +1,20 @@
-//! The times of a lease.
+//! The timing of a lease.
 
 use std::time::Duration;
 
-/// The times of a lease.
+/// The timing of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// How long a lease lasts after it was written.
+    /// How long a lease is valid after it was written.
     pub term: Duration,
-    /// How long before the end the holder stops to order servers that check no fencing number.
+    /// How long before the end of the term the holder stops sending orders to servers that check
+    /// no fencing number.
     pub margin: Duration,
-    /// How long servers that check no fencing number rest between orders of two holders.
+    /// How long a server that checks no fencing number gets no orders between those of two
+    /// holders.
     pub cooldown: Duration,
-    /// Whether an instance runs one process at a time: whatever an earlier one held is its own.
+    /// Whether an instance runs one process at a time, so that a process may take over the lease
+    /// of an earlier process of its instance.
     pub single_process: bool,
 }
 
@@ -19,13 +22,14 @@
 const DEFAULT_TERM: Duration = Duration::from_secs(15);
 /// The default margin, far longer than an order takes.
 const DEFAULT_MARGIN: Duration = Duration::from_secs(5);
-/// The parts of a term after which it is renewed.
-const RENEWALS: u32 = 3;
-/// The part of a term that others wait longer, since clocks run at different speeds.
-const DRIFT_PART: u32 = 10;
+/// The number of renewals per term.
+const RENEWALS_PER_TERM: u32 = 3;
+/// The fraction of a term, as a divisor, that other entries wait in addition to it, because clocks
+/// run at different speeds.
+const DRIFT_DIVISOR: u32 = 10;
 
 impl LeaseConfig {
-    /// Creates the default times.
+    /// Creates the default timing.
     pub const fn new() -> Self {
         Self {
             term: DEFAULT_TERM,
@@ -35,37 +39,37 @@
         }
     }
 
-    /// Sets the term, and the margin before its end.
+    /// Sets the term and the margin before its end.
     #[must_use]
     pub const fn with_term(mut self, term: Duration, margin: Duration) -> Self {
         (self.term, self.margin) = (term, margin);
         self
     }
 
-    /// Sets how long servers that check no fencing number rest between orders of two holders, so
-    /// that an order of the first that is carried out late is over when the next one comes.
+    /// Sets how long a server that checks no fencing number gets no orders between those of two
+    /// holders, so that a late order of the first has completed when the second sends one.
     #[must_use]
     pub const fn with_cooldown(mut self, cooldown: Duration) -> Self {
         self.cooldown = cooldown;
         self
     }
 
-    /// Lets a process take over at once what an earlier process of its instance held, where the
-    /// platform runs one process of an instance at a time.
+    /// Lets a process take over at once the lease of an earlier process of its instance. The
+    /// platform has to run one process of an instance at a time.
     #[must_use]
     pub const fn with_single_process(mut self) -> Self {
         self.single_process = true;
         self
     }
 
-    /// Returns the time after which a lease is renewed, or looked at by others.
+    /// Returns the interval at which the holder renews the lease and others read it.
     pub fn renew_interval(&self) -> Duration {
-        self.term / RENEWALS
+        self.term / RENEWALS_PER_TERM
     }
 
-    /// Returns how long an entry must have seen a lease unchanged before it takes it over.
+    /// Returns how long a lease has to be unchanged before another entry takes it over.
     pub fn takeover_delay(&self) -> Duration {
-        self.term + self.term / DRIFT_PART
+        self.term + self.term / DRIFT_DIVISOR
     }
 }
 
--- a/azureway-core/src/lease/holder.rs
+++ b/azureway-core/src/lease/holder.rs
@@ -1,12 +1,12 @@
-//! One entry's side of a lease.
+//! The lease state machine of one entry.
 
 use super::{LeaseConfig, LeaseRecord, LeaseReply, LeaseState, LeaseStep, LeaseWrite};
 use crate::domain::{FencingNumber, InstanceId, Timestamp};
 
-/// One entry's side of a lease.
+/// The state machine by which one entry acquires and renews a lease.
 ///
-/// The holder counts its term from before it sent the write, and the others count it from after
-/// they saw the write: by every clock the holder stops before another one begins.
+/// The holder measures its term from before it sent the write, and the other entries measure it
+/// from after they read the write. Thus the holder stops before another one starts, by any clock.
 #[derive(Clone, Debug)]
 pub struct Lease {
     config: LeaseConfig,
@@ -15,13 +15,13 @@
     sequence: u64,
     state: LeaseState,
     write: Option<LeaseWrite>,
-    look: Timestamp,
+    next_call: Timestamp,
     /// Until when servers that check no fencing number get no orders.
     cooldown_end: Timestamp,
 }
 
 impl Lease {
-    /// Creates the side of the process `mark` of instance `me`.
+    /// Creates the state of the process `process_id` of instance `me`.
     pub const fn new(config: LeaseConfig, me: InstanceId, process_id: u64) -> Self {
         Self {
             config,
@@ -30,55 +30,59 @@
             sequence: 0,
             state: LeaseState::Unknown,
             write: None,
-            look: Timestamp::ZERO,
+            next_call: Timestamp::ZERO,
             cooldown_end: Timestamp::ZERO,
         }
     }
 
-    /// Returns what is to be done at `now`. What it says to write must be sent or given up.
+    /// Returns the next step at `now`. A write that it returns has to be sent or abandoned.
     pub fn next(&mut self, now: Timestamp) -> LeaseStep {
         match self.state {
             LeaseState::Held(_, _, ends) if now >= ends => self.state = LeaseState::Unknown,
             _ => {}
         }
         match self.state {
-            LeaseState::Unknown if now >= self.look => LeaseStep::Read,
-            LeaseState::Free => self.write(0, FencingNumber::new(1), now),
-            LeaseState::Lapsed(version, number) => self.write(version, number.next(), now),
-            LeaseState::Seen(version, number, since) => {
-                let over = since + self.config.takeover_delay();
-                if now >= over {
-                    // The holder before wrote at `since` at the latest, and ordered until the
-                    // margin of that term.
-                    let last = since + self.config.term.saturating_sub(self.config.margin);
-                    self.cooldown_end = last + self.config.cooldown;
-                    return self.write(version, number.next(), now);
+            LeaseState::Unknown if now >= self.next_call => LeaseStep::Read,
+            LeaseState::Free => self.start_write(0, FencingNumber::new(1), now),
+            LeaseState::Reclaimable(version, number) => {
+                self.start_write(version, number.next(), now)
+            }
+            LeaseState::Observed(version, number, since) => {
+                let expiry = since + self.config.takeover_delay();
+                if now >= expiry {
+                    // The previous holder wrote at `since` at the latest, and sent orders until
+                    // the margin of that term.
+                    let last_order = since + self.config.term.saturating_sub(self.config.margin);
+                    self.cooldown_end = last_order + self.config.cooldown;
+                    return self.start_write(version, number.next(), now);
                 }
-                self.read_or_wait(now, over)
+                self.read_or_wait(now, expiry)
             }
-            LeaseState::Held(version, number, _) if self.write.is_none() && now >= self.look => {
-                self.write(version, number, now)
+            LeaseState::Held(version, number, _)
+                if self.write.is_none() && now >= self.next_call =>
+            {
+                self.start_write(version, number, now)
             }
             LeaseState::Held(_, _, ends) if now < self.cooldown_end => {
                 self.read_or_wait(now, ends.min(self.cooldown_end))
             }
             LeaseState::Held(_, _, ends) => self.read_or_wait(now, ends),
-            LeaseState::Unknown => LeaseStep::Wait(self.look),
+            LeaseState::Unknown => LeaseStep::Wait(self.next_call),
         }
     }
 
-    /// Takes in the reply to the last step.
+    /// Handles the reply to the last step.
     pub fn handle_reply(&mut self, reply: &LeaseReply, now: Timestamp) {
-        self.look = now + self.config.renew_interval();
+        self.next_call = now + self.config.renew_interval();
         match reply {
-            LeaseReply::Written(version) => self.hold(*version),
+            LeaseReply::Written(version) => self.acquire(*version),
             LeaseReply::Conflict => {
                 self.write = None;
-                self.look = now;
+                self.next_call = now;
                 self.state = LeaseState::Unknown;
             }
-            LeaseReply::NoAnswer => self.lose(now),
-            LeaseReply::Found(version, record) => self.find(*version, record, now),
+            LeaseReply::NoAnswer => self.handle_no_answer(now),
+            LeaseReply::Found(version, record) => self.handle_found(*version, record, now),
             LeaseReply::Absent => {
                 self.write = None;
                 self.state = LeaseState::Free;
@@ -86,27 +90,27 @@
         }
     }
 
-    /// Returns the fencing number of an order that may be sent at `now`, to a server that checks
-    /// it or not.
+    /// Returns the fencing number of an order at `now`, if this entry may send one. `fenced` is
+    /// whether the server checks the number.
     pub fn fencing_number(&self, now: Timestamp, fenced: bool) -> Option<FencingNumber> {
         let LeaseState::Held(_, number, ends) = self.state else {
             return None;
         };
-        let (last, rests) = match fenced {
+        let (last_order, cooling_down) = match fenced {
             true => (now, false),
             false => (now + self.config.margin, now < self.cooldown_end),
         };
-        (last < ends && !rests).then_some(number)
+        (last_order < ends && !cooling_down).then_some(number)
     }
 
-    /// Notes that a server has seen a higher fencing number.
+    /// Gives the lease up, because a server has received a higher fencing number.
     pub fn step_down(&mut self, now: Timestamp) {
         self.write = None;
-        self.look = now;
+        self.next_call = now;
         self.state = LeaseState::Unknown;
     }
 
-    fn write(&mut self, expected: u64, number: FencingNumber, now: Timestamp) -> LeaseStep {
+    fn start_write(&mut self, expected: u64, number: FencingNumber, now: Timestamp) -> LeaseStep {
         self.sequence += 1;
         self.write = Some(LeaseWrite {
             started: now,
@@ -124,50 +128,50 @@
     }
 
     fn read_or_wait(&self, now: Timestamp, end: Timestamp) -> LeaseStep {
-        if now >= self.look {
+        if now >= self.next_call {
             LeaseStep::Read
         } else {
-            LeaseStep::Wait(self.look.min(end))
+            LeaseStep::Wait(self.next_call.min(end))
         }
     }
 
-    fn hold(&mut self, version: u64) {
+    fn acquire(&mut self, version: u64) {
         if let Some(write) = self.write.take() {
             let ends = write.started + self.config.term;
-            self.look = write.started + self.config.renew_interval();
+            self.next_call = write.started + self.config.renew_interval();
             self.state = LeaseState::Held(version, write.number, ends);
         }
     }
 
-    /// Keeps what is held until its end, and looks again soon.
-    fn lose(&mut self, now: Timestamp) {
-        self.look = now + self.config.renew_interval() / 4;
+    /// Keeps a held lease until its end, and retries soon.
+    fn handle_no_answer(&mut self, now: Timestamp) {
+        self.next_call = now + self.config.renew_interval() / 4;
         if !matches!(self.state, LeaseState::Held(..)) {
             self.state = LeaseState::Unknown;
         }
     }
 
-    fn find(&mut self, version: u64, record: &LeaseRecord, now: Timestamp) {
-        let mine = record.process_id == self.process_id;
-        let before = self.config.single_process && record.holder == self.me;
-        if mine && self.write.is_some_and(|w| w.sequence == record.sequence) {
-            return self.hold(version);
+    fn handle_found(&mut self, version: u64, record: &LeaseRecord, now: Timestamp) {
+        let same_process = record.process_id == self.process_id;
+        let same_instance = self.config.single_process && record.holder == self.me;
+        if same_process && self.write.is_some_and(|w| w.sequence == record.sequence) {
+            return self.acquire(version);
         }
         self.write = None;
-        if before && !mine {
+        if same_instance && !same_process {
             self.cooldown_end = now + record.cooldown;
         }
         self.state = match self.state {
-            LeaseState::Held(_, number, ends) if mine && number == record.number => {
-                self.look = now;
+            LeaseState::Held(_, number, ends) if same_process && number == record.number => {
+                self.next_call = now;
                 LeaseState::Held(version, number, ends)
             }
-            LeaseState::Seen(seen, number, since) if seen == version => {
-                LeaseState::Seen(version, number, since)
+            LeaseState::Observed(observed, number, since) if observed == version => {
+                LeaseState::Observed(version, number, since)
             }
-            // Nobody else has taken it, so a new number can be written at once.
-            _ if mine || before => LeaseState::Lapsed(version, record.number),
-            _ => LeaseState::Seen(version, record.number, now),
+            // Nobody else has acquired it since, so a new number can be written at once.
+            _ if same_process || same_instance => LeaseState::Reclaimable(version, record.number),
+            _ => LeaseState::Observed(version, record.number, now),
         };
     }
 }
--- a/azureway-core/src/lease/mod.rs
+++ b/azureway-core/src/lease/mod.rs
@@ -1,4 +1,4 @@
-//! A lease that one entry holds through an object of the platform, without clocks in common.
+//! A lease that one entry holds through an object of the platform, without synchronized clocks.
 
 mod config;
 mod holder;
--- a/azureway-core/src/lease/reply.rs
+++ b/azureway-core/src/lease/reply.rs
@@ -1,15 +1,15 @@
-//! What the platform said of a lease.
+//! The platform's reply to a lease step.
 
 use super::LeaseRecord;
 
-/// What the platform said of a lease.
+/// The platform's reply to a lease step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseReply {
-    /// The write took effect; the object has this version.
+    /// The write took effect, and the object has this version.
     Written(u64),
-    /// The object has another version, and the write did not take effect.
+    /// The object has another version, so the write did not take effect.
     Conflict,
-    /// No answer came, or none that tells whether a write took effect.
+    /// No response arrived, or none that tells whether the write took effect.
     NoAnswer,
     /// The object exists with this version.
     Found(u64, LeaseRecord),
--- a/azureway-core/src/lease/state.rs
+++ b/azureway-core/src/lease/state.rs
@@ -1,19 +1,20 @@
-//! What an entry knows of a lease.
+//! The state of a lease as one entry knows it.
 
 use crate::domain::{FencingNumber, Timestamp};
 
-/// What an entry knows of a lease.
+/// The state of a lease as one entry knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// Nothing.
+    /// Nothing is known, and the object has to be read.
     Unknown,
-    /// Nobody has ever held it.
+    /// Nobody has held it yet.
     Free,
-    /// Somebody holds it or has held it: the version, its fencing number, and since when the
-    /// version has been seen.
-    Seen(u64, FencingNumber, Timestamp),
-    /// This entry held it last and nobody has taken it since: the version and fencing number.
-    Lapsed(u64, FencingNumber),
-    /// This entry holds it: the version, the fencing number and the end.
+    /// Another process holds it or held it: the object's version, its fencing number, and when
+    /// that version was first read.
+    Observed(u64, FencingNumber, Timestamp),
+    /// This entry held it last and may acquire it again at once: the object's version and its
+    /// fencing number.
+    Reclaimable(u64, FencingNumber),
+    /// This entry holds it: the object's version, the fencing number and the end of the term.
     Held(u64, FencingNumber, Timestamp),
 }
--- a/azureway-core/src/lease/step.rs
+++ b/azureway-core/src/lease/step.rs
@@ -1,15 +1,15 @@
-//! What is to be done next for a lease.
+//! The next step for a lease.
 
 use super::LeaseRecord;
 use crate::domain::Timestamp;
 
-/// What is to be done next for a lease.
+/// The next step for a lease, which the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
     /// Read the object.
     Read,
-    /// Write the record if the object has this version; 0 stands for none.
+    /// Write the record if the object has this version, where 0 means that it does not exist.
     Write(u64, LeaseRecord),
-    /// Nothing before this time.
+    /// Do nothing until this time.
     Wait(Timestamp),
 }
--- a/azureway-core/src/lease/write.rs
+++ b/azureway-core/src/lease/write.rs
@@ -1,14 +1,14 @@
-//! A write of a lease whose answer is awaited.
+//! A lease write without a response.
 
 use crate::domain::{FencingNumber, Timestamp};
 
-/// A write of a lease whose answer is awaited or was lost.
+/// A lease write whose response is pending or was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseWrite {
-    /// When the write was decided, before it was sent.
+    /// When the write was decided on, before it was sent.
     pub started: Timestamp,
     /// The number of the write.
     pub sequence: u64,
-    /// The fencing number that it writes.
+    /// The fencing number in the written record.
     pub number: FencingNumber,
 }
