--- a/azureway-core/src/site/document.rs
+++ b/azureway-core/src/site/document.rs
@@ -1,20 +1,20 @@
-//! The configuration of a site.
+//! The configuration of a site, without its servers.
 
 use super::SiteService;
 use crate::domain::{CallerLimits, ClientAccount, ConfigVersion};
 use crate::fleet::RouteTable;
 
-/// One version of a site's configuration, without its servers.
+/// One version of the configuration of a site, without its servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SiteDocument {
-    /// The version, which only grows.
+    /// The version, which only increases.
     pub version: ConfigVersion,
-    /// The routes.
+    /// The routes by which requests reach the services.
     pub routes: RouteTable,
-    /// The services.
+    /// The services of the site.
     pub services: Vec<SiteService>,
-    /// The client accounts; where there are none, no key is asked for.
+    /// The client accounts; if there are none, requests need no key.
     pub accounts: Vec<ClientAccount>,
-    /// What callers may send and how long they may take.
+    /// The size and time limits of callers' requests.
     pub limits: CallerLimits,
 }
--- a/azureway-core/src/site/listed_server.rs
+++ b/azureway-core/src/site/listed_server.rs
@@ -4,23 +4,23 @@
 
 use crate::domain::{Incarnation, ServerId, ServiceId, WeightsVersion, ZoneId};
 
-/// A backend server as the platform's list has it.
+/// A backend server as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedServer {
-    /// The name.
+    /// The name of the server.
     pub id: ServerId,
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub service: ServiceId,
-    /// The address that it serves on.
+    /// The address on which the server accepts requests.
     pub address: SocketAddr,
-    /// The availability zone that it stands in.
+    /// The availability zone of the server.
     pub zone: ZoneId,
-    /// The requests that it runs at once.
+    /// The number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the server is shutting down.
     pub leaving: bool,
-    /// Its life.
+    /// The incarnation of the server, which is greater after each restart.
     pub incarnation: Incarnation,
-    /// The weights that it has loaded, where it serves a model.
+    /// The weights that the server has loaded, if it serves a model.
     pub weights: Option<WeightsVersion>,
 }
--- a/azureway-core/src/site/mod.rs
+++ b/azureway-core/src/site/mod.rs
@@ -1,8 +1,8 @@
 //! A site whose platform lists its backend servers and holds its configuration.
 //!
-//! A document, the list of servers and the weights that are named change each by themselves.
-//! [`SiteState`] keeps what was last heard of each and composes one
-//! [`Fleet`](crate::fleet::Fleet) of them.
+//! The configuration document, the list of servers and the named weights change independently.
+//! [`SiteState`] keeps the latest state of each and combines them into one
+//! [`Fleet`](crate::fleet::Fleet).
 
 mod document;
 mod listed_server;
--- a/azureway-core/src/site/named_weights.rs
+++ b/azureway-core/src/site/named_weights.rs
@@ -1,12 +1,12 @@
-//! Weights that an operator named.
+//! Weights that an operator named for a model.
 
 use crate::domain::{ModelId, WeightsVersion};
 
-/// The weights of a model that an operator wants in force.
+/// The weights that an operator named as the ones that a model should use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedWeights {
-    /// The model.
+    /// The model that uses the weights.
     pub model: ModelId,
-    /// The version of its weights.
+    /// The version of the weights.
     pub version: WeightsVersion,
 }
--- a/azureway-core/src/site/service.rs
+++ b/azureway-core/src/site/service.rs
@@ -4,15 +4,15 @@
 
 use crate::domain::{ModelId, ServiceId};
 
-/// A service of a site, as the configuration gives it.
+/// A service of a site, as the configuration defines it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SiteService {
-    /// The name.
+    /// The name of the service.
     pub id: ServiceId,
-    /// The model that it serves; a plain service has none.
+    /// The model that the service runs; a plain service has none.
     pub model: Option<ModelId>,
-    /// Whether its servers fetch cached blocks from one another.
+    /// Whether the servers fetch cached blocks from one another.
     pub fetches: bool,
-    /// The address, where the service is a store of cached blocks and not a pool of servers.
+    /// The address of the service if it is a store of cached blocks rather than a pool of servers.
     pub store: Option<SocketAddr>,
 }
--- a/azureway-core/src/site/state.rs
+++ b/azureway-core/src/site/state.rs
@@ -1,4 +1,4 @@
-//! What was last heard of a site.
+//! The latest state of a site.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,45 +13,46 @@
 };
 use crate::fleet::Fleet;
 
-/// What was last heard of a site, composed into one fleet.
+/// The latest state of a site, from which fleets are built.
 #[derive(Clone, Debug)]
 pub struct SiteState {
     zones: Vec<AvailabilityZone>,
     grace: Duration,
     document: Option<SiteDocument>,
     servers: BTreeMap<ServerId, ListedServer>,
-    /// The servers that were missing when the platform came back, until they count as gone.
+    /// The servers that were no longer listed when the platform came back, with the time at which
+    /// they count as removed.
     missing: BTreeMap<ServerId, Timestamp>,
     named: BTreeMap<ModelId, Named>,
     revision: ConfigVersion,
 }
 
-/// The versions of a model's weights in the order of their names, with the earliest time at
-/// which each can have been named.
+/// The versions of a model's weights in the order in which they were named, each with the earliest
+/// time at which it can have been named.
 type Named = SmallVec<[(WeightsVersion, Timestamp); 4]>;
 
-/// The versions that are remembered of a model: more than are named within the time that older
-/// weights may answer.
+/// The number of versions that are kept per model: more than are named within the time for which
+/// older weights may serve requests.
 const NAMED_MAX: usize = 32;
-/// How long an entry that lapsed while the platform was away may take to come back: the
-/// platform's own promise.
-const LAPSE_TIME: Duration = Duration::from_secs(2);
-/// The client account of requests that carry no key, on routes that ask for none.
+/// How long a server whose registration expired while the platform was unavailable may take to be
+/// listed again, as guaranteed by the platform.
+const RELIST_TIMEOUT: Duration = Duration::from_secs(2);
+/// The client account of requests without a key, on routes that require none.
 pub const ANONYMOUS: &str = "";
-/// The limit of every account, in tokens a second, beyond what any site takes: the platform's
-/// configuration has none.
+/// The limit of every account, in tokens per second. It exceeds the capacity of any site, because
+/// the platform's configuration defines no limits.
 const UNLIMITED: TokenRate = TokenRate::new(1 << 40);
-/// The rounds in which a pool is brought to new weights: a server is told of and loads within
-/// about a second, and the whole has to end within the platform's bound of some seconds.
+/// The number of rounds in which a pool changes to new weights. A round of orders and loads takes
+/// about a second, and the rollout has to end within the platform's limit of some seconds.
 const LOAD_ROUNDS: usize = 5;
-/// The servers of a pool that load at once at least.
-const LOADS_MIN: u32 = 2;
-/// The prefill rate, in tokens a second, of an engine of which nothing was measured: the
+/// The smallest number of servers of a pool that may load concurrently.
+const MIN_LOADS: u32 = 2;
+/// The prefill rate, in tokens per second, that is assumed of an engine without measurements: the
 /// order of magnitude of the engines in service.
-const PREFILL: TokenRate = TokenRate::new(30_000);
+const DEFAULT_PREFILL: TokenRate = TokenRate::new(30_000);
 
 impl SiteState {
-    /// Creates the state of a site of which nothing was heard. Older weights may answer for
+    /// Creates the state of a site before anything was read. Older weights may serve requests for
     /// `grace` after newer ones were named.
     pub fn new(zones: Vec<AvailabilityZone>, grace: Duration) -> Self {
         Self {
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Takes over a version of the configuration. Returns whether it is newer: a slow read
-    /// must not bring an old one back.
+    /// Adopts a configuration if it is newer, so that a slow read cannot restore an old one.
+    /// Returns whether it is.
     pub fn configure(&mut self, document: SiteDocument) -> bool {
         let newer = self.version() < Some(document.version);
         if newer {
@@ -75,21 +76,24 @@
         newer
     }
 
-    /// Returns the version of the configuration.
+    /// Returns the version of the configuration, once there is one.
     pub fn version(&self) -> Option<ConfigVersion> {
         self.document.as_ref().map(|d| d.version)
     }
 
-    /// Takes over a server's entry.
-    pub fn update_server(&mut self, entry: ListedServer) {
-        self.missing.remove(&entry.id);
-        self.servers.insert(entry.id.clone(), entry);
+    /// Adds a listed server, or replaces its previous state.
+    pub fn update_server(&mut self, server: ListedServer) {
+        self.missing.remove(&server.id);
+        self.servers.insert(server.id.clone(), server);
     }
 
-    /// Takes in that a server's entry is gone. Where the platform has just come back, at
-    /// `back`, the entry may have lapsed while it was away.
-    pub fn remove_server(&mut self, id: &ServerId, back: Option<Timestamp>, now: Timestamp) {
-        let until = back.map(|at| at + LAPSE_TIME).filter(|t| *t > now);
+    /// Removes a server that is no longer listed. If the platform became available again at
+    /// `reconnected`, the registration may merely have expired during the outage: unless the
+    /// server was leaving, it is kept until it has had time to be listed again.
+    pub fn remove_server(&mut self, id: &ServerId, reconnected: Option<Timestamp>, now: Timestamp) {
+        let until = reconnected
+            .map(|at| at + RELIST_TIMEOUT)
+            .filter(|t| *t > now);
         let leaving = self.servers.get(id).is_none_or(|s| s.leaving);
         match until {
             Some(until) if !leaving => {
@@ -102,64 +106,66 @@
         }
     }
 
-    /// Takes in the whole list of servers.
+    /// Applies the complete list of servers. `reconnected` has the same meaning as for
+    /// [`remove_server`](Self::remove_server).
     pub fn set_servers(
         &mut self,
-        entries: Vec<ListedServer>,
-        back: Option<Timestamp>,
+        servers: Vec<ListedServer>,
+        reconnected: Option<Timestamp>,
         now: Timestamp,
     ) {
         let known: Vec<_> = self.servers.keys().cloned().collect();
         for id in known {
-            if !entries.iter().any(|e| e.id == id) {
-                self.remove_server(&id, back, now);
+            if !servers.iter().any(|s| s.id == id) {
+                self.remove_server(&id, reconnected, now);
             }
         }
-        entries.into_iter().for_each(|e| self.update_server(e));
+        servers.into_iter().for_each(|s| self.update_server(s));
     }
 
-    /// Takes in weights that an operator named, at `since` at the earliest. Returns whether
-    /// they are newer.
+    /// Adds weights that an operator named, at `since` at the earliest. Returns whether they are
+    /// newer than the known ones.
     pub fn add_named(&mut self, named: NamedWeights, since: Timestamp) -> bool {
         let known = self.named.entry(named.model).or_default();
         let newer = known.last().is_none_or(|(v, _)| *v < named.version);
         if newer {
             known.push((named.version, since));
-            let more = known.len().saturating_sub(NAMED_MAX);
-            known.drain(..more);
+            let excess = known.len().saturating_sub(NAMED_MAX);
+            known.drain(..excess);
         }
         newer
     }
 
-    /// Returns the earliest time at which weights count as named that a process finds when it
-    /// starts. It cannot know for how long they have been named: older ones answer for `time`.
-    pub fn named_since(&self, start: Timestamp, time: Duration) -> Timestamp {
+    /// Returns the time since which weights count as named that a process finds when it starts at
+    /// `start`. The process cannot know when they were named, so older weights may serve
+    /// requests for another `grace_left`.
+    pub fn named_since(&self, start: Timestamp, grace_left: Duration) -> Timestamp {
         let grace = u64::try_from(self.grace.as_micros()).unwrap_or(u64::MAX);
-        Timestamp::from_micros((start + time).as_micros().saturating_sub(grace))
+        Timestamp::from_micros((start + grace_left).as_micros().saturating_sub(grace))
     }
 
-    /// Drops the servers that did not come back in time. Returns whether any is gone.
+    /// Removes the servers that were not listed again in time. Returns whether there were any.
     pub fn remove_expired(&mut self, now: Timestamp) -> bool {
-        let late: Vec<_> = self
+        let expired: Vec<_> = self
             .missing
             .iter()
             .filter(|(_, until)| **until <= now)
             .collect();
-        let late: Vec<_> = late.into_iter().map(|(id, _)| id.clone()).collect();
-        for id in &late {
+        let expired: Vec<_> = expired.into_iter().map(|(id, _)| id.clone()).collect();
+        for id in &expired {
             self.missing.remove(id);
             self.servers.remove(id);
         }
-        !late.is_empty()
+        !expired.is_empty()
     }
 
-    /// Returns when the next missing server counts as gone.
+    /// Returns when the next missing server counts as removed.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.missing.values().min().copied()
     }
 
-    /// Composes the fleet, once there is a configuration. Each has a greater version than the
-    /// one before.
+    /// Builds the fleet, once there is a configuration. Each fleet has a greater version than the
+    /// previous one.
     pub fn build_fleet(&mut self) -> Option<Fleet> {
         let document = self.document.as_ref()?;
         self.revision = self.revision.next();
@@ -178,15 +184,15 @@
             let pool = PoolId::new(service.id.as_str());
             let servers = self.servers.values().filter(|s| s.service == service.id);
             let loads = servers.count().div_ceil(LOAD_ROUNDS);
-            let loads = u32::try_from(loads).unwrap_or(u32::MAX).max(LOADS_MIN);
+            let loads = u32::try_from(loads).unwrap_or(u32::MAX).max(MIN_LOADS);
             fleet = fleet.with_pool(BackendServerPool::new(pool).with_max_loads(loads));
-            fleet = fleet.with_service(self.service(service));
+            fleet = fleet.with_service(self.compose_service(service));
         }
-        let servers = self.servers.values().map(server);
+        let servers = self.servers.values().map(to_backend_server);
         Some(servers.fold(fleet, Fleet::with_server))
     }
 
-    fn service(&self, site: &SiteService) -> ModelService {
+    fn compose_service(&self, site: &SiteService) -> ModelService {
         let service = ModelService::new(site.id.clone(), PoolId::new(site.id.as_str()));
         let Some(model) = &site.model else {
             return service.with_kind(ServiceKind::Plain);
@@ -198,14 +204,14 @@
             grace: self.grace,
         };
         service
-            .with_weights(self.wanted(site, model))
+            .with_weights(self.required_weights(site, model))
             .with_rollout(rollout)
             .with_peer_fetch(site.fetches)
     }
 
-    /// Returns the weights that a service is to have. A server may have newer ones than were
-    /// heard of here; it must not be brought back.
-    fn wanted(&self, site: &SiteService, model: &ModelId) -> WeightsVersion {
+    /// Returns the weights that a service should use. A server may already have newer ones than
+    /// those known here, and must not be ordered back to older ones.
+    fn required_weights(&self, site: &SiteService, model: &ModelId) -> WeightsVersion {
         let named = self.named.get(model).and_then(|n| n.last());
         let named = named.map_or(WeightsVersion::new(1), |(version, _)| *version);
         let servers = self.servers.values().filter(|s| s.service == site.id);
@@ -214,14 +220,16 @@
     }
 }
 
-fn server(entry: &ListedServer) -> BackendServer {
-    let pool = PoolId::new(entry.service.as_str());
-    let server = BackendServer::new(entry.id.clone(), pool, entry.zone.clone(), entry.address);
-    let mut server = server.with_slots(entry.slots).with_prefill(PREFILL);
-    server.leaving = entry.leaving;
+fn to_backend_server(listed: &ListedServer) -> BackendServer {
+    let pool = PoolId::new(listed.service.as_str());
+    let server = BackendServer::new(listed.id.clone(), pool, listed.zone.clone(), listed.address);
+    let mut server = server
+        .with_slots(listed.slots)
+        .with_prefill(DEFAULT_PREFILL);
+    server.leaving = listed.leaving;
     server.listed = Some(ListedState {
-        incarnation: entry.incarnation,
-        weights: entry.weights,
+        incarnation: listed.incarnation,
+        weights: listed.weights,
     });
     server
 }
