--- a/azureway-core/src/watch/entry_selector.rs
+++ b/azureway-core/src/watch/entry_selector.rs
@@ -1,36 +1,38 @@
-//! Which entries of a zone do what only a few of them need to do.
+//! Selection of the entries that carry out a task for their zone.
 
 use crate::domain::{InstanceId, PrefixKey, ServerId};
 use crate::route::Rendezvous;
 
-/// Which entries of a zone do what only a few of them need to do, such as watch the platform.
+/// Selects the few entries of a zone that carry out a task for it, such as watching the platform.
 ///
-/// Every entry makes the same choice from the same live entries. Where two disagree on who is
-/// alive, more or fewer do the work for a while, and no promise depends on the number.
+/// Every entry computes the same selection from the same live entries. If their views differ, more
+/// or fewer entries carry out the task for a while; no guarantee depends on their number.
 #[derive(Clone, Copy, Debug)]
 pub struct EntrySelector {
     count: usize,
-    order: Rendezvous,
+    rendezvous: Rendezvous,
 }
 
 impl EntrySelector {
-    /// Creates the choice of `count` entries. Choices of different `seed` spread over entries.
+    /// Creates a selector of `count` entries. Tasks with different seeds are distributed over
+    /// different entries.
     pub const fn new(count: usize, seed: u128) -> Self {
         Self {
             count,
-            order: Rendezvous::new(PrefixKey::new(seed)),
+            rendezvous: Rendezvous::new(PrefixKey::new(seed)),
         }
     }
 
-    /// Tells whether `me` is chosen among the live entries of its zone, which may name it.
+    /// Returns whether `me` is selected among `live`, the live entries of its zone, which may
+    /// include it.
     pub fn includes(&self, me: &InstanceId, live: &[InstanceId]) -> bool {
-        let mine = self.weight(me);
+        let own_weight = self.weight(me);
         let others = live.iter().filter(|id| *id != me);
-        let ahead = others.filter(|id| (self.weight(id), *id) > (mine, me));
-        ahead.count() < self.count
+        let higher = others.filter(|id| (self.weight(id), *id) > (own_weight, me));
+        higher.count() < self.count
     }
 
     fn weight(&self, id: &InstanceId) -> u64 {
-        self.order.weight(&ServerId::new(id.as_str()))
+        self.rendezvous.weight(&ServerId::new(id.as_str()))
     }
 }
--- a/azureway-core/src/watch/mod.rs
+++ b/azureway-core/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! Which entries ask the platform for the configuration, and when.
+//! Which entries watch the platform's configuration, and when.
 
 mod entry_selector;
 mod watch_schedule;
--- a/azureway-core/src/watch/watch_schedule.rs
+++ b/azureway-core/src/watch/watch_schedule.rs
@@ -1,4 +1,4 @@
-//! When an entry asks the platform.
+//! The schedule of an entry's calls to the platform.
 
 use std::time::Duration;
 
@@ -7,104 +7,113 @@
 use crate::error::ErrorKind;
 use crate::retry::Backoff;
 
-/// When an entry asks the platform for the configuration.
+/// The schedule of an entry's calls to the platform for the configuration.
 ///
-/// A chosen entry keeps a watch. Another one asks once when it starts, so that it serves at
-/// once, then hears from its peers and only checks now and then that it has missed nothing.
+/// A selected entry watches continuously. Any other entry lists the objects when it starts, so that
+/// it can serve at once. It then learns of changes from its peers, and calls the platform only
+/// occasionally to check that it has missed none.
 #[derive(Clone, Debug)]
 pub struct WatchSchedule {
-    chosen: bool,
-    after: Option<u64>,
+    selected: bool,
+    version: Option<u64>,
     /// Whether the last call failed.
     failing: bool,
-    due: Timestamp,
+    next_call: Timestamp,
     backoff: Backoff,
-    checks: Backoff,
-    wait: Duration,
-    gap: Duration,
+    check_timer: Backoff,
+    poll_timeout: Duration,
+    batch_delay: Duration,
 }
 
-/// How long the platform keeps a watch that has no news.
-const WAIT: Duration = Duration::from_secs(5);
-/// The first wait after a failure.
+/// How long the platform holds a watch call open if nothing changes.
+const POLL_TIMEOUT: Duration = Duration::from_secs(5);
+/// The initial delay after a failure.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
-/// The longest wait after a failure: half of the time in which a change is in force.
+/// The longest delay after a failure: half of the time within which a change has to take effect.
 const BACKOFF_CAP: Duration = Duration::from_secs(5);
-/// The longest time between two checks of an entry that does not watch.
-const CHECK_TIME: Duration = Duration::from_secs(60);
+/// The longest interval between two checks of an entry that does not watch.
+const CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
 impl WatchSchedule {
-    /// Creates the plan of an entry that is chosen until it hears otherwise. `seed` spreads
-    /// entries that fail together.
+    /// Creates the schedule of an entry, which counts as selected until
+    /// [`set_selected`](Self::set_selected) is called. `seed` determines the jitter of the delays.
     pub const fn new(seed: u64) -> Self {
         Self {
-            chosen: true,
-            after: None,
+            selected: true,
+            version: None,
             failing: false,
-            due: Timestamp::ZERO,
+            next_call: Timestamp::ZERO,
             backoff: Backoff::new(BACKOFF_BASE, BACKOFF_CAP, seed),
-            checks: Backoff::new(CHECK_TIME, CHECK_TIME, seed),
-            wait: WAIT,
-            gap: Duration::ZERO,
+            check_timer: Backoff::new(CHECK_INTERVAL, CHECK_INTERVAL, seed),
+            poll_timeout: POLL_TIMEOUT,
+            batch_delay: Duration::ZERO,
         }
     }
 
-    /// Sets how long the platform keeps a watch that has no news, how long changes are
-    /// gathered before the next watch, and the longest wait after a failure.
+    /// Sets how long the platform holds a watch call open, the delay before the next watch in
+    /// which changes accumulate, and the longest delay after a failure.
     #[must_use]
-    pub fn with_timing(mut self, wait: Duration, gap: Duration, cap: Duration) -> Self {
-        (self.wait, self.gap) = (wait, gap);
-        self.backoff = self.backoff.with_cap(cap);
+    pub fn with_timing(
+        mut self,
+        poll_timeout: Duration,
+        batch_delay: Duration,
+        backoff_cap: Duration,
+    ) -> Self {
+        (self.poll_timeout, self.batch_delay) = (poll_timeout, batch_delay);
+        self.backoff = self.backoff.with_cap(backoff_cap);
         self
     }
 
-    /// Notes whether the entry is chosen to watch.
-    pub fn set_selected(&mut self, chosen: bool, now: Timestamp) {
-        if chosen && !self.chosen {
-            self.due = self.due.min(now);
+    /// Records whether the entry is selected to watch.
+    pub fn set_selected(&mut self, selected: bool, now: Timestamp) {
+        if selected && !self.selected {
+            self.next_call = self.next_call.min(now);
         }
-        self.chosen = chosen;
+        self.selected = selected;
     }
 
-    /// Returns what is to be asked at `now`.
+    /// Returns the call to make at `now`.
     pub fn next(&self, now: Timestamp) -> WatchStep {
-        if now < self.due {
-            return WatchStep::Wait(self.due);
+        if now < self.next_call {
+            return WatchStep::Wait(self.next_call);
         }
-        match self.after {
+        match self.version {
             None => WatchStep::List,
-            // A platform that has just failed may take a call in and be silent: the sooner the
-            // call ends, the sooner its return is seen.
-            Some(version) if self.chosen && !self.failing => WatchStep::Watch(version, self.wait),
+            // After a failure, the platform may accept a call and never respond. A call without a
+            // poll timeout ends sooner, so that a recovery is noticed sooner.
+            Some(version) if self.selected && !self.failing => {
+                WatchStep::Watch(version, self.poll_timeout)
+            }
             Some(version) => WatchStep::Watch(version, Duration::ZERO),
         }
     }
 
-    /// Notes an answer that is complete up to `version`.
+    /// Records a response that includes all changes up to `version`.
     pub fn record_success(&mut self, version: u64, now: Timestamp) {
         self.backoff.reset();
         self.failing = false;
-        self.after = Some(version);
-        self.due = if self.chosen {
-            now + self.gap
+        self.version = Some(version);
+        self.next_call = if self.selected {
+            now + self.batch_delay
         } else {
-            now + self.checks.next_delay()
+            now + self.check_timer.next_delay()
         };
     }
 
-    /// Notes a failure. A platform that does not understand the version is asked for all.
+    /// Records a failed call. Unless the platform was unavailable or limited the rate, it may not
+    /// know the version, so the next call lists all objects.
     pub fn record_failure(&mut self, kind: ErrorKind, now: Timestamp) {
         self.failing = true;
         if !matches!(kind, ErrorKind::Unavailable | ErrorKind::Limited) {
-            self.after = None;
+            self.version = None;
         }
-        // Who only checks leaves the platform to those who watch.
-        let checks = !self.chosen && self.after.is_some();
-        let wait = if checks {
-            self.checks.next_delay()
+        // An entry that only checks leaves the capacity of the platform to those that watch.
+        let checks_only = !self.selected && self.version.is_some();
+        let delay = if checks_only {
+            self.check_timer.next_delay()
         } else {
             self.backoff.next_delay()
         };
-        self.due = now + wait;
+        self.next_call = now + delay;
     }
 }
--- a/azureway-core/src/watch/watch_step.rs
+++ b/azureway-core/src/watch/watch_step.rs
@@ -1,16 +1,16 @@
-//! What is to be asked next.
+//! The next call to the platform.
 
 use std::time::Duration;
 
 use crate::domain::Timestamp;
 
-/// What is to be asked of the platform next.
+/// The next call to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchStep {
-    /// Ask for all objects.
+    /// List all objects.
     List,
-    /// Ask for what changed after a version, and wait for a change for so long.
+    /// Watch for changes after this version, and wait up to this long for one.
     Watch(u64, Duration),
-    /// Ask nothing before this time.
+    /// Make no call before this time.
     Wait(Timestamp),
 }
