--- a/azureway-core/src/cache/block.rs
+++ b/azureway-core/src/cache/block.rs
@@ -3,11 +3,11 @@
 use super::BlockKey;
 use crate::domain::TokenCount;
 
-/// A block of a prompt: its identity and its length.
+/// A block of a prompt, identified by the hash of all text up to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Block {
-    /// The identity.
+    /// The key of the block.
     pub key: BlockKey,
-    /// The tokens of this block alone.
+    /// The length of the block in tokens, without the blocks before it.
     pub tokens: TokenCount,
 }
--- a/azureway-core/src/cache/block_chain.rs
+++ b/azureway-core/src/cache/block_chain.rs
@@ -5,21 +5,21 @@
 use super::{Block, BlockKey, Salt};
 use crate::domain::{PrefixKey, TokenCount};
 
-/// The most text of a block, in bytes: about two thousand tokens.
+/// The maximum size of a block in bytes, about two thousand tokens.
 const BLOCK_BYTES: usize = 8 * 1024;
 
-/// The level of the nested prefix whose end places a request: the house instructions and
-/// the shop's or distributor's context.
-const PLACING_LEVEL: usize = 2;
+/// The number of prompt levels, from the outermost, that form the shared prefix: the
+/// organisation's instructions and the context of the shop or distributor.
+const SHARED_LEVELS: usize = 2;
 
-/// A prompt as a chain of blocks. A block ends with its level of the nested prefix or
-/// when it is full, so that prompts which share a level share all blocks up to its end.
+/// A prompt as a chain of blocks. A block ends at the end of its prompt level or when it is full,
+/// so that prompts that share a level share all blocks up to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BlockChain {
     salt: Salt,
     blocks: SmallVec<[Block; 6]>,
     prefix: PrefixKey,
-    shared: TokenCount,
+    prefix_tokens: TokenCount,
 }
 
 impl BlockChain {
@@ -29,12 +29,12 @@
             salt,
             blocks: SmallVec::new(),
             prefix: PrefixKey::new(salt.number()),
-            shared: TokenCount::ZERO,
+            prefix_tokens: TokenCount::ZERO,
         };
         for (depth, level) in levels.into_iter().enumerate() {
             chain.push_level(level);
-            if depth < PLACING_LEVEL {
-                chain.mark_prefix();
+            if depth < SHARED_LEVELS {
+                chain.extend_prefix();
             }
         }
         chain
@@ -42,21 +42,21 @@
 
     /// Creates a chain from blocks whose keys were derived elsewhere, such as in a trace.
     ///
-    /// The first `placing` blocks decide where the chain is placed.
+    /// The first `prefix_blocks` blocks form the shared prefix.
     pub fn from_blocks(
         salt: Salt,
         blocks: impl IntoIterator<Item = Block>,
-        placing: usize,
+        prefix_blocks: usize,
     ) -> Self {
         let blocks: SmallVec<[Block; 6]> = blocks.into_iter().collect();
-        let last = blocks.iter().take(placing).next_back();
+        let last = blocks.iter().take(prefix_blocks).next_back();
         let prefix = PrefixKey::new(last.map_or(salt.number(), |b| b.key.get()));
-        let shared = blocks.iter().take(placing).map(|b| b.tokens).sum();
+        let prefix_tokens = blocks.iter().take(prefix_blocks).map(|b| b.tokens).sum();
         Self {
             salt,
             blocks,
             prefix,
-            shared,
+            prefix_tokens,
         }
     }
 
@@ -73,14 +73,14 @@
         }
     }
 
-    fn mark_prefix(&mut self) {
+    fn extend_prefix(&mut self) {
         if let Some(last) = self.blocks.last() {
             self.prefix = PrefixKey::new(last.key.get());
-            self.shared = self.tokens();
+            self.prefix_tokens = self.tokens();
         }
     }
 
-    /// Returns the salt.
+    /// Returns the salt that the block keys were derived with.
     pub const fn salt(&self) -> Salt {
         self.salt
     }
@@ -90,17 +90,17 @@
         &self.blocks
     }
 
-    /// Returns the key of the shared prefix that places the prompt.
+    /// Returns the key of the shared prefix, by which the prompt is placed.
     pub const fn prefix(&self) -> PrefixKey {
         self.prefix
     }
 
-    /// Returns the tokens of the shared prefix that places the prompt.
+    /// Returns the length of the shared prefix in tokens.
     pub const fn prefix_tokens(&self) -> TokenCount {
-        self.shared
+        self.prefix_tokens
     }
 
-    /// Returns the tokens of the whole prompt.
+    /// Returns the length of the whole prompt in tokens.
     pub fn tokens(&self) -> TokenCount {
         self.blocks.iter().map(|b| b.tokens).sum()
     }
--- a/azureway-core/src/cache/cache_op.rs
+++ b/azureway-core/src/cache/cache_op.rs
@@ -1,8 +1,8 @@
-//! What happened to a cached block.
+//! A cache event of a backend server.
 
 use super::BlockKey;
 
-/// What happened to a cached block at a backend server.
+/// A cache event of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheOp {
     /// The block was stored.
--- a/azureway-core/src/cache/cache_update.rs
+++ b/azureway-core/src/cache/cache_update.rs
@@ -1,18 +1,18 @@
-//! A run of cache events.
+//! A run of consecutive cache events.
 
 use super::CacheOp;
 use crate::domain::{Incarnation, ServerId};
 
-/// A run of numbered cache events of one backend server.
+/// A run of consecutive cache events of one backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheUpdate<'a> {
-    /// The server.
+    /// The server that the events are from.
     pub server: &'a ServerId,
-    /// The server's incarnation when the events arose.
+    /// The incarnation of the server at the time of the events.
     pub incarnation: Incarnation,
-    /// The number of the first event of the run.
+    /// The sequence number of the first event. For a snapshot, that of the next event after it.
     pub first: u64,
-    /// Whether the run is the server's whole content rather than changes to it.
+    /// Whether the run lists the whole content of the cache rather than changes to it.
     pub snapshot: bool,
     /// The events in order.
     pub ops: &'a [CacheOp],
--- a/azureway-core/src/cache/event_cursor.rs
+++ b/azureway-core/src/cache/event_cursor.rs
@@ -1,8 +1,8 @@
-//! How far a server's numbered cache events have been heard.
+//! The position in a server's numbered cache events.
 
 use crate::domain::Incarnation;
 
-/// How far a server's numbered cache events have been heard, and whether any were lost.
+/// The position in a server's numbered cache events, used to detect lost and repeated events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EventCursor {
     incarnation: Incarnation,
@@ -10,7 +10,7 @@
 }
 
 impl EventCursor {
-    /// Creates a cursor that has heard nothing.
+    /// Creates a cursor of no incarnation, before its first event.
     pub const fn new() -> Self {
         Self {
             incarnation: Incarnation::ZERO,
@@ -18,21 +18,21 @@
         }
     }
 
-    /// Returns the incarnation that the cursor follows.
+    /// Returns the incarnation whose events the cursor counts.
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Starts anew at event `next` of `incarnation`.
+    /// Moves the cursor to event `next` of `incarnation`.
     pub fn reset(&mut self, incarnation: Incarnation, next: u64) {
         self.incarnation = incarnation;
         self.next = next;
     }
 
-    /// Takes in a run of `len` events from number `first`.
+    /// Advances the cursor over a run of `len` events that starts at number `first`.
     ///
-    /// Returns how many events at the head of the run are already known, or `None` if
-    /// events before the run were lost.
+    /// Returns how many events at the head of the run are already known, or `None` if events
+    /// before the run were lost.
     pub fn advance(&mut self, first: u64, len: u64) -> Option<u64> {
         if first > self.next {
             return None;
--- a/azureway-core/src/cache/index.rs
+++ b/azureway-core/src/cache/index.rs
@@ -1,27 +1,29 @@
-//! Which backend servers are believed to hold which blocks.
+//! The index of the blocks that backend servers are believed to have cached.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::{Block, BlockKey, CacheOp, CacheUpdate, Holder, Holders, TrackedServer};
 use crate::domain::{Incarnation, ServerId, TokenCount};
 
-/// The blocks that an index keeps at most.
+/// The default maximum number of blocks in an index.
 const DEFAULT_BOUND: usize = 256 * 1024;
 
-/// The blocks that one step of the sweep looks at. It bounds the time of each event.
-const CHANCES: u32 = 16;
+/// The maximum number of blocks that the sweep visits per insertion. It bounds the time of each
+/// event.
+const MAX_VISITS: u32 = 16;
 
-/// Which backend servers are believed to hold which blocks.
+/// An index of the blocks that backend servers are believed to have cached.
 ///
-/// The index is a hint: an entry may be late or missing, and a request carries what was
-/// expected, so that the server can refuse it. An entry holds only under the generation and
-/// the incarnation of its server that it was made in; any other is unreachable.
+/// The index is a hint: a record may be late or missing. A request therefore carries the expected
+/// incarnation and weights, so that the server can reject it. A record is valid only for the
+/// generation and incarnation of its server in which it was made.
 ///
-/// The index is bounded. A sweep in the order of insertion drops blocks that were neither
-/// looked up nor stored again since it last came by, within a bounded number of looks.
+/// The index is bounded. A sweep in insertion order (second chance) evicts blocks that were
+/// neither looked up nor stored again since its last visit, with a bounded number of visits per
+/// insertion.
 #[derive(Debug)]
 pub struct CacheIndex {
-    places: HashMap<ServerId, u32>,
+    positions: HashMap<ServerId, u32>,
     servers: Vec<TrackedServer>,
     blocks: HashMap<BlockKey, Holders>,
     sweep: VecDeque<BlockKey>,
@@ -38,7 +40,7 @@
     /// Creates an empty index with the default bound.
     pub fn new() -> Self {
         Self {
-            places: HashMap::new(),
+            positions: HashMap::new(),
             servers: Vec::new(),
             blocks: HashMap::new(),
             sweep: VecDeque::new(),
@@ -46,61 +48,62 @@
         }
     }
 
-    /// Sets the blocks that the index keeps at most.
+    /// Sets the maximum number of blocks in the index.
     #[must_use]
     pub fn with_bound(mut self, bound: usize) -> Self {
         self.bound = bound.max(1);
         self
     }
 
-    /// Returns the number of blocks that the index keeps.
+    /// Returns the number of blocks in the index.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Tells whether the index is empty.
+    /// Returns whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 
-    /// Takes in a run of events. Returns whether events were lost, so that the caller
-    /// must ask the server for its whole content.
+    /// Applies a run of events. Returns whether events were lost, so that the caller must request
+    /// a snapshot of the server's cache.
     pub fn update(&mut self, update: &CacheUpdate<'_>) -> bool {
-        let place = self.place(update.server);
-        let tracked = &mut self.servers[place as usize];
+        let position = self.position_of(update.server);
+        let tracked = &mut self.servers[position as usize];
         if update.incarnation < tracked.cursor.incarnation() {
             return false;
         }
         let len = update.ops.len() as u64;
         if update.snapshot || update.incarnation > tracked.cursor.incarnation() {
-            // A whole content is numbered by the next event to come after it.
+            // A snapshot carries the number of the next event after it.
             let next = update.first + if update.snapshot { 0 } else { len };
             let complete = update.snapshot || update.first == 0;
             tracked.reset(update.incarnation, next, complete);
-            self.apply(place, update.ops);
+            self.apply(position, update.ops);
             return !complete;
         }
         let Some(known) = tracked.cursor.advance(update.first, len) else {
             return true;
         };
         self.apply(
-            place,
+            position,
             &update.ops[usize::try_from(known).unwrap_or(usize::MAX)..],
         );
         false
     }
 
-    /// Begins to follow a life of a server of which no news has come yet.
+    /// Starts to track an incarnation of a server that has sent no events yet.
     pub fn track(&mut self, server: &ServerId, incarnation: Incarnation) {
-        let place = self.place(server);
-        let tracked = &mut self.servers[place as usize];
+        let position = self.position_of(server);
+        let tracked = &mut self.servers[position as usize];
         if incarnation > tracked.cursor.incarnation() {
             tracked.reset(incarnation, 0, false);
         }
     }
 
-    /// Notes that a server computes or has computed `blocks`. The server's own events are
-    /// late, and until they come the next request would compute the blocks elsewhere again.
+    /// Assumes that a server has `blocks` cached because it was sent a request with them. The
+    /// server's own events lag, and until they arrive the next request with the same blocks would
+    /// be sent elsewhere and compute them again.
     pub fn assume_cached(&mut self, server: &ServerId, incarnation: Incarnation, blocks: &[Block]) {
         let Some(holder) = self.holder(server, incarnation) else {
             return;
@@ -110,32 +113,34 @@
         }
     }
 
-    /// Returns how many tokens at the head of `blocks` the server is believed to hold.
+    /// Returns the number of tokens at the head of `blocks` that the server is believed to have
+    /// cached.
     pub fn cached_tokens(
         &mut self,
         server: &ServerId,
         incarnation: Incarnation,
         blocks: &[Block],
     ) -> TokenCount {
-        self.count(server, incarnation, blocks, |held| &held.list)
+        self.count_tokens(server, incarnation, blocks, |held| &held.all)
     }
 
-    /// Returns how many tokens at the head of `blocks` the server has told that it holds.
+    /// Returns the number of tokens at the head of `blocks` that the server's own events confirm
+    /// as cached.
     pub fn confirmed_tokens(
         &mut self,
         server: &ServerId,
         incarnation: Incarnation,
         blocks: &[Block],
     ) -> TokenCount {
-        self.count(server, incarnation, blocks, |held| &held.confirmed)
+        self.count_tokens(server, incarnation, blocks, |held| &held.confirmed)
     }
 
-    fn count(
+    fn count_tokens(
         &mut self,
         server: &ServerId,
         incarnation: Incarnation,
         blocks: &[Block],
-        list: impl Fn(&Holders) -> &[Holder],
+        holders: impl Fn(&Holders) -> &[Holder],
     ) -> TokenCount {
         let Some(holder) = self.holder(server, incarnation) else {
             return TokenCount::ZERO;
@@ -143,7 +148,7 @@
         let mut tokens = TokenCount::ZERO;
         for block in blocks {
             match self.blocks.get_mut(&block.key) {
-                Some(held) if list(held).contains(&holder) => held.used = true,
+                Some(held) if holders(held).contains(&holder) => held.referenced = true,
                 _ => break,
             }
             tokens += block.tokens;
@@ -151,46 +156,46 @@
         tokens
     }
 
-    /// Tells whether all that the server holds has been heard.
+    /// Returns whether the index has received the whole content of the server's cache.
     pub fn is_complete(&self, server: &ServerId, incarnation: Incarnation) -> bool {
-        let tracked = self.places.get(server);
-        let tracked = tracked.map(|place| self.servers[*place as usize]);
-        tracked.is_some_and(|f| f.complete && f.is_current(incarnation))
+        let tracked = self.positions.get(server);
+        let tracked = tracked.map(|position| self.servers[*position as usize]);
+        tracked.is_some_and(|t| t.complete && t.is_current(incarnation))
     }
 
-    /// Forgets everything that the server was believed to hold.
+    /// Invalidates all records of a server.
     pub fn invalidate(&mut self, server: &ServerId) {
-        if let Some(&place) = self.places.get(server) {
-            self.servers[place as usize].reset(Incarnation::ZERO, 0, false);
+        if let Some(&position) = self.positions.get(server) {
+            self.servers[position as usize].reset(Incarnation::ZERO, 0, false);
         }
     }
 
     fn holder(&self, server: &ServerId, incarnation: Incarnation) -> Option<Holder> {
-        let &place = self.places.get(server)?;
-        let tracked = self.servers[place as usize];
+        let &position = self.positions.get(server)?;
+        let tracked = self.servers[position as usize];
         tracked
             .is_current(incarnation)
-            .then_some((place, tracked.generation))
+            .then_some((position, tracked.generation))
     }
 
-    fn place(&mut self, server: &ServerId) -> u32 {
-        if let Some(&place) = self.places.get(server) {
-            return place;
+    fn position_of(&mut self, server: &ServerId) -> u32 {
+        if let Some(&position) = self.positions.get(server) {
+            return position;
         }
-        let place = u32::try_from(self.servers.len()).unwrap_or(u32::MAX);
-        self.places.insert(server.clone(), place);
+        let position = u32::try_from(self.servers.len()).unwrap_or(u32::MAX);
+        self.positions.insert(server.clone(), position);
         self.servers.push(TrackedServer::new());
-        place
+        position
     }
 
-    fn apply(&mut self, place: u32, ops: &[CacheOp]) {
-        let generation = self.servers[place as usize].generation;
+    fn apply(&mut self, position: u32, ops: &[CacheOp]) {
+        let generation = self.servers[position as usize].generation;
         for op in ops {
             match *op {
-                CacheOp::Stored(key) => self.store(key, (place, generation), true),
+                CacheOp::Stored(key) => self.store(key, (position, generation), true),
                 CacheOp::Evicted(key) => {
                     if let Some(held) = self.blocks.get_mut(&key) {
-                        held.remove(place);
+                        held.remove(position);
                     }
                 }
             }
@@ -202,27 +207,26 @@
             held.add(holder, confirmed);
             return;
         }
-        self.make_room();
-        // A new block has its first turn in the sweep to be looked up.
+        self.evict();
+        // A new block must be looked up before the sweep first visits it, or it is evicted.
         let mut held = Holders::default();
         held.add(holder, confirmed);
-        held.used = false;
+        held.referenced = false;
         self.blocks.insert(key, held);
         self.sweep.push_back(key);
     }
 
-    fn make_room(&mut self) {
-        let mut chances = CHANCES;
+    fn evict(&mut self) {
+        let mut visits = MAX_VISITS;
         while self.blocks.len() >= self.bound {
             let Some(key) = self.sweep.pop_front() else {
                 return;
             };
-            chances = chances.saturating_sub(1);
+            visits = visits.saturating_sub(1);
             let servers = &self.servers;
             let keep = self.blocks.get_mut(&key).is_some_and(|held| {
-                held.list
-                    .retain(|h| servers[h.0 as usize].generation == h.1);
-                std::mem::take(&mut held.used) && chances > 0 && !held.list.is_empty()
+                held.all.retain(|h| servers[h.0 as usize].generation == h.1);
+                std::mem::take(&mut held.referenced) && visits > 0 && !held.all.is_empty()
             });
             if keep {
                 self.sweep.push_back(key);
--- a/azureway-core/src/cache/mod.rs
+++ b/azureway-core/src/cache/mod.rs
@@ -1,4 +1,4 @@
-//! The identity of cached blocks and what is known of where they are.
+//! The keys of cached prompt blocks and the index of the servers that hold them.
 
 mod block;
 mod block_chain;
--- a/azureway-core/src/cache/salt.rs
+++ b/azureway-core/src/cache/salt.rs
@@ -1,14 +1,15 @@
-//! What separates the cached blocks of one client account, model and weights version.
+//! The salt that isolates the cached blocks of an account, service and weights version.
 
 use crate::domain::{AccountId, ServiceId, WeightsVersion};
 use crate::util::TruncatedSha256;
 
-/// A digest of client account, service and weights version that starts every block chain.
+/// A digest of client account, service and weights version, from which every block chain is
+/// derived. It keeps accounts and weights versions from sharing cached blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Salt([u8; 16]);
 
 impl Salt {
-    /// Derives the salt.
+    /// Derives the salt of a client account, service and weights version.
     pub fn new(account: &AccountId, service: &ServiceId, weights: WeightsVersion) -> Self {
         let digest = TruncatedSha256::new()
             .with_part(account.as_str().as_bytes())
@@ -17,12 +18,12 @@
         Self(digest.finish())
     }
 
-    /// Creates a salt from its number.
+    /// Creates a salt from its numeric value.
     pub const fn from_number(number: u128) -> Self {
         Self(number.to_le_bytes())
     }
 
-    /// Returns the salt as a number.
+    /// Returns the numeric value of the salt.
     pub const fn number(self) -> u128 {
         u128::from_le_bytes(self.0)
     }
--- a/azureway-core/src/cache/tracked_server.rs
+++ b/azureway-core/src/cache/tracked_server.rs
@@ -1,36 +1,36 @@
-//! What the index follows of one backend server.
+//! The index's state of one backend server.
 
 use super::EventCursor;
 use crate::domain::Incarnation;
 
-/// What the index follows of one backend server: how far its events were heard, and the
-/// generation that entries must have to hold.
+/// The index's state of one backend server: the position in its events and the generation of its
+/// valid records.
 ///
-/// A new generation makes every entry of the server unreachable in one step.
+/// Starting a new generation invalidates every record of the server in one step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrackedServer {
-    /// How far the events were heard.
+    /// The position in the server's cache events.
     pub cursor: EventCursor,
-    /// The generation of the entries that hold.
+    /// The generation of the records that are valid.
     pub generation: u32,
-    /// Whether all that the server holds has been heard.
+    /// Whether the index has received the whole content of the cache.
     pub complete: bool,
 }
 
 impl TrackedServer {
-    /// Creates a follower that has heard nothing.
+    /// Creates the state of a server that has sent no events.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Drops all entries and starts anew at event `next` of `incarnation`.
+    /// Invalidates all records and restarts at event `next` of `incarnation`.
     pub fn reset(&mut self, incarnation: Incarnation, next: u64, complete: bool) {
         self.cursor.reset(incarnation, next);
         self.generation = self.generation.wrapping_add(1);
         self.complete = complete;
     }
 
-    /// Tells whether entries of `incarnation` can hold. None does for an unknown one.
+    /// Returns whether records of `incarnation` can be valid. Those of an unknown one never are.
     pub fn is_current(&self, incarnation: Incarnation) -> bool {
         incarnation > Incarnation::ZERO && incarnation == self.cursor.incarnation()
     }
