--- a/azureway-core/src/admit/account_limits.rs
+++ b/azureway-core/src/admit/account_limits.rs
@@ -1,4 +1,4 @@
-//! The limits of client accounts at this entry.
+//! Token limits of client accounts, as this entry enforces them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,7 +6,9 @@
 use super::{Demand, DemandMeter, LimitShare, TokenBucket};
 use crate::domain::{AccountId, ClientAccount, InstanceId, Timestamp, TokenCount, TokenRate};
 
-/// The limits of client accounts at this entry, which hold over all entries.
+/// Enforces the token limits of client accounts at this entry.
+///
+/// The limits hold over all entries together: each entry enforces its [`LimitShare`] of them.
 #[derive(Clone, Debug, Default)]
 pub struct AccountLimits {
     accounts: HashMap<AccountId, (DemandMeter, TokenBucket)>,
@@ -14,7 +16,7 @@
 }
 
 impl AccountLimits {
-    /// Creates limits for a single entry.
+    /// Creates limits without accounts, for an entry that has heard of no other entry.
     pub fn new() -> Self {
         Self {
             accounts: HashMap::new(),
@@ -22,21 +24,21 @@
         }
     }
 
-    /// Returns how limits are shared with the other entries.
+    /// Returns the share of the limits that this entry enforces, for updates.
     pub fn share_mut(&mut self) -> &mut LimitShare {
         &mut self.share
     }
 
-    /// Drops the accounts that `keep` does not keep.
+    /// Removes the state of every account for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(&AccountId) -> bool) {
         self.accounts.retain(|id, _| keep(id));
     }
 
-    /// Charges `account` for a request of `cost` tokens.
+    /// Charges `account` for a request that costs `cost` tokens.
     ///
     /// # Errors
     ///
-    /// Returns the time after which it is worth asking again, if the limit is used up.
+    /// Returns the time after which the account may retry, if it has used up its limit.
     pub fn charge(
         &mut self,
         account: &ClientAccount,
@@ -45,19 +47,19 @@
     ) -> Result<(), Duration> {
         let (limit, share) = (account.limit.get() as f64, &self.share);
         let entry = self.accounts.entry(account.id.clone());
-        let (meter, allowance) = entry.or_insert_with(|| {
+        let (meter, bucket) = entry.or_insert_with(|| {
             let rate = limit * share.fraction(&account.id, 0.0, now);
             (DemandMeter::new(), TokenBucket::new(rate, now))
         });
         meter.add(cost, now);
         let rate = limit * share.fraction(&account.id, meter.rate(now), now);
-        allowance.spend(cost, rate, now)
+        bucket.spend(cost, rate, now)
     }
 
-    /// Returns what the accounts ask for here, to be told to the other entries.
+    /// Returns the demand of the accounts at this entry, for broadcast to the other entries.
     pub fn demand(&self, instance: InstanceId, now: Timestamp) -> Demand {
         let rates = self.accounts.iter().map(|(id, (meter, _))| {
-            // The cast saturates, and nothing is negative.
+            // A rate is never negative, and the cast saturates.
             (id.clone(), TokenRate::new(meter.rate(now) as u64))
         });
         let mut rates: Vec<_> = rates.filter(|(_, r)| *r > TokenRate::ZERO).collect();
--- a/azureway-core/src/admit/blocked_classes.rs
+++ b/azureway-core/src/admit/blocked_classes.rs
@@ -1,11 +1,11 @@
-//! The classes for which no backend server has room.
+//! Service classes for which no backend server has capacity.
 
 use smallvec::SmallVec;
 
 use super::{QueuedRequest, ServiceClass};
 use crate::domain::Rank;
 
-/// The classes, by rank, for which no backend server has room at the moment.
+/// The set of ranks and service classes for which no backend server has capacity at the moment.
 #[derive(Clone, Debug, Default)]
 pub struct BlockedClasses {
     classes: SmallVec<[(Rank, ServiceClass); 4]>,
@@ -17,14 +17,14 @@
         Self::default()
     }
 
-    /// Adds the class of a request that found no room.
+    /// Adds the rank and class of a request that no backend server could take.
     pub fn add(&mut self, queued: &QueuedRequest) {
         let class = ServiceClass::of(&queued.request);
         self.classes.push((queued.request.rank, class));
     }
 
-    /// Tells whether a class of a rank is blocked.
+    /// Returns whether `class` is blocked for `rank`.
     pub fn contains(&self, rank: Rank, class: &ServiceClass) -> bool {
-        self.classes.iter().any(|(r, l)| *r == rank && l == class)
+        self.classes.iter().any(|(r, c)| *r == rank && c == class)
     }
 }
--- a/azureway-core/src/admit/demand.rs
+++ b/azureway-core/src/admit/demand.rs
@@ -1,12 +1,12 @@
-//! What client accounts ask for at one entry.
+//! The demand of client accounts at one entry.
 
 use crate::domain::{AccountId, InstanceId, TokenRate};
 
-/// What client accounts ask for at one entry instance, as it tells the others.
+/// The demand of client accounts at one entry instance, as broadcast to the other entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// The instance.
+    /// The entry instance that measured the demand.
     pub instance: InstanceId,
-    /// The tokens a second that each account asks for.
+    /// The demand of each account, in tokens per second.
     pub rates: Vec<(AccountId, TokenRate)>,
 }
--- a/azureway-core/src/admit/demand_meter.rs
+++ b/azureway-core/src/admit/demand_meter.rs
@@ -1,32 +1,33 @@
-//! How much a client account asks for at this entry.
+//! A decaying average of one client account's demand at this entry.
 
 use crate::domain::{Timestamp, TokenCount};
 
-/// How much a client account asks for at this entry, in tokens a second, refused requests
-/// included. Older demand fades.
+/// Measures the demand of a client account at this entry, in tokens per second.
+///
+/// Refused requests count too. Past demand decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DemandMeter {
     rate: f64,
-    at: Timestamp,
+    updated: Timestamp,
 }
 
-/// The time after which past demand counts for a third, in seconds.
-const MEMORY: f64 = 5.0;
+/// The time constant of the decay, in seconds: demand this old counts for about a third (1/e).
+const DECAY_TIME: f64 = 5.0;
 
 impl DemandMeter {
-    /// Creates a meter without demand.
+    /// Creates a meter that has measured no demand.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a request of `cost` tokens.
+    /// Records a request of `cost` tokens.
     pub fn add(&mut self, cost: TokenCount, now: Timestamp) {
-        self.rate = self.rate(now) + cost.get() as f64 / MEMORY;
-        self.at = now;
+        self.rate = self.rate(now) + cost.get() as f64 / DECAY_TIME;
+        self.updated = now;
     }
 
-    /// Returns the demand in tokens a second.
+    /// Returns the demand at `now`, in tokens per second.
     pub fn rate(&self, now: Timestamp) -> f64 {
-        self.rate * (-now.since(self.at).as_secs_f64() / MEMORY).exp()
+        self.rate * (-now.since(self.updated).as_secs_f64() / DECAY_TIME).exp()
     }
 }
--- a/azureway-core/src/admit/fair_queue.rs
+++ b/azureway-core/src/admit/fair_queue.rs
@@ -1,25 +1,25 @@
-//! Requests of one rank in an order that is fair between client accounts.
+//! A queue of requests of one rank that is fair between client accounts.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use super::{BlockedClasses, QueuedRequest, ServiceClass};
 use crate::domain::{AccountId, Rank, RequestId, Timestamp};
 
-/// The place of a request in its class: its virtual start, then its identity.
-type Place = (u64, RequestId);
+/// The sort key of a request in its class: its start tag, then its identifier.
+type OrderKey = (u64, RequestId);
 
-/// Requests of one rank, in start-time fair order by their cost in tokens.
+/// A start-time fair queue of requests of one rank, by their cost in tokens.
 ///
-/// Each account has a virtual clock that its requests push on by cost over weight. The
-/// request with the least virtual start goes first, so an account that asks for far more
-/// than the rest waits behind its own work and not before theirs. Each class has an order of
-/// its own under the same clocks, so that a blocked class is passed over in one step.
+/// Each request advances the finish tag of its account by its cost over the account's weight.
+/// The request with the smallest start tag goes first, so an account with far more demand than
+/// the others delays only its own requests. Each class keeps its own order under the same
+/// tags, so that a blocked class is skipped in one step.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    clock: u64,
-    finish: HashMap<AccountId, u64>,
-    classes: BTreeMap<ServiceClass, BTreeMap<Place, QueuedRequest>>,
-    places: HashMap<RequestId, (ServiceClass, u64)>,
+    virtual_time: u64,
+    finish_tags: HashMap<AccountId, u64>,
+    classes: BTreeMap<ServiceClass, BTreeMap<OrderKey, QueuedRequest>>,
+    positions: HashMap<RequestId, (ServiceClass, u64)>,
     deadlines: BTreeSet<(Timestamp, RequestId)>,
     backlog: u64,
 }
@@ -30,101 +30,102 @@
         Self::default()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Tells whether no request waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Returns the cost of all requests that wait, in tokens.
+    /// Returns the cost of all queued requests, in tokens.
     pub const fn backlog(&self) -> u64 {
         self.backlog
     }
 
-    /// Returns the virtual start that a request of `account` would be given.
+    /// Returns the start tag that a new request of `account` would get.
     pub fn start_tag_for(&self, account: &AccountId) -> u64 {
-        // An account that was idle starts now: it saves up no claim on the past.
-        let last = self.finish.get(account).copied().unwrap_or(0);
-        last.max(self.clock)
+        // An idle account starts at the current virtual time: it earns no credit for the past.
+        let last = self.finish_tags.get(account).copied().unwrap_or(0);
+        last.max(self.virtual_time)
     }
 
-    /// Returns the tokens that go before a request of `account` at least: of each account,
-    /// what starts before it.
+    /// Returns a lower bound of the tokens ahead of a new request of `account`: of each
+    /// account, the work whose tags precede the request's start tag.
     pub fn tokens_ahead(&self, account: &AccountId) -> u64 {
         let start = self.start_tag_for(account);
-        let ahead = |finish: &u64| (*finish).min(start).saturating_sub(self.clock);
-        let sum: u64 = self.finish.values().map(ahead).sum();
+        let ahead = |finish: &u64| (*finish).min(start).saturating_sub(self.virtual_time);
+        let sum: u64 = self.finish_tags.values().map(ahead).sum();
         sum.min(self.backlog)
     }
 
-    /// Adds a request.
+    /// Adds a request and sets its start tag.
     pub fn push(&mut self, mut queued: QueuedRequest) {
         let account = queued.request.account.clone();
         queued.start_tag = self.start_tag_for(&account);
-        self.finish
+        self.finish_tags
             .insert(account, queued.start_tag + queued.weighted_cost());
         self.backlog += queued.request.cost().get();
         let (id, class) = (queued.request.id, ServiceClass::of(&queued.request));
         self.deadlines
             .insert((queued.request.deadline.timestamp(), id));
-        self.places.insert(id, (class.clone(), queued.start_tag));
+        self.positions.insert(id, (class.clone(), queued.start_tag));
         let order = self.classes.entry(class).or_default();
         order.insert((queued.start_tag, id), queued);
     }
 
-    /// Returns the request that goes first among the classes that are not blocked.
+    /// Returns the request with the smallest start tag among the classes that are not blocked.
     pub fn peek(&self, rank: Rank, blocked: &BlockedClasses) -> Option<&QueuedRequest> {
         let open = self
             .classes
             .iter()
-            .filter(|(l, _)| !blocked.contains(rank, l));
+            .filter(|(c, _)| !blocked.contains(rank, c));
         let heads = open.filter_map(|(_, order)| order.first_key_value());
-        heads.min_by_key(|(place, _)| **place).map(|(_, q)| q)
+        heads.min_by_key(|(key, _)| **key).map(|(_, q)| q)
     }
 
-    /// Takes out a request that is served now.
+    /// Removes a request that is served now, and advances the virtual time.
     pub fn take(&mut self, id: RequestId) -> Option<QueuedRequest> {
-        let queued = self.pull(id)?;
-        self.clock = self.clock.max(queued.start_tag);
+        let queued = self.extract(id)?;
+        self.virtual_time = self.virtual_time.max(queued.start_tag);
         if self.is_empty() {
-            // Nothing waits, so no account is behind another: the clocks can be dropped.
-            self.finish.retain(|_, finish| *finish > self.clock);
+            // No account lags behind another now, so tags in the past can be dropped.
+            self.finish_tags
+                .retain(|_, finish| *finish > self.virtual_time);
         }
         Some(queued)
     }
 
-    /// Takes out a request that is not served, and gives its account the charge back.
+    /// Removes a request that is not served, and takes its cost off its account's finish tag.
     pub fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
-        let queued = self.pull(id)?;
-        if let Some(finish) = self.finish.get_mut(&queued.request.account) {
+        let queued = self.extract(id)?;
+        if let Some(finish) = self.finish_tags.get_mut(&queued.request.account) {
             *finish = finish.saturating_sub(queued.weighted_cost());
         }
         Some(queued)
     }
 
-    /// Takes out every request whose deadline lies before `now`.
+    /// Removes and returns every request whose deadline is before `now`.
     pub fn expire(&mut self, now: Timestamp) -> Vec<QueuedRequest> {
-        let mut late = Vec::new();
+        let mut expired = Vec::new();
         while let Some(&(deadline, id)) = self.deadlines.first() {
             if deadline >= now {
                 break;
             }
-            late.extend(self.remove(id));
+            expired.extend(self.remove(id));
         }
-        late
+        expired
     }
 
-    /// Returns the earliest deadline of the requests that wait.
+    /// Returns the earliest deadline of the queued requests.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    fn pull(&mut self, id: RequestId) -> Option<QueuedRequest> {
-        let (class, start) = self.places.remove(&id)?;
+    fn extract(&mut self, id: RequestId) -> Option<QueuedRequest> {
+        let (class, start) = self.positions.remove(&id)?;
         let order = self.classes.get_mut(&class)?;
         let queued = order.remove(&(start, id))?;
         if order.is_empty() {
--- a/azureway-core/src/admit/mod.rs
+++ b/azureway-core/src/admit/mod.rs
@@ -1,4 +1,4 @@
-//! Which request is served next.
+//! Admission: account limits, and the order in which queued requests are served.
 
 mod account_limits;
 mod blocked_classes;
--- a/azureway-core/src/admit/queued_request.rs
+++ b/azureway-core/src/admit/queued_request.rs
@@ -1,31 +1,31 @@
-//! A request that waits.
+//! A request in the queue of a pool.
 
 use crate::domain::{Request, Timestamp};
 use crate::router::AttemptPlan;
 
-/// A request that waits, with its place in the fair order.
+/// A request in the queue of a pool, with its position in the fair order.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
-    /// The virtual time at which the request starts, in weighted tokens.
+    /// The start tag of the request: its virtual start time, in weighted tokens.
     pub start_tag: u64,
-    /// Since when it waits.
+    /// The time at which the request was queued.
     pub queued_at: Timestamp,
-    /// The share of its account.
+    /// The weight of the client account, at least 1.
     pub weight: u32,
-    /// What is to be tried next.
+    /// The plan of the next attempt.
     pub plan: AttemptPlan,
-    /// The request.
+    /// The queued request.
     pub request: Request,
 }
 
 impl QueuedRequest {
-    /// Creates a request that waits for its first try.
+    /// Creates a queue item for the first attempt of a request.
     pub fn new(request: Request, weight: u32) -> Self {
         let plan = AttemptPlan::first(request.id);
         Self::with_plan(request, weight, plan)
     }
 
-    /// Creates a request that waits for a later try.
+    /// Creates a queue item for the attempt that `plan` describes.
     pub fn with_plan(request: Request, weight: u32, plan: AttemptPlan) -> Self {
         Self {
             start_tag: 0,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns the cost of the request over the share of its account.
+    /// Returns the cost of the request divided by the weight of its account, at least 1.
     pub fn weighted_cost(&self) -> u64 {
         (self.request.cost().get() / u64::from(self.weight)).max(1)
     }
--- a/azureway-core/src/admit/token_bucket.rs
+++ b/azureway-core/src/admit/token_bucket.rs
@@ -1,41 +1,40 @@
-//! What a client account may still ask for at this entry.
+//! A token bucket that enforces a client account's limit at this entry.
 
 use std::time::Duration;
 
 use crate::domain::{Timestamp, TokenCount};
 
-/// What a client account may still ask for at this entry: a bucket of tokens that fills at
-/// the entry's share of the account's limit.
+/// A token bucket that refills at this entry's share of a client account's limit.
 ///
-/// A request is let in while the bucket is not in debt, and may then put it into debt, so
-/// that a request larger than the bucket is not refused for ever.
+/// A request is admitted while the level is not negative, and may then take the level below
+/// zero. Otherwise a request larger than the bucket would be refused forever.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     level: f64,
-    at: Timestamp,
+    updated: Timestamp,
 }
 
-/// The time whose share of the limit a bucket holds at most, in seconds.
-const BURST: f64 = 2.0;
+/// The capacity of a bucket, as seconds of its refill rate.
+const BURST_TIME: f64 = 2.0;
 
 impl TokenBucket {
-    /// Creates a full bucket for `rate` tokens a second.
+    /// Creates a full bucket that refills at `rate` tokens per second.
     pub fn new(rate: f64, now: Timestamp) -> Self {
         Self {
-            level: rate * BURST,
-            at: now,
+            level: rate * BURST_TIME,
+            updated: now,
         }
     }
 
-    /// Takes `cost` out of the bucket.
+    /// Refills the bucket at `rate` tokens per second up to `now` and takes `cost` out of it.
     ///
     /// # Errors
     ///
-    /// Returns the time until the bucket is out of debt, if it is in debt.
+    /// Returns the time until the level is no longer negative, if it is negative now.
     pub fn spend(&mut self, cost: TokenCount, rate: f64, now: Timestamp) -> Result<(), Duration> {
-        let filled = self.level + rate * now.since(self.at).as_secs_f64();
-        self.level = filled.min(rate * BURST);
-        self.at = now;
+        let refilled = self.level + rate * now.since(self.updated).as_secs_f64();
+        self.level = refilled.min(rate * BURST_TIME);
+        self.updated = now;
         if self.level < 0.0 {
             let wait = Duration::try_from_secs_f64(-self.level / rate);
             return Err(wait.unwrap_or(Duration::MAX));
--- a/azureway-core/src/router/queues.rs
+++ b/azureway-core/src/router/queues.rs
@@ -25,7 +25,9 @@
     /// Sets the share of drafting, in percent.
     pub fn set_floor(&mut self, floor: u8) {
         self.floor = floor;
-        self.pools.values_mut().for_each(|q| q.set_floor(floor));
+        self.pools
+            .values_mut()
+            .for_each(|q| q.set_drafting_share(floor));
     }
 
     /// Marks a pool, if a request waits for it.
