--- a/azureway-core/src/retry/budgets.rs
+++ b/azureway-core/src/retry/budgets.rs
@@ -5,37 +5,39 @@
 use super::{RetryBudget, RetrySlack};
 use crate::domain::{PoolId, Timestamp};
 
-/// The retry budgets of the pools. Where all entries share a slack, each is earned by the
-/// requests for that pool alone.
+/// The retry budgets of the pools.
+///
+/// With a slack that all entries share, each pool has its own budget, earned by the requests
+/// for that pool alone. Without one, a single budget serves all pools.
 #[derive(Clone, Debug)]
 pub struct RetryBudgets {
     percent: u32,
     slack: Option<RetrySlack>,
     entries: u32,
-    common: RetryBudget,
+    single: RetryBudget,
     pools: HashMap<PoolId, RetryBudget>,
 }
 
-/// The entries among which the slack is divided at least: one that has just started may know of
-/// none, and today's sites have six to eight.
-const ENTRIES_MIN: u32 = 8;
+/// The least number of entries that the slack is divided by. An entry that has just started may
+/// know of no other entry, and sites have six to eight.
+const MIN_ENTRIES: u32 = 8;
 
 impl RetryBudgets {
-    /// Creates budgets that allow `percent` of a pool's requests, and the slack that all
-    /// entries share where there is one.
+    /// Creates budgets that allow retries of `percent` percent of the requests, plus the slack
+    /// that all entries share, if there is one.
     pub fn new(percent: u32, slack: Option<RetrySlack>) -> Self {
         Self {
             percent,
             slack,
-            entries: ENTRIES_MIN,
-            common: RetryBudget::new(percent),
+            entries: MIN_ENTRIES,
+            single: RetryBudget::new(percent),
             pools: HashMap::new(),
         }
     }
 
     /// Sets the number of entries that share the slack.
     pub fn set_entries(&mut self, entries: u32) {
-        self.entries = entries.max(ENTRIES_MIN);
+        self.entries = entries.max(MIN_ENTRIES);
         let entries = self.entries;
         if let Some(slack) = self.slack {
             self.pools
@@ -44,44 +46,43 @@
         }
     }
 
-    /// Tells whether the budgets are parts of a slack that all entries share.
+    /// Returns whether all entries share a slack.
     pub const fn is_shared(&self) -> bool {
         self.slack.is_some()
     }
 
-    /// Returns the budget of a pool at `now`. Without a slack that is counted by pools, one
-    /// budget serves all of them.
+    /// Returns the budget for a pool, refilled up to `now`.
     pub fn for_pool(&mut self, pool: &PoolId, now: Timestamp) -> &mut RetryBudget {
         let Some(slack) = self.slack else {
-            self.common.refill(now);
-            return &mut self.common;
+            self.single.refill(now);
+            return &mut self.single;
         };
         let (percent, entries) = (self.percent, self.entries);
-        // Most calls find the budget; only the first of a pool stores the name.
+        // Only the first call for a pool clones its name.
         if !self.pools.contains_key(pool) {
             let budget = RetryBudget::new(percent).with_slack(slack, entries);
             self.pools.insert(pool.clone(), budget);
         }
-        let budget = self.pools.get_mut(pool).unwrap_or(&mut self.common);
+        let budget = self.pools.get_mut(pool).unwrap_or(&mut self.single);
         budget.refill(now);
         budget
     }
 
-    /// Notes the time.
+    /// Refills all budgets up to `now`.
     pub fn refill(&mut self, now: Timestamp) {
-        self.common.refill(now);
+        self.single.refill(now);
         self.pools.values_mut().for_each(|b| b.refill(now));
     }
 
-    /// Returns the retries that are left over all pools.
+    /// Returns the number of retries available over all pools.
     pub fn available(&self) -> u64 {
         match self.slack {
             Some(_) => self.pools.values().map(RetryBudget::available).sum(),
-            None => self.common.available(),
+            None => self.single.available(),
         }
     }
 
-    /// Returns the time at which the first empty budget is looked at again.
+    /// Returns the time of the next refill of an empty budget, the earliest over all pools.
     pub fn next_refill(&self) -> Option<Timestamp> {
         match self.slack {
             Some(_) => self
@@ -89,7 +90,7 @@
                 .values()
                 .filter_map(RetryBudget::next_refill)
                 .min(),
-            None => self.common.next_refill(),
+            None => self.single.next_refill(),
         }
     }
 }
--- a/azureway-core/src/retry/mod.rs
+++ b/azureway-core/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! When a request is tried again.
+//! Retries: budgets that bound their number, and the backoff between attempts.
 
 mod backoff;
 mod budget;
--- a/azureway-core/src/retry/slack.rs
+++ b/azureway-core/src/retry/slack.rs
@@ -1,13 +1,13 @@
-//! The retries that all entries together may make beyond a share of the traffic.
+//! The retries that all entries together may make beyond their share of the requests.
 
 use std::time::Duration;
 
-/// The retries for a pool that all entries together may make within a window, beyond a share
-/// of its requests.
+/// The number of retries for a pool that all entries together may make within a window, beyond
+/// the share of its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySlack {
-    /// The retries.
+    /// The number of retries.
     pub count: u32,
-    /// The window.
+    /// The length of the window.
     pub window: Duration,
 }
