--- a/azureway-core/src/quarantine/crash_guard.rs
+++ b/azureway-core/src/quarantine/crash_guard.rs
@@ -1,41 +1,46 @@
-//! The guard against requests that crash backend servers.
+//! Decides where requests that may crash backend servers are allowed to run.
 
 use super::{CrashSite, Isolation, Quarantine, Strike, StrikeState, SuspectStatus};
 use crate::domain::{Fingerprint, Incarnation, Request, RequestId, ServerId, Timestamp};
 use crate::event::{Failure, FailureKind};
 
-/// The guard against requests that crash backend servers: who is suspected, which suspects
-/// run where, and what peers have to hear of it.
+/// Protects backend servers from requests that crash them.
+///
+/// It records which requests are suspects, on which servers suspects run, and the strikes to
+/// broadcast to the other entries.
 #[derive(Clone, Debug, Default)]
 pub struct CrashGuard {
     quarantine: Quarantine,
     isolation: Isolation,
-    news: Vec<Strike>,
+    updates: Vec<Strike>,
 }
 
 impl CrashGuard {
-    /// Creates a guard that suspects nobody.
+    /// Creates a guard without suspects.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns how a request stands.
+    /// Returns the status of a request at `now`.
     pub fn status(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
         self.quarantine.status(fingerprint, now)
     }
 
-    /// Returns the number of requests that stand so.
-    pub fn count(&self, standing: SuspectStatus, now: Timestamp) -> usize {
-        self.quarantine.count(standing, now)
+    /// Returns the number of requests that have `status` at `now`.
+    pub fn count(&self, status: SuspectStatus, now: Timestamp) -> usize {
+        self.quarantine.count(status, now)
     }
 
-    /// Tells whether a request may not run.
+    /// Returns whether a request is quarantined and may not run.
     pub fn is_quarantined(&self, fingerprint: &Fingerprint, now: Timestamp) -> bool {
         self.status(fingerprint, now) == SuspectStatus::Quarantined
     }
 
-    /// Tells whether a request may run on a server: a suspect only where no other suspect
-    /// runs, and only one copy of it at a time. `begun` tells whether its stream has begun.
+    /// Returns whether a request may run on a server.
+    ///
+    /// A suspect may run only on a server on which no other suspect runs, and only one copy of
+    /// it at a time. A quarantined request may run, as a suspect, only if its stream has
+    /// `begun`.
     pub fn allows(
         &self,
         request: &Request,
@@ -47,13 +52,13 @@
             SuspectStatus::Clear => true,
             SuspectStatus::Quarantined if !begun => false,
             SuspectStatus::Suspect | SuspectStatus::Quarantined => {
-                let apart = self.isolation.servers().all(|s| s != server);
-                apart && !self.isolation.is_running(&request.fingerprint)
+                let isolated = self.isolation.servers().all(|s| s != server);
+                isolated && !self.isolation.is_running(&request.fingerprint)
             }
         }
     }
 
-    /// Notes that a request runs on a server.
+    /// Records that a request runs on a server.
     pub fn begin(&mut self, request: &Request, server: &ServerId, now: Timestamp) {
         if self.status(&request.fingerprint, now) != SuspectStatus::Clear {
             self.isolation
@@ -61,18 +66,19 @@
         }
     }
 
-    /// Notes that a request no longer runs.
+    /// Records that a request no longer runs.
     pub fn end(&mut self, id: RequestId) {
         self.isolation.end(id);
     }
 
-    /// Notes that a request ran well.
+    /// Records that a request succeeded.
     pub fn record_success(&mut self, request: &Request, now: Timestamp) {
         let cleared = self.quarantine.clear(&request.fingerprint, now);
-        self.news.extend(cleared);
+        self.updates.extend(cleared);
     }
 
-    /// Notes that a request failed at a site whose server was last heard with `known`.
+    /// Records that a request failed at `site`. `known` is the last known incarnation of its
+    /// server.
     pub fn record_failure(
         &mut self,
         request: &Request,
@@ -81,43 +87,44 @@
         known: Incarnation,
         now: Timestamp,
     ) {
-        let returned = site.incarnation > Incarnation::ZERO && known > site.incarnation;
+        let restarted = site.incarnation > Incarnation::ZERO && known > site.incarnation;
         let state = match failure.kind {
             _ if failure.sent.is_not_run() => return,
             FailureKind::Unreachable
             | FailureKind::Mismatch
             | FailureKind::Busy
             | FailureKind::Declined => return,
-            _ if returned => StrikeState::Confirmed,
+            _ if restarted => StrikeState::Confirmed,
             FailureKind::Broken => StrikeState::Unconfirmed,
-            // A silent connection or a bad answer says little of the server by itself.
+            // A silent connection or a bad answer alone is weak evidence of a crash.
             FailureKind::Silent | FailureKind::Faulty => StrikeState::Tentative,
         };
         let fingerprint = request.fingerprint;
         let strike = self.quarantine.add_strike(fingerprint, site, state, now);
-        self.news.push(strike);
+        self.updates.push(strike);
     }
 
-    /// Notes that a server was heard with an incarnation.
+    /// Records the incarnation that a server reported.
     pub fn observe_incarnation(
         &mut self,
         server: &ServerId,
         incarnation: Incarnation,
         now: Timestamp,
     ) {
-        let settled = self
+        let resolved = self
             .quarantine
             .observe_incarnation(server, incarnation, now);
-        self.news.extend(settled);
+        self.updates.extend(resolved);
     }
 
-    /// Takes in a peer's strike. Returns whether its request may not run from now on.
+    /// Merges a strike from another entry. Returns whether it changed a strike and its request is
+    /// quarantined.
     pub fn merge(&mut self, strike: &Strike, now: Timestamp) -> bool {
         self.quarantine.merge(strike, now) && self.is_quarantined(&strike.fingerprint, now)
     }
 
-    /// Takes out what peers have to hear.
+    /// Removes and returns the strikes to broadcast to the other entries.
     pub fn take_updates(&mut self) -> Vec<Strike> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.updates)
     }
 }
--- a/azureway-core/src/quarantine/crash_site.rs
+++ b/azureway-core/src/quarantine/crash_site.rs
@@ -1,18 +1,18 @@
-//! Where a backend server broke.
+//! The backend server and incarnation that a strike refers to.
 
 use crate::domain::{Incarnation, ServerId};
 
-/// Where a backend server broke: the server and the incarnation that ended, or seemed to.
+/// A backend server and the incarnation of it that crashed, or seemed to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CrashSite {
-    /// The server.
+    /// The backend server.
     pub server: ServerId,
-    /// The incarnation; zero if it was not known.
+    /// The incarnation that handled the request, or zero if it was not known.
     pub incarnation: Incarnation,
 }
 
 impl CrashSite {
-    /// Creates a site.
+    /// Creates a site from a server and its incarnation.
     pub const fn new(server: ServerId, incarnation: Incarnation) -> Self {
         Self {
             server,
--- a/azureway-core/src/quarantine/isolation.rs
+++ b/azureway-core/src/quarantine/isolation.rs
@@ -1,31 +1,31 @@
-//! Suspects that run apart from one another.
+//! The isolation of running suspects from one another.
 
 use crate::domain::{Fingerprint, RequestId, ServerId};
 
-/// The suspects that run, each on a backend server of its own.
+/// The running suspects, each isolated on its own backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Isolation {
     running: Vec<(RequestId, Fingerprint, ServerId)>,
 }
 
 impl Isolation {
-    /// Creates an isolation with no suspect.
+    /// Creates an isolation without running suspects.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a suspect runs on a server.
+    /// Records that a suspect runs on a server.
     pub fn begin(&mut self, id: RequestId, fingerprint: Fingerprint, server: ServerId) {
         self.end(id);
         self.running.push((id, fingerprint, server));
     }
 
-    /// Notes that a request no longer runs.
+    /// Records that a request no longer runs.
     pub fn end(&mut self, id: RequestId) {
         self.running.retain(|r| r.0 != id);
     }
 
-    /// Tells whether a copy of a suspect runs already.
+    /// Returns whether a copy of a suspect is already running.
     pub fn is_running(&self, fingerprint: &Fingerprint) -> bool {
         self.running.iter().any(|r| r.1 == *fingerprint)
     }
--- a/azureway-core/src/quarantine/mod.rs
+++ b/azureway-core/src/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that crash backend servers, and the bystanders of a crash.
+//! Quarantine of requests that crash backend servers, sparing those that only ran beside them.
 
 mod crash_guard;
 mod crash_site;
--- a/azureway-core/src/quarantine/quarantined.rs
+++ b/azureway-core/src/quarantine/quarantined.rs
@@ -1,4 +1,4 @@
-//! The requests that backend servers broke under.
+//! The requests that were running when backend servers failed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,53 +6,56 @@
 use super::{CrashSite, Strike, StrikeSet, StrikeState, SuspectStatus};
 use crate::domain::{Fingerprint, Incarnation, ServerId, Timestamp};
 
-/// The requests that backend servers broke under, by fingerprint.
+/// The requests that were running when backend servers failed, by fingerprint.
 ///
-/// One strike makes a request a suspect, two at different sites quarantine it. A strike is
-/// confirmed when its server is heard with a greater incarnation, and cleared when it is
-/// heard with the same one or when the request runs well.
+/// One strike makes a request a suspect, and two strikes at different sites quarantine it. A
+/// strike is confirmed when its server reports a greater incarnation. It is cleared when the
+/// server reports the same incarnation or when the request succeeds.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, StrikeSet>,
-    /// The servers whose next words can still settle a strike.
-    open: BTreeSet<ServerId>,
-    /// The sites that a quarantined request accounts for, with the end of its quarantine.
-    explained: BTreeMap<CrashSite, Timestamp>,
+    /// The servers whose next report can resolve a strike.
+    unresolved: BTreeSet<ServerId>,
+    /// The sites whose failure is attributed to a quarantined request, with the time at which
+    /// the attribution ends.
+    attributed: BTreeMap<CrashSite, Timestamp>,
 }
 
-/// How long a strike holds.
-const STRIKE_TIME: Duration = Duration::from_secs(600);
-/// How long an unproved strike counts at a server that tells no incarnation.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// How far a report may lag. A report that comes later than this after a strike is newer.
-const REPORT_LAG: Duration = Duration::from_secs(5);
-/// The requests that are kept at most.
-const RECORDS_MAX: usize = 4_096;
+/// The time for which a strike counts.
+const STRIKE_TTL: Duration = Duration::from_secs(600);
+/// The time for which an unconfirmed strike counts at a server of unknown incarnation, where
+/// no report can resolve it.
+const UNCONFIRMED_TTL: Duration = Duration::from_secs(60);
+/// The largest delay of a report. A report that arrives later than this after a strike is newer
+/// than the strike.
+const MAX_REPORT_LAG: Duration = Duration::from_secs(5);
+/// The largest number of requests with strikes, which bounds memory.
+const MAX_RECORDS: usize = 4_096;
 
 impl Quarantine {
-    /// Creates an empty quarantine.
+    /// Creates a quarantine without strikes.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns how a request stands.
+    /// Returns the status of a request at `now`.
     pub fn status(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
         let Some(record) = self.records.get(fingerprint) else {
             return SuspectStatus::Clear;
         };
-        match record.status(PATIENCE, now) {
-            SuspectStatus::Suspect if self.is_explained(record, now) => SuspectStatus::Clear,
-            standing => standing,
+        match record.status(UNCONFIRMED_TTL, now) {
+            SuspectStatus::Suspect if self.is_attributed(record, now) => SuspectStatus::Clear,
+            status => status,
         }
     }
 
-    /// Returns the number of requests that stand so.
-    pub fn count(&self, standing: SuspectStatus, now: Timestamp) -> usize {
+    /// Returns the number of requests that have `status` at `now`.
+    pub fn count(&self, status: SuspectStatus, now: Timestamp) -> usize {
         let all = self.records.keys();
-        all.filter(|f| self.status(f, now) == standing).count()
+        all.filter(|f| self.status(f, now) == status).count()
     }
 
-    /// Notes that a request was running when a server broke, and returns the strike.
+    /// Records that a request was running when a server failed. Returns the strike.
     pub fn add_strike(
         &mut self,
         fingerprint: Fingerprint,
@@ -60,39 +63,40 @@
         state: StrikeState,
         now: Timestamp,
     ) -> Strike {
-        let strike = Strike::new(fingerprint, site, state, STRIKE_TIME);
+        let strike = Strike::new(fingerprint, site, state, STRIKE_TTL);
         self.merge(&strike, now);
         strike
     }
 
-    /// Takes in a strike, its own or a peer's. Returns whether it was new.
+    /// Merges a strike of this or another entry. Returns whether it was new or raised the state of
+    /// a known strike.
     pub fn merge(&mut self, strike: &Strike, now: Timestamp) -> bool {
-        self.make_room(now);
+        self.evict(now);
         if strike.state.is_unresolved() {
-            self.open.insert(strike.site.server.clone());
+            self.unresolved.insert(strike.site.server.clone());
         }
         if strike.state == StrikeState::Cleared {
-            self.explained.remove(&strike.site);
+            self.attributed.remove(&strike.site);
         }
         let record = self.records.entry(strike.fingerprint).or_default();
-        let fresh = record.merge(strike, now);
-        if fresh && self.status(&strike.fingerprint, now) == SuspectStatus::Quarantined {
-            self.explain(&strike.fingerprint, now);
+        let is_new = record.merge(strike, now);
+        if is_new && self.status(&strike.fingerprint, now) == SuspectStatus::Quarantined {
+            self.attribute_sites(&strike.fingerprint, now);
         }
-        fresh
+        is_new
     }
 
-    /// Notes that a request ran well, and returns the strikes that this clears.
+    /// Records that a request succeeded. Returns the strikes that this clears.
     pub fn clear(&mut self, fingerprint: &Fingerprint, now: Timestamp) -> Vec<Strike> {
         let Some(record) = self.records.get(fingerprint) else {
             return Vec::new();
         };
         let sites = record.active().map(|(site, ..)| site.clone()).collect();
-        self.settle(*fingerprint, sites, StrikeState::Cleared, now)
+        self.resolve(*fingerprint, sites, StrikeState::Cleared, now)
     }
 
-    /// Notes that a server was heard with an incarnation, and returns the strikes that this
-    /// confirms or clears.
+    /// Records the incarnation that a server reported. Returns the strikes that this confirms
+    /// or clears.
     pub fn observe_incarnation(
         &mut self,
         server: &ServerId,
@@ -100,59 +104,59 @@
         now: Timestamp,
     ) -> Vec<Strike> {
         let mut changed = Vec::new();
-        if !self.open.contains(server) {
+        if !self.unresolved.contains(server) {
             return changed;
         }
-        let prints: Vec<_> = self.records.keys().copied().collect();
-        for print in prints {
-            let record = &self.records[&print];
-            let judged = record.active().filter(|(site, ..)| site.server == *server);
-            let judged = judged.filter_map(|e| verdict(e, incarnation, now));
-            let judged: Vec<_> = judged.collect();
-            for (site, state) in judged {
-                changed.extend(self.settle(print, vec![site], state, now));
+        let fingerprints: Vec<_> = self.records.keys().copied().collect();
+        for fingerprint in fingerprints {
+            let record = &self.records[&fingerprint];
+            let resolved = record.active().filter(|(site, ..)| site.server == *server);
+            let resolved = resolved.filter_map(|e| resolution(e, incarnation, now));
+            let resolved: Vec<_> = resolved.collect();
+            for (site, state) in resolved {
+                changed.extend(self.resolve(fingerprint, vec![site], state, now));
             }
         }
-        if !self.has_open(server) {
-            self.open.remove(server);
+        if !self.has_unresolved(server) {
+            self.unresolved.remove(server);
         }
         changed
     }
 
-    /// Returns the number of requests with strikes.
+    /// Returns the number of requests that have strikes.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Tells whether no request has strikes.
+    /// Returns whether no request has strikes.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    fn has_open(&self, server: &ServerId) -> bool {
-        let open = |r: &StrikeSet| {
+    fn has_unresolved(&self, server: &ServerId) -> bool {
+        let matches = |r: &StrikeSet| {
             r.active()
                 .any(|(site, state, _)| state.is_unresolved() && site.server == *server)
         };
-        self.records.values().any(open)
+        self.records.values().any(matches)
     }
 
-    /// Notes that a quarantined request accounts for the sites of its strikes. Those who were
-    /// there keep their strikes, since another one of them may be the culprit.
-    fn explain(&mut self, culprit: &Fingerprint, now: Timestamp) {
-        let until = now + STRIKE_TIME;
-        let sites = self.records[culprit].active();
+    /// Attributes the failures at the sites of a quarantined request to that request. Other
+    /// requests that ran there keep their strikes, since one of them may be the cause instead.
+    fn attribute_sites(&mut self, cause: &Fingerprint, now: Timestamp) {
+        let until = now + STRIKE_TTL;
+        let sites = self.records[cause].active();
         let sites = sites.map(|(site, ..)| (site.clone(), until));
-        self.explained.extend(sites);
+        self.attributed.extend(sites);
     }
 
-    /// Tells whether a quarantined request accounts for every strike of a suspect.
-    fn is_explained(&self, record: &StrikeSet, now: Timestamp) -> bool {
-        let known = |site| self.explained.get(site).is_some_and(|until| *until > now);
+    /// Returns whether every strike of a suspect is attributed to a quarantined request.
+    fn is_attributed(&self, record: &StrikeSet, now: Timestamp) -> bool {
+        let known = |site| self.attributed.get(site).is_some_and(|until| *until > now);
         record.active().all(|(site, ..)| known(site))
     }
 
-    fn settle(
+    fn resolve(
         &mut self,
         fingerprint: Fingerprint,
         sites: Vec<CrashSite>,
@@ -161,32 +165,35 @@
     ) -> Vec<Strike> {
         let strikes = sites
             .into_iter()
-            .map(|site| Strike::new(fingerprint, site, state, STRIKE_TIME));
+            .map(|site| Strike::new(fingerprint, site, state, STRIKE_TTL));
         let strikes: Vec<_> = strikes.collect();
         strikes.into_iter().filter(|s| self.merge(s, now)).collect()
     }
 
-    /// Drops what no longer holds, and at the bound a request that is not quarantined.
-    fn make_room(&mut self, now: Timestamp) {
-        if self.records.len() < RECORDS_MAX {
+    /// Makes room for one request at the bound: removes expired strikes and, if that is not
+    /// enough, one request, preferably one that is not quarantined.
+    fn evict(&mut self, now: Timestamp) {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
         self.records.retain(|_, r| r.prune(now));
-        self.explained.retain(|_, until| *until > now);
-        if self.records.len() < RECORDS_MAX {
+        self.attributed.retain(|_, until| *until > now);
+        if self.records.len() < MAX_RECORDS {
             return;
         }
-        let free = |r: &StrikeSet| r.status(PATIENCE, now) != SuspectStatus::Quarantined;
-        let victim = self.records.iter().find(|(_, r)| free(r));
-        let victim = victim.or(self.records.iter().next()).map(|(p, _)| *p);
-        if let Some(victim) = victim {
-            self.records.remove(&victim);
+        let evictable =
+            |r: &StrikeSet| r.status(UNCONFIRMED_TTL, now) != SuspectStatus::Quarantined;
+        let evicted = self.records.iter().find(|(_, r)| evictable(r));
+        let evicted = evicted.or(self.records.iter().next()).map(|(p, _)| *p);
+        if let Some(evicted) = evicted {
+            self.records.remove(&evicted);
         }
     }
 }
 
-/// Judges an open strike by the incarnation that its server was heard with.
-fn verdict(
+/// Returns the site and the new state of an unresolved strike if the incarnation that its server
+/// reported resolves it.
+fn resolution(
     (site, state, since): (&CrashSite, StrikeState, Timestamp),
     incarnation: Incarnation,
     now: Timestamp,
@@ -197,6 +204,6 @@
     if incarnation > site.incarnation {
         return Some((site.clone(), StrikeState::Confirmed));
     }
-    let alive = incarnation == site.incarnation && now.since(since) > REPORT_LAG;
+    let alive = incarnation == site.incarnation && now.since(since) > MAX_REPORT_LAG;
     alive.then(|| (site.clone(), StrikeState::Cleared))
 }
--- a/azureway-core/src/quarantine/strike.rs
+++ b/azureway-core/src/quarantine/strike.rs
@@ -1,25 +1,25 @@
-//! A request that was running when a backend server broke.
+//! A strike against a request.
 
 use std::time::Duration;
 
 use super::{CrashSite, StrikeState};
 use crate::domain::Fingerprint;
 
-/// A request that was running when a backend server broke.
+/// A strike against a request that was running when a backend server failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Strike {
-    /// The request, by what two sendings of it have in common.
+    /// The fingerprint of the request, which identical requests share.
     pub fingerprint: Fingerprint,
-    /// Where the server broke.
+    /// The server that failed, and its incarnation.
     pub site: CrashSite,
-    /// How sure it is.
+    /// The state of the evidence.
     pub state: StrikeState,
-    /// How long it still holds. Passing it on never makes it longer.
+    /// The remaining time for which the strike counts. Forwarding a strike never extends it.
     pub ttl: Duration,
 }
 
 impl Strike {
-    /// Creates a strike that holds for `ttl`.
+    /// Creates a strike that counts for `ttl`.
     pub const fn new(
         fingerprint: Fingerprint,
         site: CrashSite,
--- a/azureway-core/src/quarantine/strike_state.rs
+++ b/azureway-core/src/quarantine/strike_state.rs
@@ -1,21 +1,23 @@
-//! How sure a strike is.
+//! The state of the evidence behind a strike.
 
-/// How sure a strike is. News of the same strike only ever raises it, so that peers agree
-/// whatever the order in which they hear.
+/// The state of the evidence behind a strike.
+///
+/// Updates of the same strike only ever raise its state, so that entries converge whatever the
+/// order in which updates arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum StrikeState {
-    /// The connection went silent or the answer was bad. It does not count by itself.
+    /// The connection went silent or the answer was bad. The strike does not count by itself.
     Tentative,
     /// The connection broke. The server may or may not have crashed.
     Unconfirmed,
-    /// The server came back with another incarnation: it crashed.
+    /// The server reported a greater incarnation: it crashed.
     Confirmed,
-    /// The server did not crash, or the request ran well elsewhere.
+    /// The server did not crash, or the request succeeded on another server.
     Cleared,
 }
 
 impl StrikeState {
-    /// Every state, in order.
+    /// All states, in ascending order.
     pub const ALL: [Self; 4] = [
         Self::Tentative,
         Self::Unconfirmed,
@@ -23,7 +25,7 @@
         Self::Cleared,
     ];
 
-    /// Tells whether the server's next words can still tell what happened.
+    /// Returns whether the server's next report can still confirm or clear the strike.
     pub const fn is_unresolved(self) -> bool {
         matches!(self, Self::Tentative | Self::Unconfirmed)
     }
--- a/azureway-core/src/quarantine/suspect_status.rs
+++ b/azureway-core/src/quarantine/suspect_status.rs
@@ -1,12 +1,12 @@
-//! How a request stands after what its earlier sendings did.
+//! The quarantine status of a request.
 
-/// How a request stands after what its earlier sendings did.
+/// The quarantine status of a request, which follows from its strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectStatus {
-    /// Nothing speaks against it.
+    /// No strike counts against the request.
     Clear,
-    /// It was running when one backend server broke: it runs apart from other suspects.
+    /// The request was running when one backend server failed. It is isolated from other suspects.
     Suspect,
-    /// It was running when two backend servers broke: it does not run.
+    /// The request was running when two backend servers failed. It does not run.
     Quarantined,
 }
