--- a/azureway-core/src/claim/breaker.rs
+++ b/azureway-core/src/claim/breaker.rs
@@ -1,4 +1,4 @@
-//! Sparing a platform that does not answer.
+//! A circuit breaker for claims while the platform does not answer.
 
 use std::time::Duration;
 
@@ -6,66 +6,69 @@
 use crate::domain::Timestamp;
 use crate::retry::Backoff;
 
-/// Spares a platform that does not answer: after some failures in a row only a claim now and
-/// then is asked for, and the others are refused at once.
+/// A circuit breaker for claims.
+///
+/// After several consecutive failures it lets only one claim per backoff delay through, as a
+/// probe, and the others are refused at once.
 #[derive(Clone, Debug)]
 pub struct ClaimBreaker {
     failures: u32,
     backoff: Backoff,
-    due: Timestamp,
-    doubtful: Vec<ClaimHandle>,
+    next_probe: Timestamp,
+    uncertain: Vec<ClaimHandle>,
 }
 
-/// The failures in a row after which claims are spared.
-const FAILURES_MAX: u32 = 3;
-/// The first wait between two claims that are asked for.
+/// The number of consecutive failures that open the breaker.
+const MAX_FAILURES: u32 = 3;
+/// The first delay between two probes.
 const BACKOFF_BASE: Duration = Duration::from_millis(500);
-/// The longest wait between two claims that are asked for.
+/// The longest delay between two probes.
 const BACKOFF_CAP: Duration = Duration::from_secs(5);
-/// The claims in doubt that are remembered. Beyond that they stay open until they are swept.
-const DOUBTFUL_MAX: usize = 64;
+/// The largest number of uncertain claims to remember for release. Further ones stay open in the
+/// platform until the sweep deletes them.
+const MAX_UNCERTAIN: usize = 64;
 
 impl ClaimBreaker {
-    /// Creates an open gate.
+    /// Creates a closed breaker, which lets every claim through.
     pub const fn new() -> Self {
         Self {
             failures: 0,
             backoff: Backoff::new(BACKOFF_BASE, BACKOFF_CAP, 0),
-            due: Timestamp::ZERO,
-            doubtful: Vec::new(),
+            next_probe: Timestamp::ZERO,
+            uncertain: Vec::new(),
         }
     }
 
-    /// Tells whether a claim may be asked for at `now`.
+    /// Returns whether a claim may be requested at `now`.
     pub fn allows(&mut self, now: Timestamp) -> bool {
-        if self.failures < FAILURES_MAX {
+        if self.failures < MAX_FAILURES {
             return true;
         }
-        let due = now >= self.due;
+        let due = now >= self.next_probe;
         if due {
-            self.due = now + self.backoff.next_delay();
+            self.next_probe = now + self.backoff.next_delay();
         }
         due
     }
 
-    /// Notes that the platform did not answer, and a claim that may have been written.
-    pub fn record_failure(&mut self, ticket: ClaimHandle, now: Timestamp) {
+    /// Records that the platform did not answer, and the claim that it may have written.
+    pub fn record_failure(&mut self, handle: ClaimHandle, now: Timestamp) {
         if self.failures == 0 {
-            // The names differ between entries, and so does the jitter.
-            let seed = u64::from(ticket.name.shard()) << 32 | ticket.id.sequence();
+            // Claim names differ between entries, so the seeds of their jitter differ too.
+            let seed = u64::from(handle.name.shard()) << 32 | handle.id.sequence();
             self.backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP, seed);
-            self.due = now;
+            self.next_probe = now;
         }
         self.failures = self.failures.saturating_add(1);
-        if self.doubtful.len() < DOUBTFUL_MAX {
-            self.doubtful.push(ticket);
+        if self.uncertain.len() < MAX_UNCERTAIN {
+            self.uncertain.push(handle);
         }
     }
 
-    /// Notes that the platform answered. Returns the claims that are now to be given back.
+    /// Records that the platform answered. Returns the uncertain claims to release.
     pub fn record_answer(&mut self) -> Vec<ClaimHandle> {
         self.failures = 0;
-        std::mem::take(&mut self.doubtful)
+        std::mem::take(&mut self.uncertain)
     }
 }
 
--- a/azureway-core/src/claim/closing.rs
+++ b/azureway-core/src/claim/closing.rs
@@ -1,10 +1,11 @@
-//! The calls that finish a claim or give it back.
+//! The platform calls that finish or release a claim.
 
 use super::{ClaimHandle, ClaimNonce, ClaimOutcome, ClaimReply, ClaimStep};
 use crate::domain::RequestId;
 
-/// The calls that finish a claim or give it back. What stays undone leaves the claim open,
-/// which is safe: the key is not run again.
+/// The platform calls that finish or release a claim.
+///
+/// If they fail, the claim stays open, which is safe: no request with its key runs again.
 #[derive(Clone, Debug)]
 pub struct ClaimClosing {
     id: RequestId,
@@ -13,22 +14,22 @@
     failures: u32,
 }
 
-/// The calls without a useful answer after which the claim is left open.
-const FAILURES_MAX: u32 = 4;
+/// The number of calls without a usable answer after which the claim is left open.
+const MAX_FAILURES: u32 = 4;
 
 impl ClaimClosing {
-    /// Creates the calls that note the end of a run.
-    pub fn finish(ticket: &ClaimHandle) -> Self {
-        Self::new(ticket.id, ClaimStep::Write(ticket.version))
+    /// Creates the calls that record the completion of a request.
+    pub fn finish(handle: &ClaimHandle) -> Self {
+        Self::new(handle.id, ClaimStep::Write(handle.version))
     }
 
-    /// Creates the calls that give a claim back.
-    pub fn release(ticket: &ClaimHandle) -> Self {
-        let first = match ticket.version {
+    /// Creates the calls that release a claim.
+    pub fn release(handle: &ClaimHandle) -> Self {
+        let first = match handle.version {
             0 => ClaimStep::Read,
             version => ClaimStep::Delete(version),
         };
-        Self::new(ticket.id, first)
+        Self::new(handle.id, first)
     }
 
     /// Returns the first call.
@@ -36,10 +37,10 @@
         self.last.clone()
     }
 
-    /// Returns what follows from the reply to the last call.
+    /// Returns the step that follows the reply to the last call.
     pub fn next(&mut self, reply: ClaimReply) -> ClaimStep {
         self.last = match reply {
-            // A conflict after a lost answer means that the first write took effect.
+            // A conflict after a lost answer means that the earlier write took effect.
             ClaimReply::Written(_) | ClaimReply::Conflict | ClaimReply::Absent => self.done(),
             ClaimReply::Found(version, record) if record.nonce == self.nonce => {
                 ClaimStep::Delete(version)
@@ -50,7 +51,7 @@
         self.last.clone()
     }
 
-    /// Returns the calls that have had no useful answer.
+    /// Returns the number of calls that had no usable answer.
     pub const fn failures(&self) -> u32 {
         self.failures
     }
@@ -70,7 +71,7 @@
 
     fn retry(&mut self) -> ClaimStep {
         self.failures += 1;
-        if self.failures < FAILURES_MAX {
+        if self.failures < MAX_FAILURES {
             self.last.clone()
         } else {
             self.done()
--- a/azureway-core/src/claim/command.rs
+++ b/azureway-core/src/claim/command.rs
@@ -1,16 +1,16 @@
-//! What the platform is to be asked for a claim.
+//! A command for the platform about a claim.
 
 use super::{ClaimHandle, ClaimRequest};
 use crate::domain::RequestId;
 
-/// What the platform is to be asked for a claim.
+/// A command for the platform about a claim. It may take several calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimCommand {
-    /// Create the claim, or tell who holds it.
+    /// Create the claim, or return the record of its holder.
     Create(ClaimRequest),
-    /// Note that the request has run to its end.
+    /// Record that the request has run to completion.
     Finish(ClaimHandle),
-    /// Give the claim back: the request has not run and will not.
+    /// Delete the claim, since the request has not run and will not run.
     Release(ClaimHandle),
 }
 
@@ -18,8 +18,8 @@
     /// Returns the request that the claim is for.
     pub const fn id(&self) -> RequestId {
         match self {
-            Self::Create(ask) => ask.id,
-            Self::Finish(ticket) | Self::Release(ticket) => ticket.id,
+            Self::Create(request) => request.id,
+            Self::Finish(handle) | Self::Release(handle) => handle.id,
         }
     }
 }
--- a/azureway-core/src/claim/creation.rs
+++ b/azureway-core/src/claim/creation.rs
@@ -1,11 +1,11 @@
-//! The calls that create a claim.
+//! The platform calls that create a claim.
 
 use super::{ClaimNonce, ClaimOutcome, ClaimReply, ClaimStep};
 use crate::domain::RequestId;
 
-/// The calls that create a claim. Each reply leads to the next call or to the end.
+/// The platform calls that create a claim. Each reply leads to the next call or to the outcome.
 ///
-/// A lost answer is resolved by reading the object: the nonce tells whether it is ours.
+/// A lost answer is resolved by reading the object: its nonce tells whether this entry wrote it.
 #[derive(Clone, Debug)]
 pub struct ClaimCreation {
     id: RequestId,
@@ -13,11 +13,11 @@
     failures: u32,
 }
 
-/// The calls without a useful answer after which the platform counts as unavailable.
-const FAILURES_MAX: u32 = 4;
+/// The number of calls without a usable answer after which the platform counts as unavailable.
+const MAX_FAILURES: u32 = 4;
 
 impl ClaimCreation {
-    /// Creates the calls for the claim of a request.
+    /// Creates the calls for the claim of the request `id`.
     pub fn new(id: RequestId) -> Self {
         Self {
             id,
@@ -31,7 +31,7 @@
         ClaimStep::Write(0)
     }
 
-    /// Returns what follows from the reply to the last call.
+    /// Returns the step that follows the reply to the last call.
     pub fn next(&mut self, reply: ClaimReply) -> ClaimStep {
         match reply {
             ClaimReply::Written(version) => self.granted(version),
@@ -42,14 +42,14 @@
                 ClaimStep::Done(ClaimOutcome::AlreadyHeld(self.id, record))
             }
             ClaimReply::Conflict => ClaimStep::Read,
-            // The holder gave the claim back, or a lost write did not take effect.
+            // The holder released the claim, or a lost write did not take effect.
             ClaimReply::Absent => self.retry(ClaimStep::Write(0)),
             ClaimReply::Lost => self.retry(ClaimStep::Read),
             ClaimReply::Limited => self.retry(ClaimStep::Write(0)),
         }
     }
 
-    /// Returns the calls that have had no useful answer.
+    /// Returns the number of calls that had no usable answer.
     pub const fn failures(&self) -> u32 {
         self.failures
     }
@@ -60,7 +60,7 @@
 
     fn retry(&mut self, step: ClaimStep) -> ClaimStep {
         self.failures += 1;
-        if self.failures < FAILURES_MAX {
+        if self.failures < MAX_FAILURES {
             step
         } else {
             ClaimStep::Done(ClaimOutcome::Unavailable(self.id))
--- a/azureway-core/src/claim/decision.rs
+++ b/azureway-core/src/claim/decision.rs
@@ -1,28 +1,29 @@
-//! What follows from the news of a claim.
+//! The decision about a request once the outcome of its claim is known.
 
 use std::time::Duration;
 
 use super::{ClaimRecord, ClaimState, ShortAnswer};
 use crate::domain::{Refusal, RefusalReason, Request};
 
-/// What follows for a request from the news of its claim.
+/// The decision about a request once the outcome of its claim is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimDecision {
     /// The request holds its claim and may be sent.
     Proceed(Box<Request>),
-    /// An earlier sending has run; its answer is given again.
+    /// An earlier request with the same key has run. Its answer is replayed.
     ReplayAnswer(ShortAnswer),
     /// The request is refused.
     Refuse(Refusal),
-    /// Nobody waits for the request any more.
+    /// No caller waits for the request any more.
     Nothing,
 }
 
-/// When it is worth asking again for a claim that another sending holds.
+/// The time after which the caller may retry while another request holds the claim, or while the
+/// platform does not answer.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl ClaimDecision {
-    /// Tells what a claim that another sending holds means for a request.
+    /// Decides about a request whose claim another request holds, with the given record.
     pub fn for_existing(request: &Request, record: &ClaimRecord) -> Self {
         if record.fingerprint != request.fingerprint {
             let detail = "the idempotency key was used for another request";
@@ -38,13 +39,13 @@
         }
     }
 
-    /// Returns the refusal of a request whose key runs, or may have run, elsewhere.
+    /// Returns the refusal of a request while another request with its key runs or may have run.
     pub fn in_progress() -> Refusal {
         let detail = "an earlier sending with this key is running or has run; it is not run again";
         Refusal::maybe_run(RefusalReason::Duplicate, detail).with_retry(RETRY_AFTER)
     }
 
-    /// Returns the refusal of a request whose claim could not be asked for.
+    /// Returns the refusal of a request whose claim the platform could not confirm.
     pub fn unavailable() -> Refusal {
         let detail = "the platform cannot be asked whether the key has run before; this \
                       sending was not run, an earlier one with the same key may have been";
--- a/azureway-core/src/claim/mod.rs
+++ b/azureway-core/src/claim/mod.rs
@@ -1,8 +1,9 @@
-//! At most once: claims on idempotency keys, which entries share through the platform.
+//! At-most-once execution through claims on idempotency keys, which entries share through the
+//! platform.
 //!
-//! [`ClaimTable`] decides when a claim is asked for, used, finished or given back;
-//! [`ClaimCreation`] and [`ClaimClosing`] decide the calls of one such step, so that an answer
-//! that was lost after its write took effect is told from a write that was not.
+//! [`ClaimTable`] decides when a claim is requested, used, finished or released.
+//! [`ClaimCreation`] and [`ClaimClosing`] decide the platform calls for it. They distinguish a
+//! write whose answer was lost from a write that did not take effect.
 
 mod breaker;
 mod closing;
--- a/azureway-core/src/claim/name.rs
+++ b/azureway-core/src/claim/name.rs
@@ -10,13 +10,13 @@
 pub struct ClaimName([u8; 16]);
 
 impl ClaimName {
-    /// Returns the name that every entry gives to the claim on `key` of `account`.
+    /// Returns the name of the claim on `key` of `account`, which is the same at every entry.
     pub fn of(account: &AccountId, key: &IdempotencyKey) -> Self {
         let digest = TruncatedSha256::new().with_part(account.as_str().as_bytes());
         Self(digest.with_part(key.as_str().as_bytes()).finish())
     }
 
-    /// Returns the shard that the claim is stored in. A sweep lists one shard at a time.
+    /// Returns the shard that stores the claim. A sweep lists one shard at a time.
     pub const fn shard(&self) -> u8 {
         self.0[0]
     }
--- a/azureway-core/src/claim/nonce.rs
+++ b/azureway-core/src/claim/nonce.rs
@@ -1,14 +1,14 @@
-//! The mark by which an entry knows its own claim again.
+//! The nonce by which an entry recognises its own claim.
 
 use crate::domain::RequestId;
 
 name_type! {
-    /// The mark by which an entry knows its own claim again after a lost answer.
+    /// The nonce by which an entry recognises its own claim after a lost answer.
     ClaimNonce
 }
 
 impl ClaimNonce {
-    /// Returns the nonce of a request. Identities are unique over all entry processes.
+    /// Returns the nonce of a request. Request identifiers are unique over all entry processes.
     pub fn of(id: RequestId) -> Self {
         Self::new(&id.to_string())
     }
--- a/azureway-core/src/claim/operation.rs
+++ b/azureway-core/src/claim/operation.rs
@@ -1,47 +1,47 @@
-//! The calls that one wish of the book takes.
+//! The platform calls that one claim command takes.
 
 use super::{ClaimClosing, ClaimCommand, ClaimCreation, ClaimReply, ClaimStep};
 
-/// The calls that one wish of the book takes, whatever it is.
+/// The platform calls that one [`ClaimCommand`] takes.
 #[derive(Clone, Debug)]
 pub enum ClaimOperation {
     /// A claim is being created.
     Creating(ClaimCreation),
-    /// A claim is being finished or given back.
+    /// A claim is being finished or released.
     Closing(ClaimClosing),
 }
 
 impl ClaimOperation {
-    /// Creates the calls for a wish.
-    pub fn new(call: &ClaimCommand) -> Self {
-        match call {
-            ClaimCommand::Create(ask) => Self::Creating(ClaimCreation::new(ask.id)),
-            ClaimCommand::Finish(ticket) => Self::Closing(ClaimClosing::finish(ticket)),
-            ClaimCommand::Release(ticket) => Self::Closing(ClaimClosing::release(ticket)),
+    /// Creates the calls for a command.
+    pub fn new(command: &ClaimCommand) -> Self {
+        match command {
+            ClaimCommand::Create(request) => Self::Creating(ClaimCreation::new(request.id)),
+            ClaimCommand::Finish(handle) => Self::Closing(ClaimClosing::finish(handle)),
+            ClaimCommand::Release(handle) => Self::Closing(ClaimClosing::release(handle)),
         }
     }
 
     /// Returns the first call.
     pub fn first(&self) -> ClaimStep {
         match self {
-            Self::Creating(asking) => asking.first(),
-            Self::Closing(settling) => settling.first(),
+            Self::Creating(creation) => creation.first(),
+            Self::Closing(closing) => closing.first(),
         }
     }
 
-    /// Returns what follows from the reply to the last call.
+    /// Returns the step that follows the reply to the last call.
     pub fn next(&mut self, reply: ClaimReply) -> ClaimStep {
         match self {
-            Self::Creating(asking) => asking.next(reply),
-            Self::Closing(settling) => settling.next(reply),
+            Self::Creating(creation) => creation.next(reply),
+            Self::Closing(closing) => closing.next(reply),
         }
     }
 
-    /// Returns the calls that have had no useful answer.
+    /// Returns the number of calls that had no usable answer.
     pub const fn failures(&self) -> u32 {
         match self {
-            Self::Creating(asking) => asking.failures(),
-            Self::Closing(settling) => settling.failures(),
+            Self::Creating(creation) => creation.failures(),
+            Self::Closing(closing) => closing.failures(),
         }
     }
 }
--- a/azureway-core/src/claim/outcome.rs
+++ b/azureway-core/src/claim/outcome.rs
@@ -1,20 +1,20 @@
-//! What became of a call for a claim.
+//! The outcome of a claim command.
 
 use super::ClaimRecord;
 use crate::domain::RequestId;
 
-/// What became of a call for a claim.
+/// The outcome of a claim command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The claim was created for the request and has this version.
+    /// The claim was created for the request. The number is the version of its object.
     Granted(RequestId, u64),
-    /// Another sending with the same key holds the claim.
+    /// Another request with the same key holds the claim, with this record.
     AlreadyHeld(RequestId, ClaimRecord),
-    /// The platform did not answer in time. The claim may have been created all the same.
+    /// The platform did not answer in time. The claim may have been created nevertheless.
     Unavailable(RequestId),
-    /// The platform was not asked, since nobody waits any more or too many calls wait.
+    /// The platform was not called, since the deadline had passed or too many commands were queued.
     Skipped(RequestId),
-    /// The claim was finished or given back, or that was given up.
+    /// The claim was finished or released, or the attempt to do so was abandoned.
     Closed(RequestId),
 }
 
--- a/azureway-core/src/claim/record.rs
+++ b/azureway-core/src/claim/record.rs
@@ -1,21 +1,21 @@
-//! A claim as the platform holds it.
+//! A claim as the platform stores it.
 
 use super::{ClaimNonce, ClaimState};
 use crate::domain::Fingerprint;
 
-/// A claim as the platform holds it.
+/// A claim as the platform stores it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRecord {
-    /// The mark of the holder.
+    /// The nonce of the holder.
     pub nonce: ClaimNonce,
-    /// What the claimed request has in common with the same request sent again.
+    /// The fingerprint of the request, which identical requests share.
     pub fingerprint: Fingerprint,
-    /// How far the run has come.
+    /// The execution state of the request.
     pub state: ClaimState,
 }
 
 impl ClaimRecord {
-    /// Creates a claim whose request has not been sent yet.
+    /// Creates the record of a claim whose request has not been sent yet.
     pub const fn open(nonce: ClaimNonce, fingerprint: Fingerprint) -> Self {
         Self {
             nonce,
--- a/azureway-core/src/claim/reply.rs
+++ b/azureway-core/src/claim/reply.rs
@@ -1,19 +1,19 @@
-//! What the platform said to one call.
+//! The reply of the platform to one call.
 
 use super::ClaimRecord;
 
-/// What the platform said to one call for a claim.
+/// The platform's reply to one call for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimReply {
-    /// The write took effect; the object has this version.
+    /// The write took effect. The object has this version.
     Written(u64),
-    /// The object has another version than expected, and the write did not take effect.
+    /// The object does not have the expected version. The write did not take effect.
     Conflict,
-    /// No answer came, or none that tells whether a write took effect.
+    /// No answer arrived, or none that says whether the write took effect.
     Lost,
-    /// The platform limits calls. A write did not take effect.
+    /// The platform rejected the call by its rate limit. The write did not take effect.
     Limited,
-    /// The object exists with this version.
+    /// The object exists with this version and record.
     Found(u64, ClaimRecord),
     /// The object does not exist.
     Absent,
--- a/azureway-core/src/claim/short_answer.rs
+++ b/azureway-core/src/claim/short_answer.rs
@@ -1,21 +1,21 @@
-//! An answer that is short enough to be kept with its claim.
+//! An answer that is short enough to store with its claim.
 
-/// An answer that is short enough to be kept with its claim and given again.
+/// An answer that is short enough to store with its claim, for replay to later requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShortAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The media type.
+    /// The media type of the body.
     pub media: Box<str>,
-    /// The body.
+    /// The body, which is valid UTF-8.
     pub body: Box<str>,
 }
 
 impl ShortAnswer {
-    /// The longest body that is kept, in bytes.
+    /// The longest body that is stored, in bytes.
     pub const BODY_MAX: usize = 4 * 1024;
 
-    /// Creates the kept form of an answer, unless its body is too long or no text.
+    /// Creates an answer to store. Returns `None` if its body is too long or not UTF-8.
     pub fn new(status: u16, media: &str, body: &[u8]) -> Option<Self> {
         if body.len() > Self::BODY_MAX {
             return None;
--- a/azureway-core/src/claim/state.rs
+++ b/azureway-core/src/claim/state.rs
@@ -1,12 +1,12 @@
-//! How far the run behind a claim has come.
+//! The execution state of a claimed request.
 
 use super::ShortAnswer;
 
-/// How far the run behind a claim has come.
+/// The execution state of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimState {
     /// The request may be running, may have run, or may never run.
     Open,
-    /// The request has run to its end. The answer is kept if it is short.
+    /// The request has run to completion. The answer is stored if it is short.
     Finished(Option<ShortAnswer>),
 }
--- a/azureway-core/src/claim/step.rs
+++ b/azureway-core/src/claim/step.rs
@@ -1,11 +1,11 @@
-//! The next call for a claim.
+//! The next platform call for a claim.
 
 use super::ClaimOutcome;
 
-/// The next call to the platform for a claim, or the end.
+/// The next platform call for a claim, or the outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Write the record if the object has this version; 0 stands for none.
+    /// Write the record if the object has this version, or does not exist if the version is 0.
     Write(u64),
     /// Read the object.
     Read,
--- a/azureway-core/src/claim/table.rs
+++ b/azureway-core/src/claim/table.rs
@@ -13,35 +13,35 @@
 
 /// The claims of one entry, by request.
 ///
-/// A claim is asked for before its request may wait for a server, finished when the request
-/// has run, and given back only when it is certain that the request has not run and will not.
+/// A claim is requested before its request may wait for a server and finished when the request
+/// has run. It is released only when it is certain that the request has not run and will not run.
 #[derive(Debug, Default)]
 pub struct ClaimTable {
     claims: BTreeMap<RequestId, TrackedClaim>,
     names: BTreeMap<ClaimName, RequestId>,
-    /// When the platform has been waited for long enough, also for claims that were answered.
-    limits: BTreeSet<(Timestamp, RequestId)>,
-    gate: ClaimBreaker,
+    /// The times until which the table waits for the platform. They stay after it has answered.
+    timeouts: BTreeSet<(Timestamp, RequestId)>,
+    breaker: ClaimBreaker,
 }
 
-/// How long the platform is waited for: a claim whose answer is lost once is still resolved.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// How long a claim may be used: far shorter than claims are kept.
-const USE_TIME: Duration = Duration::from_secs(60 * 60);
+/// The time to wait for the platform. It suffices to resolve a claim after one lost answer.
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
+/// The time for which a claim may be used, which is far shorter than the retention of claims.
+const MAX_USE: Duration = Duration::from_secs(60 * 60);
 
 impl ClaimTable {
-    /// Creates an empty book.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the claims whose platform calls have not ended.
+    /// Returns the number of claims that wait for the platform.
     pub fn pending(&self) -> usize {
         self.claims.values().filter(|c| is_pending(c)).count()
     }
 
-    /// Tells whether a request may be sent: it holds its claim, or it needs none because it may
-    /// repeat, has no key, or goes to servers that check keys themselves.
+    /// Returns whether a request may be sent: it holds its claim, or it needs none because it may
+    /// run more than once, has no key, or goes to servers that deduplicate keys themselves.
     pub fn permits(
         &self,
         request: &Request,
@@ -54,21 +54,21 @@
             || servers.all_keyed(&service.pool)
     }
 
-    /// Asks for the claim of a request, which waits in the book meanwhile, or refuses a request
-    /// whose key this entry is already working on.
+    /// Requests the claim of `request`, which the table keeps until the platform answers. Refuses
+    /// the request if this entry already handles its key.
     pub fn request(&mut self, request: &Request, now: Timestamp) -> Action {
         let name = TrackedClaim::name_of(request);
         if self.names.contains_key(&name) {
             return Action::Refuse(request.id, ClaimDecision::in_progress());
         }
-        if !self.gate.allows(now) {
+        if !self.breaker.allows(now) {
             return Action::Refuse(request.id, ClaimDecision::unavailable());
         }
-        let deadline = request.deadline.timestamp().min(now + PATIENCE);
+        let deadline = request.deadline.timestamp().min(now + PLATFORM_TIMEOUT);
         let claim = TrackedClaim::Requested(Box::new(request.clone()));
         self.claims.insert(request.id, claim);
         self.names.insert(name, request.id);
-        self.limits.insert((deadline, request.id));
+        self.timeouts.insert((deadline, request.id));
         Action::Claim(ClaimCommand::Create(ClaimRequest {
             id: request.id,
             name,
@@ -77,21 +77,21 @@
         }))
     }
 
-    /// Takes in what became of a call. A claim that nobody needs any more is given back.
+    /// Applies the outcome of a command. Releases a claim that is no longer needed.
     pub fn handle_outcome(
         &mut self,
-        news: &ClaimOutcome,
+        outcome: &ClaimOutcome,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) -> ClaimDecision {
-        match news {
+        match outcome {
             ClaimOutcome::Granted(id, version) => {
-                self.give_back(out);
+                self.release_uncertain(out);
                 self.grant(*id, *version, now, out)
             }
             ClaimOutcome::AlreadyHeld(id, record) => {
-                self.give_back(out);
-                self.held(*id, record)
+                self.release_uncertain(out);
+                self.already_held(*id, record)
             }
             ClaimOutcome::Unavailable(id) => self.unavailable(*id, now),
             ClaimOutcome::Skipped(id) => match self.remove(*id) {
@@ -107,41 +107,42 @@
         }
     }
 
-    /// Notes that the caller of a request in flight has left. `whole` tells whether the server
-    /// answers all the same; the caller may ask for that answer again.
-    pub fn hang_up(&mut self, id: RequestId, whole: bool) {
+    /// Records that the caller of a request in flight has disconnected. `completes` says whether
+    /// the server completes the answer nevertheless, which the caller may then request again.
+    pub fn caller_disconnected(&mut self, id: RequestId, completes: bool) {
         match self.claims.get_mut(&id) {
-            Some(TrackedClaim::Sent(_, _, left)) if whole => *left = true,
+            Some(TrackedClaim::Sent(_, _, disconnected)) if completes => *disconnected = true,
             Some(TrackedClaim::Sent(..)) => drop(self.remove(id)),
             _ => {}
         }
     }
 
-    /// Notes that the caller of a request that is not in flight has left. Whatever was tried
-    /// before did not run, or the request would not wait for another try.
+    /// Records that the caller of a request that is not in flight has disconnected. No earlier
+    /// attempt has run, or the request would not wait for another attempt.
     pub fn cancel(&mut self, id: RequestId, out: &mut Vec<Action>) {
         match self.claims.get_mut(&id) {
-            Some(claim @ TrackedClaim::Requested(..)) => drop_claim(claim),
+            Some(claim @ TrackedClaim::Requested(..)) => abandon(claim),
             Some(TrackedClaim::Held(_) | TrackedClaim::Sent(_, _, false)) => self.release(id, out),
             _ => {}
         }
     }
 
-    /// Notes that a request has run to its end.
+    /// Records that a request has run to completion.
     pub fn finish(&mut self, attempt: Attempt, out: &mut Vec<Action>) {
-        let Some(TrackedClaim::Sent(ticket, sent, _)) = self.claims.get(&attempt.id) else {
+        let Some(TrackedClaim::Sent(handle, sent, _)) = self.claims.get(&attempt.id) else {
             return;
         };
         if *sent != attempt {
             return;
         }
-        let ticket = *ticket;
+        let handle = *handle;
         self.claims
-            .insert(attempt.id, TrackedClaim::Closing(ticket.name));
-        out.push(Action::Claim(ClaimCommand::Finish(ticket)));
+            .insert(attempt.id, TrackedClaim::Closing(handle.name));
+        out.push(Action::Claim(ClaimCommand::Finish(handle)));
     }
 
-    /// Notes the failure of a try whose caller has left; nobody refuses the request then.
+    /// Records that an attempt failed. If its caller has disconnected, no refusal follows, so this
+    /// closes the claim.
     pub fn fail(&mut self, failure: &Failure, out: &mut Vec<Action>) {
         let id = failure.attempt.id;
         match self.claims.get(&id) {
@@ -152,31 +153,31 @@
         }
     }
 
-    /// Refuses the requests for which the platform was waited long enough.
+    /// Refuses the requests whose wait for the platform has timed out.
     pub fn expire(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        while let Some((_, id)) = self.limits.first().copied().filter(|(t, _)| *t < now) {
-            self.limits.pop_first();
+        while let Some((_, id)) = self.timeouts.first().copied().filter(|(t, _)| *t < now) {
+            self.timeouts.pop_first();
             if let Some(claim @ TrackedClaim::Requested(..)) = self.claims.get_mut(&id) {
-                drop_claim(claim);
+                abandon(claim);
                 out.push(Action::Refuse(id, ClaimDecision::unavailable()));
             }
         }
     }
 
-    /// Returns when the next request has waited long enough for the platform.
+    /// Returns the time at which the next wait for the platform times out.
     pub fn next_timeout(&self) -> Option<Timestamp> {
-        self.limits.first().map(|(time, _)| *time)
+        self.timeouts.first().map(|(time, _)| *time)
     }
 
-    /// Follows what the router has decided from place `start` of `out` on: a request that was
-    /// sent uses its claim, and one that was refused gives it back if it has not run.
+    /// Applies the actions in `out` from index `start` on: a request that is sent uses its claim,
+    /// and a request that is refused releases it if it has not run.
     pub fn apply_actions(&mut self, start: usize, out: &mut Vec<Action>) {
         if self.claims.is_empty() {
             return;
         }
-        for place in start..out.len() {
-            match &out[place] {
-                Action::Dispatch(order) => self.send(order.attempt),
+        for index in start..out.len() {
+            match &out[index] {
+                Action::Dispatch(dispatch) => self.send(dispatch.attempt),
                 Action::Refuse(id, refusal) => {
                     let (id, not_run) = (*id, refusal.not_run);
                     self.end(id, not_run, out);
@@ -195,16 +196,16 @@
     ) -> ClaimDecision {
         match self.claims.get(&id).cloned() {
             Some(TrackedClaim::Requested(mut request)) => {
-                let claim = TrackedClaim::Held(ticket(&request, version));
+                let claim = TrackedClaim::Held(handle_of(&request, version));
                 self.claims.insert(id, claim);
-                // After a long pause the claim could be gone: it is not used then.
-                let last = request.deadline.timestamp().min(now + USE_TIME);
-                request.deadline = Deadline::new(last);
+                // After a long pause the claim may have been swept, so its use is limited.
+                let deadline = request.deadline.timestamp().min(now + MAX_USE);
+                request.deadline = Deadline::new(deadline);
                 ClaimDecision::Proceed(request)
             }
-            Some(TrackedClaim::Abandoned(ticket)) => {
-                let ticket = ClaimHandle { version, ..ticket };
-                self.claims.insert(id, TrackedClaim::Held(ticket));
+            Some(TrackedClaim::Abandoned(handle)) => {
+                let handle = ClaimHandle { version, ..handle };
+                self.claims.insert(id, TrackedClaim::Held(handle));
                 self.release(id, out);
                 ClaimDecision::Nothing
             }
@@ -212,45 +213,46 @@
         }
     }
 
-    fn held(&mut self, id: RequestId, record: &ClaimRecord) -> ClaimDecision {
+    fn already_held(&mut self, id: RequestId, record: &ClaimRecord) -> ClaimDecision {
         match self.remove(id) {
             Some(TrackedClaim::Requested(request)) => ClaimDecision::for_existing(&request, record),
             _ => ClaimDecision::Nothing,
         }
     }
 
-    /// Remembers a claim that may have been written all the same.
+    /// Remembers a claim that may have been written although the platform did not answer.
     fn unavailable(&mut self, id: RequestId, now: Timestamp) -> ClaimDecision {
-        let (ticket, verdict) = match self.remove(id) {
+        let (handle, decision) = match self.remove(id) {
             Some(TrackedClaim::Requested(request)) => {
                 let refusal = ClaimDecision::unavailable();
-                (ticket(&request, 0), ClaimDecision::Refuse(refusal))
+                (handle_of(&request, 0), ClaimDecision::Refuse(refusal))
             }
-            Some(TrackedClaim::Abandoned(ticket)) => (ticket, ClaimDecision::Nothing),
+            Some(TrackedClaim::Abandoned(handle)) => (handle, ClaimDecision::Nothing),
             _ => return ClaimDecision::Nothing,
         };
-        self.gate.record_failure(ticket, now);
-        verdict
+        self.breaker.record_failure(handle, now);
+        decision
     }
 
-    /// Gives back the claims that were in doubt, now that the platform answers.
-    fn give_back(&mut self, out: &mut Vec<Action>) {
-        for ticket in self.gate.record_answer() {
+    /// Releases the uncertain claims, now that the platform answers.
+    fn release_uncertain(&mut self, out: &mut Vec<Action>) {
+        for handle in self.breaker.record_answer() {
             self.claims
-                .insert(ticket.id, TrackedClaim::Closing(ticket.name));
-            out.push(Action::Claim(ClaimCommand::Release(ticket)));
+                .insert(handle.id, TrackedClaim::Closing(handle.name));
+            out.push(Action::Claim(ClaimCommand::Release(handle)));
         }
     }
 
     fn send(&mut self, attempt: Attempt) {
         let claim = self.claims.get_mut(&attempt.id);
-        if let Some(TrackedClaim::Held(ticket) | TrackedClaim::Sent(ticket, ..)) = claim {
-            let sent = TrackedClaim::Sent(*ticket, attempt, false);
+        if let Some(TrackedClaim::Held(handle) | TrackedClaim::Sent(handle, ..)) = claim {
+            let sent = TrackedClaim::Sent(*handle, attempt, false);
             self.claims.insert(attempt.id, sent);
         }
     }
 
-    /// Ends a claim whose request is over. One that may have run stays in the platform.
+    /// Closes the claim of a request that has ended. If the request may have run, the claim stays
+    /// in the platform.
     fn end(&mut self, id: RequestId, not_run: bool, out: &mut Vec<Action>) {
         match self.claims.get(&id) {
             Some(TrackedClaim::Held(_) | TrackedClaim::Sent(..)) if not_run => {
@@ -263,10 +265,10 @@
 
     fn release(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let claim = self.claims.get(&id);
-        if let Some(TrackedClaim::Held(ticket) | TrackedClaim::Sent(ticket, ..)) = claim {
-            let ticket = *ticket;
-            self.claims.insert(id, TrackedClaim::Closing(ticket.name));
-            out.push(Action::Claim(ClaimCommand::Release(ticket)));
+        if let Some(TrackedClaim::Held(handle) | TrackedClaim::Sent(handle, ..)) = claim {
+            let handle = *handle;
+            self.claims.insert(id, TrackedClaim::Closing(handle.name));
+            out.push(Action::Claim(ClaimCommand::Release(handle)));
         }
     }
 
@@ -279,7 +281,7 @@
     }
 }
 
-fn ticket(request: &Request, version: u64) -> ClaimHandle {
+fn handle_of(request: &Request, version: u64) -> ClaimHandle {
     ClaimHandle {
         id: request.id,
         name: TrackedClaim::name_of(request),
@@ -288,9 +290,9 @@
     }
 }
 
-fn drop_claim(claim: &mut TrackedClaim) {
+fn abandon(claim: &mut TrackedClaim) {
     if let TrackedClaim::Requested(request) = claim {
-        *claim = TrackedClaim::Abandoned(ticket(request, 0));
+        *claim = TrackedClaim::Abandoned(handle_of(request, 0));
     }
 }
 
--- a/azureway-core/src/claim/tracked.rs
+++ b/azureway-core/src/claim/tracked.rs
@@ -1,20 +1,20 @@
-//! What the book knows of one claim.
+//! This entry's state of one claim.
 
 use super::{ClaimHandle, ClaimName};
 use crate::domain::{Attempt, Request};
 
-/// What the book knows of one claim, from the wish for it to its end.
+/// This entry's state of one claim, from the request for it to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrackedClaim {
-    /// The platform is being asked.
+    /// The claim was requested and the platform has not answered yet.
     Requested(Box<Request>),
-    /// The request was refused, or its caller left, before the platform had answered.
+    /// The request was refused or its caller disconnected before the platform answered.
     Abandoned(ClaimHandle),
-    /// The claim is held and the request waits.
+    /// The claim is held and the request waits for a backend server.
     Held(ClaimHandle),
-    /// The request was sent. The flag tells whether its caller has left.
+    /// The request was sent in this attempt. The flag is set if its caller has disconnected.
     Sent(ClaimHandle, Attempt, bool),
-    /// The claim is being finished or given back.
+    /// The claim is being finished or released.
     Closing(ClaimName),
 }
 
@@ -28,7 +28,7 @@
         let key = request
             .idempotency_key
             .as_ref()
-            .expect("a claim is asked for a key");
+            .expect("a claimed request has an idempotency key");
         ClaimName::of(&request.account, key)
     }
 
@@ -36,7 +36,7 @@
     pub fn name(&self) -> ClaimName {
         match self {
             Self::Requested(request) => Self::name_of(request),
-            Self::Abandoned(ticket) | Self::Held(ticket) | Self::Sent(ticket, ..) => ticket.name,
+            Self::Abandoned(handle) | Self::Held(handle) | Self::Sent(handle, ..) => handle.name,
             Self::Closing(name) => *name,
         }
     }
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -138,7 +138,7 @@
         if let Some(flight) = self.sender.remove(id, now) {
             // A whole answer still comes from the server, and is kept for the caller's return.
             let whole = self.fleet.is_plain(&flight.request.service);
-            self.claims.hang_up(id, whole);
+            self.claims.caller_disconnected(id, whole);
             self.queues.mark(&flight.pool);
             return out.push(Action::Cancel(flight.attempt));
         }
