--- a/azureway-core/tests/group/mod.rs
+++ b/azureway-core/tests/group/mod.rs
@@ -1,5 +1,8 @@
-//! Groups of memberships that exchange their messages in memory.
-#![expect(unreachable_pub, reason = "a test's module has no outside")]
+//! A simulated group of memberships that exchange messages in memory, in virtual time.
+#![expect(
+    unreachable_pub,
+    reason = "a module of a test is not reachable from outside"
+)]
 #![allow(dead_code, reason = "each test uses a part of it")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,48 +10,48 @@
 
 use azureway_core::prelude::*;
 
-/// The time of a message on its way.
+/// The latency of a message.
 const DELAY: Duration = Duration::from_millis(2);
-/// The time after which an unanswered message counts as missed.
+/// The time after which a message without a reply counts as missed.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What is on its way, or happens later.
-enum Mail {
-    Beat(InstanceId, InstanceId, Heartbeat),
-    Answer(InstanceId, InstanceId, Heartbeat),
-    Miss(InstanceId, InstanceId),
-    Unserved(InstanceId, InstanceId),
-    Version(InstanceId, ConfigVersion),
+/// A message in flight, or a later event.
+enum Message {
+    Heartbeat(InstanceId, InstanceId, Heartbeat),
+    Reply(InstanceId, InstanceId, Heartbeat),
+    Timeout(InstanceId, InstanceId),
+    FetchFailed(InstanceId, InstanceId),
+    Config(InstanceId, ConfigVersion),
 }
 
-/// One entry instance: its membership and what it was told to take over.
+/// One entry instance: its membership, and what the membership's actions delivered.
 pub struct Node {
     pub core: Membership,
     pub running: bool,
     pub paused_until: Timestamp,
     pub strikes: Vec<Strike>,
-    pub signs: Vec<ServerUpdate>,
+    pub server_updates: Vec<ServerUpdate>,
     pub demand: BTreeMap<InstanceId, Demand>,
     pub ready_at: Option<Timestamp>,
     pub started: Timestamp,
-    life: u64,
+    run_number: u64,
 }
 
-/// A group of instances over some zones, a platform, and the faults between them.
+/// A group of instances in several zones, the platform, and the faults between them.
 pub struct Group {
     pub nodes: BTreeMap<InstanceId, Node>,
     pub now: Timestamp,
     pub published: ConfigVersion,
     pub platform: bool,
     pub sent: BTreeMap<InstanceId, Vec<Heartbeat>>,
-    pub far_sent: usize,
+    pub cross_zone_sent: usize,
     cut_zones: BTreeSet<ZoneId>,
     cut_nodes: BTreeSet<InstanceId>,
     offline: BTreeSet<ZoneId>,
-    mail: BTreeMap<(Timestamp, u64), Mail>,
+    queue: BTreeMap<(Timestamp, u64), Message>,
     sequence: u64,
     seed: u64,
-    seeds: Vec<Instance>,
+    instances: Vec<Instance>,
 }
 
 /// Returns the name of entry `number` of zone `zone`.
@@ -64,8 +67,8 @@
 impl Group {
     /// Starts `entries` instances in each of `zones` zones.
     pub fn new(zones: usize, entries: usize, seed: u64) -> Self {
-        let places = (0..zones).flat_map(|z| (0..entries).map(move |n| (z, n)));
-        let seeds = places.map(|(z, n)| {
+        let numbers = (0..zones).flat_map(|z| (0..entries).map(move |n| (z, n)));
+        let instances = numbers.map(|(z, n)| {
             let port = u16::try_from(1_000 + z * 100 + n).expect("a port");
             Instance::new(id(z, n), zone(z), ([10, 0, 0, 1], port).into())
         });
@@ -75,54 +78,62 @@
             published: ConfigVersion::new(1),
             platform: true,
             sent: BTreeMap::new(),
-            far_sent: 0,
+            cross_zone_sent: 0,
             cut_zones: BTreeSet::new(),
             cut_nodes: BTreeSet::new(),
             offline: BTreeSet::new(),
-            mail: BTreeMap::new(),
+            queue: BTreeMap::new(),
             sequence: 0,
             seed,
-            seeds: seeds.collect(),
+            instances: instances.collect(),
         };
-        for place in 0..group.seeds.len() {
-            let id = group.seeds[place].id.clone();
+        for index in 0..group.instances.len() {
+            let id = group.instances[index].id.clone();
             group.start(&id);
         }
         group
     }
 
-    /// Starts an instance, or starts it again with nothing but its settings.
+    /// Starts an instance, or restarts it with nothing but its settings.
     pub fn start(&mut self, id: &InstanceId) {
-        let life = self.nodes.get(id).map_or(1, |n| n.life + 1);
-        let me = self.seeds.iter().find(|s| s.id == *id).expect("a seed");
+        let run_number = self.nodes.get(id).map_or(1, |n| n.run_number + 1);
+        let me = self
+            .instances
+            .iter()
+            .find(|s| s.id == *id)
+            .expect("an instance");
         // A restarted process takes its start time as its incarnation.
         let me = me
             .clone()
             .with_incarnation(Incarnation::new(self.now.as_micros()));
-        let place = self.seeds.iter().position(|s| s.id == *id).expect("a seed");
-        let seed = self.seed.wrapping_mul(1_000_003) + place as u64 * 7_919 + life * 104_729;
-        let core = Membership::new(MembershipConfig::new(), me, &self.seeds, seed, self.now);
+        let index = self
+            .instances
+            .iter()
+            .position(|s| s.id == *id)
+            .expect("an instance");
+        let seed = self.seed.wrapping_mul(1_000_003) + index as u64 * 7_919 + run_number * 104_729;
+        let core = Membership::new(MembershipConfig::new(), me, &self.instances, seed, self.now);
         let node = Node {
             core,
             running: true,
             paused_until: Timestamp::ZERO,
             strikes: Vec::new(),
-            signs: Vec::new(),
+            server_updates: Vec::new(),
             demand: BTreeMap::new(),
             ready_at: None,
             started: self.now,
-            life,
+            run_number,
         };
         self.nodes.insert(id.clone(), node);
-        self.read_platform(id);
+        self.read_config(id);
     }
 
-    /// Stops an instance without a word.
+    /// Stops an instance without a notice to its peers.
     pub fn kill(&mut self, id: &InstanceId) {
         self.node(id).running = false;
     }
 
-    /// Stops the process for a time, as a paused machine does.
+    /// Pauses the process for a time, as a paused machine does.
     pub fn pause(&mut self, id: &InstanceId, time: Duration) {
         let until = self.now + time;
         self.node(id).paused_until = until;
@@ -131,32 +142,32 @@
     /// Publishes a version of the configuration.
     pub fn publish(&mut self, version: ConfigVersion) {
         self.published = version;
-        self.read_all();
+        self.read_config_everywhere();
     }
 
     /// Turns the platform on or off.
     pub fn set_platform(&mut self, up: bool) {
         self.platform = up;
-        self.read_all();
+        self.read_config_everywhere();
     }
 
-    /// Cuts a zone off from the platform, or joins it again.
+    /// Disconnects a zone from the platform, or reconnects it.
     pub fn set_offline(&mut self, zone: &ZoneId, cut: bool) {
-        set(&mut self.offline, zone, cut);
-        self.read_all();
+        insert_or_remove(&mut self.offline, zone, cut);
+        self.read_config_everywhere();
     }
 
-    /// Cuts a zone off from other zones, or joins it again.
+    /// Disconnects a zone from the other zones, or reconnects it.
     pub fn cut_zone(&mut self, zone: &ZoneId, cut: bool) {
-        set(&mut self.cut_zones, zone, cut);
+        insert_or_remove(&mut self.cut_zones, zone, cut);
     }
 
-    /// Cuts an instance off from all peers, or joins it again.
+    /// Disconnects an instance from all peers, or reconnects it.
     pub fn cut_node(&mut self, id: &InstanceId, cut: bool) {
-        set(&mut self.cut_nodes, id, cut);
+        insert_or_remove(&mut self.cut_nodes, id, cut);
     }
 
-    /// Ends every fault but that of stopped instances, which it starts again.
+    /// Ends all faults, and restarts the instances that were stopped.
     pub fn heal(&mut self) {
         self.cut_zones.clear();
         self.cut_nodes.clear();
@@ -169,23 +180,23 @@
         self.nodes.values_mut().for_each(|n| n.paused_until = now);
     }
 
-    /// Tells an instance an event.
-    pub fn tell(&mut self, id: &InstanceId, event: PeerEvent<'_>) {
+    /// Passes an event to an instance and executes the resulting actions.
+    pub fn handle_event(&mut self, id: &InstanceId, event: PeerEvent<'_>) {
         let mut out = Vec::new();
         let now = self.now;
         self.node(id).core.handle(event, now, &mut out);
         for action in out {
-            self.carry_out(id, action);
+            self.execute(id, action);
         }
     }
 
-    /// Lets time pass. `check` sees the group after every event.
+    /// Advances the time by `time`. `check` is called after every event.
     pub fn run(&mut self, time: Duration, mut check: impl FnMut(&Self)) {
         let end = self.now + time;
         while let Some((at, next)) = self.next_event().filter(|(at, _)| *at <= end) {
             self.now = at.max(self.now);
             match next {
-                Some(id) => self.tell(&id, PeerEvent::Tick),
+                Some(id) => self.handle_event(&id, PeerEvent::Tick),
                 None => self.deliver(),
             }
             check(self);
@@ -207,49 +218,51 @@
         node.running && node.paused_until <= self.now
     }
 
-    /// Returns the time of the next event, and whose clock it is if it is no message.
+    /// Returns the time of the next event, and the instance if it is a tick rather than a message.
     fn next_event(&self) -> Option<(Timestamp, Option<InstanceId>)> {
-        let mail = self.mail.keys().next().map(|(at, _)| (*at, None));
+        let message = self.queue.keys().next().map(|(at, _)| (*at, None));
         let running = self.nodes.iter().filter(|(_, n)| n.running);
         let ticks = running.map(|(id, n)| {
             let at = n.core.next_wakeup().max(n.paused_until).max(self.now);
             (at, Some(id.clone()))
         });
-        ticks.chain(mail).min()
+        ticks.chain(message).min()
     }
 
     fn deliver(&mut self) {
-        let Some((_, mail)) = self.mail.pop_first() else {
+        let Some((_, message)) = self.queue.pop_first() else {
             return;
         };
-        match mail {
-            Mail::Beat(from, to, beat) => self.deliver_beat(from, to, &beat),
-            Mail::Answer(from, to, beat) => {
-                if self.reaches(&from, &to) && self.is_awake(&self.nodes[&to]) {
-                    self.tell(&to, PeerEvent::Reply(&beat));
+        match message {
+            Message::Heartbeat(from, to, beat) => self.deliver_heartbeat(from, to, &beat),
+            Message::Reply(from, to, beat) => {
+                if self.can_reach(&from, &to) && self.is_awake(&self.nodes[&to]) {
+                    self.handle_event(&to, PeerEvent::Reply(&beat));
                 }
             }
-            Mail::Miss(to, peer) => self.tell_awake(&to, PeerEvent::Timeout(&peer)),
-            Mail::Unserved(to, peer) => self.tell_awake(&to, PeerEvent::FetchFailed(&peer)),
-            Mail::Version(to, version) => {
+            Message::Timeout(to, peer) => self.handle_if_awake(&to, PeerEvent::Timeout(&peer)),
+            Message::FetchFailed(to, peer) => {
+                self.handle_if_awake(&to, PeerEvent::FetchFailed(&peer))
+            }
+            Message::Config(to, version) => {
                 let now = self.now;
                 if self.is_awake(&self.nodes[&to]) {
-                    self.tell(&to, PeerEvent::Version(version));
+                    self.handle_event(&to, PeerEvent::Version(version));
                     self.node(&to).ready_at.get_or_insert(now);
                 }
             }
         }
     }
 
-    fn tell_awake(&mut self, id: &InstanceId, event: PeerEvent<'_>) {
+    fn handle_if_awake(&mut self, id: &InstanceId, event: PeerEvent<'_>) {
         if self.is_awake(&self.nodes[id]) {
-            self.tell(id, event);
+            self.handle_event(id, event);
         }
     }
 
-    fn deliver_beat(&mut self, from: InstanceId, to: InstanceId, beat: &Heartbeat) {
-        if !self.reaches(&from, &to) || !self.is_awake(&self.nodes[&to]) {
-            self.post(TIMEOUT, Mail::Miss(from, to));
+    fn deliver_heartbeat(&mut self, from: InstanceId, to: InstanceId, beat: &Heartbeat) {
+        if !self.can_reach(&from, &to) || !self.is_awake(&self.nodes[&to]) {
+            self.schedule(TIMEOUT, Message::Timeout(from, to));
             return;
         }
         let (mut out, now) = (Vec::new(), self.now);
@@ -263,24 +276,24 @@
                         .entry(to.clone())
                         .or_default()
                         .push(answer.clone());
-                    self.post(DELAY, Mail::Answer(to.clone(), from.clone(), answer));
+                    self.schedule(DELAY, Message::Reply(to.clone(), from.clone(), answer));
                 }
-                other => self.carry_out(&to, other),
+                other => self.execute(&to, other),
             }
         }
     }
 
-    fn carry_out(&mut self, id: &InstanceId, action: PeerAction) {
+    fn execute(&mut self, id: &InstanceId, action: PeerAction) {
         match action {
             PeerAction::Send(peer, beat) => {
-                let far = self.nodes[id].core.me().zone != peer.zone;
-                self.far_sent += usize::from(far);
+                let cross_zone = self.nodes[id].core.me().zone != peer.zone;
+                self.cross_zone_sent += usize::from(cross_zone);
                 self.sent.entry(id.clone()).or_default().push(beat.clone());
-                self.post(DELAY, Mail::Beat(id.clone(), peer.id, beat));
+                self.schedule(DELAY, Message::Heartbeat(id.clone(), peer.id, beat));
             }
             PeerAction::Fetch(peer, version) => self.fetch(id, &peer.id, version),
             PeerAction::Strike(strike) => self.node(id).strikes.push(strike),
-            PeerAction::Server(news) => self.node(id).signs.push(news),
+            PeerAction::Server(update) => self.node(id).server_updates.push(update),
             PeerAction::Demand(demand) => {
                 self.node(id).demand.insert(demand.instance.clone(), demand);
             }
@@ -290,45 +303,45 @@
 
     fn fetch(&mut self, id: &InstanceId, peer: &InstanceId, version: ConfigVersion) {
         let known = self.nodes[peer].core.version();
-        let open = self.reaches(id, peer) && self.is_awake(&self.nodes[peer]);
-        if open && known > version {
-            self.post(2 * DELAY, Mail::Version(id.clone(), known));
+        let reachable = self.can_reach(id, peer) && self.is_awake(&self.nodes[peer]);
+        if reachable && known > version {
+            self.schedule(2 * DELAY, Message::Config(id.clone(), known));
         } else {
-            let wait = if open { 2 * DELAY } else { TIMEOUT };
-            self.post(wait, Mail::Unserved(id.clone(), peer.clone()));
+            let wait = if reachable { 2 * DELAY } else { TIMEOUT };
+            self.schedule(wait, Message::FetchFailed(id.clone(), peer.clone()));
         }
     }
 
-    fn post(&mut self, wait: Duration, mail: Mail) {
+    fn schedule(&mut self, wait: Duration, message: Message) {
         self.sequence += 1;
-        self.mail.insert((self.now + wait, self.sequence), mail);
+        self.queue.insert((self.now + wait, self.sequence), message);
     }
 
-    fn read_all(&mut self) {
+    fn read_config_everywhere(&mut self) {
         let ids: Vec<_> = self.nodes.keys().cloned().collect();
-        ids.iter().for_each(|id| self.read_platform(id));
+        ids.iter().for_each(|id| self.read_config(id));
     }
 
-    fn read_platform(&mut self, id: &InstanceId) {
+    fn read_config(&mut self, id: &InstanceId) {
         let zone = &self.nodes[id].core.me().zone;
         if self.platform && !self.offline.contains(zone) {
             let version = self.published;
-            self.post(DELAY, Mail::Version(id.clone(), version));
+            self.schedule(DELAY, Message::Config(id.clone(), version));
         }
     }
 
-    fn reaches(&self, from: &InstanceId, to: &InstanceId) -> bool {
+    fn can_reach(&self, from: &InstanceId, to: &InstanceId) -> bool {
         let (one, two) = (
             &self.nodes[from].core.me().zone,
             &self.nodes[to].core.me().zone,
         );
         let cut = |z: &ZoneId| self.cut_zones.contains(z);
-        let alone = |i: &InstanceId| self.cut_nodes.contains(i);
-        from == to || !(alone(from) || alone(to) || one != two && (cut(one) || cut(two)))
+        let isolated = |i: &InstanceId| self.cut_nodes.contains(i);
+        from == to || !(isolated(from) || isolated(to) || one != two && (cut(one) || cut(two)))
     }
 }
 
-fn set<T: Clone + Ord>(items: &mut BTreeSet<T>, item: &T, present: bool) {
+fn insert_or_remove<T: Clone + Ord>(items: &mut BTreeSet<T>, item: &T, present: bool) {
     if present {
         items.insert(item.clone());
     } else {
--- a/azureway-core/tests/membership.rs
+++ b/azureway-core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Groups of entry instances under faults.
+//! Membership of groups of entry instances under faults.
 
 mod group;
 
@@ -16,55 +16,61 @@
 const ENTRIES: usize = 3;
 
 #[gtest]
-fn every_promise_holds_under_its_fault() {
+fn every_guarantee_holds_under_its_faults() {
     let cases = CASES
         .lines()
         .filter(|l| !l.is_empty() && !l.starts_with('#'));
     for case in cases {
         let mut parts = case.split('|').map(str::trim);
-        let (promise, faults) = (
-            parts.next().expect("a promise"),
+        let (guarantee, faults) = (
+            parts.next().expect("a guarantee"),
             parts.next().expect("faults"),
         );
         let mut group = Group::new(ZONES, ENTRIES, 11);
-        let mut watch = Watch::default();
+        let mut invariants = Invariants::default();
         for step in faults.split(';') {
-            apply(&mut group, &mut watch, step.trim());
+            apply(&mut group, &mut invariants, step.trim());
         }
-        for wanted in parts.next().expect("what must hold").split(';') {
-            check(&group, wanted.trim(), &format!("{promise} | {faults}"));
+        for expected in parts.next().expect("what must hold").split(';') {
+            check(&group, expected.trim(), &format!("{guarantee} | {faults}"));
         }
     }
 }
 
-/// What must hold after every event: no version or incarnation of a life goes back, and no
-/// version is in force that was never published.
+/// The invariants that are checked after every event: while a process runs, its configuration
+/// version and incarnation never decrease, and no unpublished version takes effect.
 #[derive(Default)]
-struct Watch {
-    seen: BTreeMap<(InstanceId, Timestamp), (ConfigVersion, Incarnation)>,
+struct Invariants {
+    latest: BTreeMap<(InstanceId, Timestamp), (ConfigVersion, Incarnation)>,
 }
 
-impl Watch {
+impl Invariants {
     fn check(&mut self, group: &Group) {
         for (id, node) in &group.nodes {
             let now = (node.core.version(), node.core.me().incarnation);
-            let life = (id.clone(), node.started);
-            let before = self.seen.insert(life, now).unwrap_or_default();
-            assert!(now.0 >= before.0, "{id}: the version goes back");
-            assert!(now.1 >= before.1, "{id}: the incarnation goes back");
-            assert!(now.0 <= group.published, "{id}: an unknown version");
-            assert!(node.core.live_count() as usize <= ENTRIES, "{id}: too many");
+            let process = (id.clone(), node.started);
+            let before = self.latest.insert(process, now).unwrap_or_default();
+            assert!(now.0 >= before.0, "{id}: the version decreases");
+            assert!(now.1 >= before.1, "{id}: the incarnation decreases");
+            assert!(
+                now.0 <= group.published,
+                "{id}: a version that was not published"
+            );
+            assert!(
+                node.core.live_count() as usize <= ENTRIES,
+                "{id}: counts too many live instances"
+            );
         }
     }
 }
 
-fn apply(group: &mut Group, watch: &mut Watch, step: &str) {
+fn apply(group: &mut Group, invariants: &mut Invariants, step: &str) {
     let words: Vec<&str> = step.split_whitespace().collect();
     let ids = |words: &[&str]| ids(words);
     match words.as_slice() {
         ["wait", seconds] => {
             let time = Duration::from_secs(seconds.parse().expect("seconds"));
-            group.run(time, |g| watch.check(g));
+            group.run(time, |g| invariants.check(g));
         }
         ["platform", state] => group.set_platform(*state == "up"),
         ["publish", version] => {
@@ -73,7 +79,7 @@
         ["offline", number] => group.set_offline(&zone(number.parse().expect("a zone")), true),
         ["cut", "zone", number] => group.cut_zone(&zone(number.parse().expect("a zone")), true),
         ["cut", "node", name] => group.cut_node(&ids(&[name])[0], true),
-        ["join"] => join(group),
+        ["join"] => heal_network(group),
         ["pause", name, seconds] => {
             let time = Duration::from_secs(seconds.parse().expect("seconds"));
             group.pause(&ids(&[name])[0], time);
@@ -81,13 +87,13 @@
         ["restart", rest @ ..] => ids(rest).iter().for_each(|i| group.start(i)),
         ["kill", rest @ ..] => ids(rest).iter().for_each(|i| group.kill(i)),
         ["leave", rest @ ..] => ids(rest).iter().for_each(|i| {
-            group.tell(i, PeerEvent::Leaving);
+            group.handle_event(i, PeerEvent::Leaving);
         }),
         other => panic!("unknown step {other:?}"),
     }
 }
 
-fn join(group: &mut Group) {
+fn heal_network(group: &mut Group) {
     for number in 0..ZONES {
         group.cut_zone(&zone(number), false);
         group.set_offline(&zone(number), false);
@@ -95,61 +101,61 @@
     }
 }
 
-fn check(group: &Group, wanted: &str, case: &str) {
-    let words: Vec<&str> = wanted.split_whitespace().collect();
+fn check(group: &Group, expected: &str, case: &str) {
+    let words: Vec<&str> = expected.split_whitespace().collect();
     let (last, names) = words[1..].split_last().expect("words");
     let number = || last.parse::<u64>().expect("a number");
     match words[0] {
-        "version" => each(
+        "version" => assert_each(
             group,
             names,
             |n| n.core.version().get() == number(),
             case,
-            wanted,
+            expected,
         ),
-        "count" => each(
+        "count" => assert_each(
             group,
             names,
             |n| u64::from(n.core.live_count()) == number(),
             case,
-            wanted,
+            expected,
         ),
         "ready" => {
             let limit = Duration::from_millis(number());
-            let quick = |n: &group::Node| n.ready_at.is_some_and(|t| t.since(n.started) <= limit);
-            each(group, names, quick, case, wanted);
+            let in_time = |n: &group::Node| n.ready_at.is_some_and(|t| t.since(n.started) <= limit);
+            assert_each(group, names, in_time, case, expected);
         }
-        "unready" => each(group, &words[1..], |n| n.ready_at.is_none(), case, wanted),
-        "newer" => each(
+        "unready" => assert_each(group, &words[1..], |n| n.ready_at.is_none(), case, expected),
+        "newer" => assert_each(
             group,
             &words[1..],
             |n| n.core.me().incarnation.get() > n.started.as_micros(),
             case,
-            wanted,
+            expected,
         ),
         "state" => {
             let (viewer, peer) = (&ids(&names[..1])[0], &ids(&names[1..2])[0]);
             let known = group.nodes[viewer].core.peers().get(peer).expect("a peer");
             let found = format!("{:?}", known.latest.liveness).to_lowercase();
-            assert_eq!(found, *last, "{case}: {wanted}");
+            assert_eq!(found, *last, "{case}: {expected}");
         }
         other => panic!("unknown check {other}"),
     }
 }
 
-fn each(
+fn assert_each(
     group: &Group,
     names: &[&str],
     holds: impl Fn(&group::Node) -> bool,
     case: &str,
-    wanted: &str,
+    expected: &str,
 ) {
     for id in ids(names) {
         let node = &group.nodes[&id];
         let (version, count) = (node.core.version(), node.core.live_count());
         assert!(
             holds(node),
-            "{case}: {wanted}; {id} has version {version}, counts {count}, ready at {:?} after {:?}",
+            "{case}: {expected}; {id} has version {version}, counts {count}, ready at {:?} after {:?}",
             node.ready_at,
             node.started
         );
@@ -178,7 +184,7 @@
     }
 }
 
-/// The faults that are drawn in pairs.
+/// The faults that are combined in pairs.
 const FAULTS: [&str; 10] = [
     "platform down",
     "offline 0",
@@ -192,10 +198,10 @@
     "leave 2.0",
 ];
 
-/// Two faults together or one after the other. No version or incarnation goes back at any
-/// event, and when the faults end all instances agree.
+/// Injects two faults at once or one after the other. The invariants hold after every event, and
+/// all instances agree after the faults end.
 #[test]
-fn two_faults_at_once_leave_one_view() {
+fn instances_agree_after_two_faults() {
     let config = ProptestConfig {
         cases: 48,
         failure_persistence: None,
@@ -206,7 +212,7 @@
     let pairs = (0..FAULTS.len(), 0..FAULTS.len(), 0..30u64, any::<u64>());
     let result = runner.run(&pairs, |(one, two, between, seed)| {
         let mut group = Group::new(ZONES, ENTRIES, seed);
-        let mut watch = Watch::default();
+        let mut invariants = Invariants::default();
         for step in [
             "wait 20",
             FAULTS[one],
@@ -214,18 +220,18 @@
             FAULTS[two],
             "wait 30",
         ] {
-            apply(&mut group, &mut watch, step);
+            apply(&mut group, &mut invariants, step);
         }
         group.heal();
-        for place in ids(&["2.0"]).iter().filter(|_| one == 9 || two == 9) {
-            group.start(place);
+        for id in ids(&["2.0"]).iter().filter(|_| one == 9 || two == 9) {
+            group.start(id);
         }
-        group.run(Duration::from_secs(60), |g| watch.check(g));
+        group.run(Duration::from_secs(60), |g| invariants.check(g));
         for (id, node) in &group.nodes {
             assert_eq!(node.core.version(), group.published, "{id}: the version");
             assert_eq!(node.core.live_count() as usize, ENTRIES, "{id}: the count");
         }
         Ok(())
     });
-    result.expect("the groups agree");
+    result.expect("the instances agree");
 }
--- a/azureway-core/tests/orders/cluster.rs
+++ b/azureway-core/tests/orders/cluster.rs
@@ -1,5 +1,8 @@
-//! Entries that share a lease, the platform's object and servers that load, in virtual time.
-#![expect(unreachable_pub, reason = "a test's module has no outside")]
+//! A simulation of entries that share a lease, the platform's object and servers that load weights.
+#![expect(
+    unreachable_pub,
+    reason = "a module of a test is not reachable from outside"
+)]
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,9 +11,9 @@
 
 use crate::support::fleet;
 
-/// The time between two steps.
+/// The virtual time between two steps.
 pub const STEP: Duration = Duration::from_millis(50);
-/// The time that weights take to load.
+/// How long a server takes to load weights.
 const LOAD_TIME: Duration = Duration::from_millis(600);
 
 /// An entry that may hold the lease.
@@ -18,26 +21,26 @@
     lease: Lease,
     planner: OrderPlanner,
     pub paused: bool,
-    pub cut: bool,
-    pub lose: bool,
-    pub hold: bool,
+    pub disconnected: bool,
+    pub drop_reply: bool,
+    pub hold_order: bool,
 }
 
 impl Candidate {
-    /// Creates the process `mark`. Only where an instance runs one process at a time do names
-    /// tell entries apart.
-    fn new(config: LeaseConfig, mark: u64) -> Self {
+    /// Creates a process of an entry. Entries have different names only if an instance runs one
+    /// process at a time.
+    fn new(config: LeaseConfig, process_id: u64) -> Self {
         let name = match config.single_process {
-            true => format!("entry-{}", mark % 2),
+            true => format!("entry-{}", process_id % 2),
             false => "entry".to_owned(),
         };
         Self {
-            lease: Lease::new(config, InstanceId::new(&name), mark),
+            lease: Lease::new(config, InstanceId::new(&name), process_id),
             planner: OrderPlanner::new(OrderConfig::new()),
             paused: false,
-            cut: false,
-            lose: false,
-            hold: false,
+            disconnected: false,
+            drop_reply: false,
+            hold_order: false,
         }
     }
 }
@@ -51,33 +54,33 @@
     pub loading: Option<(WeightsVersion, Timestamp)>,
 }
 
-/// Everything that orders meet.
+/// The entries, the servers and the platform's lease object.
 pub struct Cluster {
     pub now: Timestamp,
     pub candidates: Vec<Candidate>,
     pub servers: Vec<Server>,
     object: Option<(u64, LeaseRecord)>,
     fleet: Fleet,
-    late: Vec<(LoadOrder, FencingNumber)>,
-    pub starts: Vec<Timestamp>,
-    /// Whether an unfenced server took an order of a holder that had been followed.
-    pub stale: bool,
-    /// Whether an unfenced server took orders of two holders within the time that it rests.
-    pub hasty: bool,
-    /// The last order of each server: the entry that gave it, and when it came.
-    last: BTreeMap<ServerId, (usize, Timestamp)>,
+    late_orders: Vec<(LoadOrder, FencingNumber)>,
+    pub load_starts: Vec<Timestamp>,
+    /// Whether a server accepted an order of a previous holder, other than a held-back one.
+    pub stale_order: bool,
+    /// Whether an unfenced server accepted orders of two holders within the cooldown.
+    pub cooldown_violated: bool,
+    /// The last order of each server: the entry that sent it, and when it arrived.
+    last_orders: BTreeMap<ServerId, (usize, Timestamp)>,
     config: LeaseConfig,
-    marks: u64,
+    processes: u64,
 }
 
 impl Cluster {
-    /// Creates two entries and four servers with weights 1, two of which check numbers.
+    /// Creates two entries and four servers with weights 1, two of which check fencing numbers.
     pub fn new(config: LeaseConfig) -> Self {
-        let candidate = |mark| Candidate::new(config, mark);
+        let candidate = |process_id| Candidate::new(config, process_id);
         let mut fleet = fleet(4, 1);
         let mut servers = Vec::new();
-        for (place, server) in fleet.servers.values_mut().enumerate() {
-            server.fenced = place < 2;
+        for (index, server) in fleet.servers.values_mut().enumerate() {
+            server.fenced = index < 2;
             servers.push(Server {
                 id: server.id.clone(),
                 fenced: server.fenced,
@@ -92,18 +95,18 @@
             servers,
             object: None,
             fleet,
-            late: Vec::new(),
-            starts: Vec::new(),
-            stale: false,
-            hasty: false,
-            last: BTreeMap::new(),
+            late_orders: Vec::new(),
+            load_starts: Vec::new(),
+            stale_order: false,
+            cooldown_violated: false,
+            last_orders: BTreeMap::new(),
             config,
-            marks: 2,
+            processes: 2,
         }
     }
 
-    /// Changes the weights that the services of the pool want.
-    pub fn want(&mut self, versions: &[u64]) {
+    /// Changes the weights that the services of the pool require.
+    pub fn require(&mut self, versions: &[u64]) {
         let pool = PoolId::new("engines");
         self.fleet.services.clear();
         for version in versions {
@@ -116,21 +119,21 @@
     }
 
     /// Keeps the first `count` servers.
-    pub fn keep(&mut self, count: usize) {
+    pub fn keep_servers(&mut self, count: usize) {
         for server in self.servers.drain(count..) {
             self.fleet.servers.remove(&server.id);
         }
         self.fleet.version = self.fleet.version.next();
     }
 
-    /// Lets the operators take a server out.
-    pub fn leave(&mut self, place: usize) {
-        let server = self.fleet.servers.get_mut(&self.servers[place].id);
+    /// Marks a server as leaving in the configuration.
+    pub fn leave(&mut self, index: usize) {
+        let server = self.fleet.servers.get_mut(&self.servers[index].id);
         server.expect("a server").leaving = true;
         self.fleet.version = self.fleet.version.next();
     }
 
-    /// Lets one step of time pass.
+    /// Advances the time by one step.
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         for server in &mut self.servers {
@@ -141,52 +144,53 @@
         }
         for at in 0..self.candidates.len() {
             if !self.candidates[at].paused {
-                self.inform(at);
-                // The check before an order stands alone: a pause may end just before it.
+                self.update_planner(at);
+                // The check before an order has to suffice without a renewal, since a pause may end
+                // just before it.
                 self.order(at);
-                self.renew(at);
+                self.step_lease(at);
             }
         }
     }
 
     /// Starts a new process of an entry's instance.
     pub fn restart(&mut self, at: usize) {
-        self.marks += 2;
-        self.candidates[at] = Candidate::new(self.config, self.marks + at as u64 + 1);
+        self.processes += 2;
+        self.candidates[at] = Candidate::new(self.config, self.processes + at as u64 + 1);
     }
 
-    /// Lets every late order arrive.
-    pub fn land(&mut self) {
-        for (order, number) in std::mem::take(&mut self.late) {
-            self.take(usize::MAX, &order, number, true);
+    /// Delivers the orders that were held back.
+    pub fn deliver_late_orders(&mut self) {
+        for (order, number) in std::mem::take(&mut self.late_orders) {
+            self.deliver(usize::MAX, &order, number, true);
         }
     }
 
-    /// Lets a server come back with the weights that it had, without the load.
-    pub fn crash(&mut self, place: usize) {
-        self.servers[place].loading = None;
+    /// Restarts a server with the weights that it had before the current load.
+    pub fn crash(&mut self, index: usize) {
+        self.servers[index].loading = None;
     }
 
-    /// Tells whether a service wants these weights.
-    pub fn wants(&self, weights: WeightsVersion) -> bool {
+    /// Returns whether a service requires these weights.
+    pub fn requires(&self, weights: WeightsVersion) -> bool {
         self.fleet.services.values().any(|s| s.weights == weights)
     }
 
-    /// Returns the highest fencing number.
+    /// Returns the highest fencing number that was written.
     pub fn number(&self) -> u64 {
         self.object.as_ref().map_or(0, |(_, r)| r.number.get())
     }
 
-    /// Returns the servers that can answer, by weights.
-    pub fn warm(&self) -> BTreeMap<WeightsVersion, usize> {
-        let mut warm = BTreeMap::new();
+    /// Returns the number of servers that can serve requests, by weights.
+    pub fn loaded(&self) -> BTreeMap<WeightsVersion, usize> {
+        let mut loaded = BTreeMap::new();
         for server in self.servers.iter().filter(|s| s.loading.is_none()) {
-            *warm.entry(server.weights).or_default() += 1;
+            *loaded.entry(server.weights).or_default() += 1;
         }
-        warm
+        loaded
     }
 
-    fn inform(&mut self, at: usize) {
+    fn update_planner(&mut self, at: usize) {
         let planner = &mut self.candidates[at].planner;
         planner.adopt(&self.fleet);
         for server in &self.servers {
@@ -207,23 +211,23 @@
         }
     }
 
-    fn renew(&mut self, at: usize) {
+    fn step_lease(&mut self, at: usize) {
         let now = self.now;
         let step = self.candidates[at].lease.next(now);
         let reply = match step {
             LeaseStep::Wait(_) => return,
-            _ if self.candidates[at].cut => LeaseReply::NoAnswer,
+            _ if self.candidates[at].disconnected => LeaseReply::NoAnswer,
             LeaseStep::Read => self.read(),
             LeaseStep::Write(expected, record) => self.write(expected, record),
         };
         let written = matches!(reply, LeaseReply::Written(_));
-        if written && std::mem::take(&mut self.candidates[at].lose) {
-            return self.hear(at, LeaseReply::NoAnswer);
+        if written && std::mem::take(&mut self.candidates[at].drop_reply) {
+            return self.deliver_reply(at, LeaseReply::NoAnswer);
         }
-        self.hear(at, reply);
+        self.deliver_reply(at, reply);
     }
 
-    fn hear(&mut self, at: usize, reply: LeaseReply) {
+    fn deliver_reply(&mut self, at: usize, reply: LeaseReply) {
         self.candidates[at].lease.handle_reply(&reply, self.now);
     }
 
@@ -254,30 +258,32 @@
         let Some(number) = candidate.lease.fencing_number(self.now, order.fenced) else {
             return;
         };
-        if std::mem::take(&mut candidate.hold) {
-            return self.late.push((order, number));
+        if std::mem::take(&mut candidate.hold_order) {
+            return self.late_orders.push((order, number));
         }
-        self.take(at, &order, number, false);
+        self.deliver(at, &order, number, false);
     }
 
-    fn take(&mut self, at: usize, order: &LoadOrder, number: FencingNumber, late: bool) {
+    fn deliver(&mut self, at: usize, order: &LoadOrder, number: FencingNumber, late: bool) {
         let newest = FencingNumber::new(self.number());
         let server = self.servers.iter_mut().find(|s| s.id == order.server);
         let server = server.expect("a server");
         if server.fenced && number < server.highest {
             return;
         }
-        self.stale |= number < newest && !late;
+        self.stale_order |= number < newest && !late;
         if !server.fenced && !late {
-            let before = self.last.insert(order.server.clone(), (at, self.now));
-            let close = before
+            let before = self
+                .last_orders
+                .insert(order.server.clone(), (at, self.now));
+            let too_soon = before
                 .is_some_and(|(by, when)| by != at && self.now.since(when) < self.config.cooldown);
-            self.hasty |= close;
+            self.cooldown_violated |= too_soon;
         }
         server.highest = server.highest.max(number);
         if server.weights != order.weights && server.loading.is_none() {
             server.loading = Some((order.weights, self.now + LOAD_TIME));
-            self.starts.push(self.now);
+            self.load_starts.push(self.now);
         }
     }
 }
--- a/azureway-core/tests/orders/main.rs
+++ b/azureway-core/tests/orders/main.rs
@@ -1,4 +1,4 @@
-//! Orders to backend servers by whoever holds the lease: the table of faults, and drawn faults.
+//! Orders to backend servers by the holder of the lease, under tabulated and random faults.
 
 mod cluster;
 #[path = "../support/mod.rs"]
@@ -12,9 +12,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// The loads of a pool at once at most, as the brief states it.
+/// The required limit on concurrent loads of a pool.
 const LOADS_MAX: usize = 2;
-/// The loads that the weight store takes in a second, by default.
+/// The default rate of the weight store, in loads per second.
 const STORE_RATE: usize = 4;
 
 fn apply(cluster: &mut Cluster, step: &str) {
@@ -25,73 +25,85 @@
             let millis: u64 = words[1].parse().expect("milliseconds");
             let steps = Duration::from_millis(millis).as_millis() / STEP.as_millis();
             for _ in 0..steps {
-                let before = cluster.warm();
+                let before = cluster.loaded();
                 cluster.step();
                 check(cluster, &before);
             }
         }
         "wants" => {
             let versions: Vec<u64> = words[1..].iter().flat_map(|w| w.parse()).collect();
-            cluster.want(&versions);
+            cluster.require(&versions);
         }
         "restart" => cluster.restart(at),
         "pause" => cluster.candidates[at].paused = true,
         "wake" => cluster.candidates[at].paused = false,
-        "cut" => cluster.candidates[at].cut = true,
-        "heal" => cluster.candidates[at].cut = false,
-        "lose" => cluster.candidates[at].lose = true,
-        "hold" => cluster.candidates[at].hold = true,
+        "cut" => cluster.candidates[at].disconnected = true,
+        "heal" => cluster.candidates[at].disconnected = false,
+        "lose" => cluster.candidates[at].drop_reply = true,
+        "hold" => cluster.candidates[at].hold_order = true,
         "leave" => cluster.leave(usize::from(words[1].as_bytes()[1] - b'1')),
-        "servers" => cluster.keep(words[1].parse().expect("a number")),
-        "land" => cluster.land(),
+        "servers" => cluster.keep_servers(words[1].parse().expect("a number")),
+        "land" => cluster.deliver_late_orders(),
         "crash" => cluster.crash(usize::from(words[1].as_bytes()[1] - b'1')),
         word => panic!("unknown step {word}"),
     }
 }
 
-/// What must hold after every step of time.
+/// Checks the invariants that hold after every step.
 fn check(cluster: &Cluster, before: &std::collections::BTreeMap<WeightsVersion, usize>) {
     let loading = cluster.servers.iter().filter(|s| s.loading.is_some());
-    assert!(loading.count() <= LOADS_MAX, "too many loads at once");
+    assert!(loading.count() <= LOADS_MAX, "too many concurrent loads");
     assert!(
-        !cluster.stale,
-        "an order of a holder that had been followed"
+        !cluster.stale_order,
+        "a server accepted an order of a previous holder"
     );
-    assert!(!cluster.hasty, "two holders without a rest");
     assert!(
-        !cluster.warm().is_empty() || before.is_empty(),
-        "no server answers"
+        !cluster.cooldown_violated,
+        "an unfenced server accepted orders of two holders within the cooldown"
     );
-    for weights in before.keys().filter(|w| cluster.wants(**w)) {
-        let warm = cluster.warm().contains_key(weights);
-        assert!(warm, "the last warm replica of {weights} was taken");
+    assert!(
+        !cluster.loaded().is_empty() || before.is_empty(),
+        "no server can serve requests"
+    );
+    for weights in before.keys().filter(|w| cluster.requires(**w)) {
+        let loaded = cluster.loaded().contains_key(weights);
+        assert!(
+            loaded,
+            "the last server with {weights} was ordered to load others"
+        );
     }
     let second = Duration::from_secs(1);
-    let recent = cluster.starts.iter().filter(|t| **t + second > cluster.now);
-    assert!(recent.count() <= STORE_RATE, "the weight store's rate");
+    let recent = cluster
+        .load_starts
+        .iter()
+        .filter(|t| **t + second > cluster.now);
+    assert!(
+        recent.count() <= STORE_RATE,
+        "the rate of the weight store is exceeded"
+    );
 }
 
-/// The lease of a site of the users' platform: a term of its bound, a third of it as margin, a
-/// whole one between two holders, and one process of an instance at a time.
+/// The lease of a site of the users' platform: the longest term that it allows, a third of
+/// it as margin, a cooldown of one term, and one process of an instance at a time.
 const SITE_LEASE: LeaseConfig = LeaseConfig::new()
     .with_term(Duration::from_secs(3), Duration::from_secs(1))
     .with_cooldown(Duration::from_secs(3))
     .with_single_process();
 
 #[gtest]
-fn every_row_of_the_table_holds() {
-    hold_rows(
+fn every_row_of_the_table_is_satisfied() {
+    check_table(
         include_str!("../../testdata/orders.txt"),
         LeaseConfig::new(),
     );
 }
 
 #[gtest]
-fn every_row_of_the_table_of_a_site_holds() {
-    hold_rows(include_str!("../../testdata/site_orders.txt"), SITE_LEASE);
+fn every_row_of_the_site_table_is_satisfied() {
+    check_table(include_str!("../../testdata/site_orders.txt"), SITE_LEASE);
 }
 
-fn hold_rows(table: &str, config: LeaseConfig) {
+fn check_table(table: &str, config: LeaseConfig) {
     for row in table.lines() {
         if row.starts_with('#') {
             continue;
@@ -111,7 +123,7 @@
     }
 }
 
-/// The steps that are drawn.
+/// The steps that are chosen at random.
 const STEPS: [&str; 16] = [
     "run 400",
     "run 3000",
@@ -130,22 +142,22 @@
     "restart a",
     "restart b",
 ];
-/// The configurations that are drawn.
+/// The configurations that are chosen at random.
 const WANTS: [&str; 4] = ["wants 1", "wants 2", "wants 1 2", "wants 3"];
-/// The seed of the drawn cases.
+/// The seed of the random cases.
 const SEED: [u8; 32] = [23; 32];
 
 #[gtest]
-fn one_holder_orders_whatever_faults_come_and_the_wanted_end_is_reached() {
-    hold_drawn(LeaseConfig::new());
+fn random_faults_leave_one_holder_and_the_required_weights() {
+    check_random_faults(LeaseConfig::new());
 }
 
 #[gtest]
-fn one_holder_orders_with_the_lease_of_a_site() {
-    hold_drawn(SITE_LEASE);
+fn random_faults_leave_one_holder_of_a_site_lease() {
+    check_random_faults(SITE_LEASE);
 }
 
-fn hold_drawn(lease: LeaseConfig) {
+fn check_random_faults(lease: LeaseConfig) {
     let config = Config {
         cases: 400,
         failure_persistence: None,
@@ -157,8 +169,8 @@
     let count = prop::sample::select(&["servers 2", "servers 3", "servers 4"][..]);
     let cases = (count, faults, wants);
     let result = TestRunner::new_with_rng(config, rng).run(&cases, |(count, mut steps, wants)| {
-        for (place, want) in wants {
-            steps.insert(place.min(steps.len()), want);
+        for (index, want) in wants {
+            steps.insert(index.min(steps.len()), want);
         }
         let mut cluster = Cluster::new(lease);
         apply(&mut cluster, count);
@@ -187,7 +199,7 @@
 }
 
 #[gtest]
-fn a_holder_stops_early_at_servers_that_ignore_the_number() {
+fn a_holder_stops_at_the_margin_for_unfenced_servers() {
     let config = LeaseConfig::new();
     let mut lease = Lease::new(config, InstanceId::new("a"), 1);
     let start = Timestamp::from_millis(100);
@@ -196,41 +208,41 @@
         lease.next(start),
         matches_pattern!(LeaseStep::Write(eq(&0), anything()))
     );
-    // The answer is slow; the term counts from before the write was sent.
+    // The response is slow; the term is measured from before the write was sent.
     lease.handle_reply(&LeaseReply::Written(1), start + config.margin);
     let end = start + config.term;
-    let early = start + (config.term - config.margin);
-    let just = Duration::from_micros(1);
-    expect_that!(lease.fencing_number(early, false), none());
+    let margin_start = start + (config.term - config.margin);
+    let tick = Duration::from_micros(1);
+    expect_that!(lease.fencing_number(margin_start, false), none());
     expect_that!(
-        lease.fencing_number(start + (config.term - config.margin - just), false),
+        lease.fencing_number(start + (config.term - config.margin - tick), false),
         some(anything())
     );
     expect_that!(
-        lease.fencing_number(early, true),
+        lease.fencing_number(margin_start, true),
         some(eq(FencingNumber::new(1)))
     );
     expect_that!(lease.fencing_number(end, true), none());
 }
 
 #[gtest]
-fn every_entry_makes_the_same_choice_and_a_death_moves_only_one_place() {
+fn entries_select_alike_and_a_death_changes_one_selection() {
     let live: Vec<InstanceId> = (0..9)
         .map(|n| InstanceId::new(&format!("entry-{n}")))
         .collect();
-    let choice = EntrySelector::new(2, 1);
-    let chosen = |live: &[InstanceId]| -> Vec<InstanceId> {
+    let selector = EntrySelector::new(2, 1);
+    let selected = |live: &[InstanceId]| -> Vec<InstanceId> {
         live.iter()
-            .filter(|id| choice.includes(id, live))
+            .filter(|id| selector.includes(id, live))
             .cloned()
             .collect()
     };
-    let first = chosen(&live);
+    let first = selected(&live);
     expect_that!(first.len(), eq(2));
     let rest: Vec<_> = live.iter().filter(|id| **id != first[0]).cloned().collect();
-    let second = chosen(&rest);
+    let second = selected(&rest);
     expect_that!(second.len(), eq(2));
     expect_that!(second, contains(eq(&first[1])));
     let alone = [first[0].clone()];
-    expect_that!(choice.includes(&alone[0], &[]), eq(true));
+    expect_that!(selector.includes(&alone[0], &[]), eq(true));
 }
--- a/azureway-core/tests/site.rs
+++ b/azureway-core/tests/site.rs
@@ -1,15 +1,15 @@
-//! What is composed of a site's platform: the list of servers, the configuration and routes.
+//! The state of a site: the list of servers, the configuration and its routes.
 
 use std::time::Duration;
 
 use azureway_core::prelude::*;
 use googletest::prelude::*;
 
-/// How long entries that lapsed while the platform was away may take to come back, as the
-/// platform promises.
-const LAPSE: Duration = Duration::from_secs(2);
+/// How long a server whose registration expired while the platform was unavailable may take to be
+/// listed again, as guaranteed by the platform.
+const RELIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-fn entry(name: &str, leaving: bool) -> ListedServer {
+fn server(name: &str, leaving: bool) -> ListedServer {
     ListedServer {
         id: ServerId::new(name),
         service: ServiceId::new("orders"),
@@ -35,20 +35,20 @@
     state
 }
 
-fn listed(state: &mut SiteState) -> Vec<String> {
+fn server_names(state: &mut SiteState) -> Vec<String> {
     let fleet = state.build_fleet().expect("a configuration");
     fleet.servers.keys().map(ToString::to_string).collect()
 }
 
 #[gtest]
-fn nothing_is_composed_before_there_is_a_configuration() {
+fn no_fleet_is_built_before_there_is_a_configuration() {
     let mut state = SiteState::new(Vec::new(), Duration::ZERO);
-    state.update_server(entry("s", false));
+    state.update_server(server("s", false));
     expect_that!(state.build_fleet(), none());
 }
 
 #[gtest]
-fn a_configuration_never_goes_back() {
+fn an_older_configuration_is_ignored() {
     let mut state = state();
     expect_that!(state.configure(document(9)), eq(true));
     expect_that!(state.configure(document(5)), eq(false));
@@ -56,17 +56,18 @@
 }
 
 #[gtest]
-fn each_fleet_has_a_greater_version_than_the_one_before() {
+fn each_fleet_has_a_greater_version_than_the_previous_one() {
     let mut state = state();
     let first = state.build_fleet().expect("a fleet").version;
     let second = state.build_fleet().expect("a fleet").version;
     expect_that!(second, gt(first));
 }
 
-/// Each row: when the platform came back, if it was away; when the entry vanished, both in
-/// milliseconds; whether the server was leaving; then until when it is kept.
+/// Each row holds when the platform came back after an outage, if there was one; when the server
+/// was no longer listed; whether it was leaving; and until when it is kept. Times are in
+/// milliseconds.
 #[gtest]
-fn a_vanished_entry_is_kept_only_where_it_may_have_lapsed() {
+fn an_unlisted_server_is_kept_only_after_an_outage() {
     let rows = [
         (None, 5_000, false, None),
         (Some(5_000), 5_010, false, Some(7_000)),
@@ -74,31 +75,35 @@
         (Some(5_000), 7_000, false, None),
         (Some(5_000), 5_010, true, None),
     ];
-    for (back, at, leaving, kept) in rows {
+    for (reconnected, at, leaving, kept) in rows {
         let mut state = state();
-        state.update_server(entry("s", leaving));
-        let back = back.map(Timestamp::from_millis);
-        state.remove_server(&ServerId::new("s"), back, Timestamp::from_millis(at));
+        state.update_server(server("s", leaving));
+        let reconnected = reconnected.map(Timestamp::from_millis);
+        state.remove_server(&ServerId::new("s"), reconnected, Timestamp::from_millis(at));
         let until = kept.map(Timestamp::from_millis);
-        expect_that!(state.next_wakeup(), eq(until), "{back:?} {at} {leaving}");
-        expect_that!(listed(&mut state).is_empty(), eq(kept.is_none()));
+        expect_that!(
+            state.next_wakeup(),
+            eq(until),
+            "{reconnected:?} {at} {leaving}"
+        );
+        expect_that!(server_names(&mut state).is_empty(), eq(kept.is_none()));
     }
 }
 
 #[gtest]
-fn a_lapsed_entry_that_does_not_come_back_is_gone() {
-    let (back, now) = (Timestamp::from_millis(5_000), Timestamp::from_millis(5_010));
+fn a_missing_server_that_is_not_listed_again_is_removed() {
+    let (reconnected, now) = (Timestamp::from_millis(5_000), Timestamp::from_millis(5_010));
     let mut state = state();
-    state.update_server(entry("s", false));
-    state.update_server(entry("t", false));
-    state.set_servers(Vec::new(), Some(back), now);
-    state.update_server(entry("t", false));
-    expect_that!(state.remove_expired(back + LAPSE), eq(true));
-    expect_that!(listed(&mut state), elements_are![eq("t")]);
+    state.update_server(server("s", false));
+    state.update_server(server("t", false));
+    state.set_servers(Vec::new(), Some(reconnected), now);
+    state.update_server(server("t", false));
+    expect_that!(state.remove_expired(reconnected + RELIST_TIMEOUT), eq(true));
+    expect_that!(server_names(&mut state), elements_are![eq("t")]);
 }
 
 #[gtest]
-fn a_server_with_newer_weights_than_were_heard_of_is_not_brought_back() {
+fn a_server_with_newer_weights_than_named_keeps_them() {
     let mut state = SiteState::new(Vec::new(), Duration::ZERO);
     let service = SiteService {
         id: ServiceId::new("orders"),
@@ -110,7 +115,7 @@
         services: vec![service],
         ..document(4)
     });
-    let mut newer = entry("s", false);
+    let mut newer = server("s", false);
     newer.weights = Some(WeightsVersion::new(3));
     state.update_server(newer);
     let named = NamedWeights {
@@ -141,7 +146,7 @@
 }
 
 #[gtest]
-fn the_longest_prefix_of_the_host_takes_a_path() {
+fn the_longest_matching_prefix_of_the_host_is_chosen() {
     let mut table = RouteTable::new();
     for prefix in ["/a/", "/a/b/c/", "/a/b/"] {
         table.insert(route("one", prefix, &[("orders", 1)]));
@@ -163,7 +168,7 @@
 }
 
 #[gtest]
-fn a_split_route_gives_each_service_its_weight() {
+fn a_split_route_distributes_requests_by_weight() {
     let route = route("one", "/", &[("old", 3), ("new", 1), ("off", 0)]);
     let names = (0..400).map(|draw| route.choose_service(draw).expect("a service").as_str());
     let names: Vec<&str> = names.collect();
@@ -180,17 +185,17 @@
     expect_that!(route("one", "/", &[]).choose_service(5), none());
 }
 
-/// A process that starts finds weights 2 named, and the server still has weights 1.
+/// A process that starts finds that weights 2 are named while the server still has weights 1.
 #[gtest]
-fn older_weights_answer_for_a_while_after_a_start() {
+fn older_weights_may_serve_for_a_grace_period_after_a_start() {
     let grace = Duration::from_secs(6);
     let start = Timestamp::from_millis(3_600_000);
-    for (settle, after, answers) in [
+    for (settle, after, allowed_then) in [
         (0, 0, false),
         (2_000, 0, true),
         (2_000, 1_999, true),
         (2_000, 2_000, false),
-        // Never longer than after a name that was heard.
+        // No longer than if the naming itself had been observed.
         (6_000, 6_000, false),
     ] {
         let state = SiteState::new(Vec::new(), grace);
@@ -202,6 +207,6 @@
         };
         let now = start + Duration::from_millis(after);
         let allowed = rollout.allows(WeightsVersion::new(1), now);
-        expect_that!(allowed, eq(answers), "{settle} {after}");
+        expect_that!(allowed, eq(allowed_then), "{settle} {after}");
     }
 }
--- a/azureway-core/tests/watch_schedule.rs
+++ b/azureway-core/tests/watch_schedule.rs
@@ -1,38 +1,41 @@
-//! When an entry asks the platform, and for how long it lets itself be kept waiting.
+//! The schedule of an entry's calls to the platform, and their poll timeouts.
 
 use std::time::Duration;
 
 use azureway_core::prelude::*;
 use googletest::prelude::*;
 
-/// How long a watch is kept that has no news.
-const WAIT: Duration = Duration::from_secs(2);
-/// The longest wait after a failure.
-const CAP: Duration = Duration::from_millis(500);
+/// How long a watch is held open if nothing changes.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest delay after a failure.
+const BACKOFF_CAP: Duration = Duration::from_millis(500);
 const START: Timestamp = Timestamp::from_millis(3_600_000);
 
-fn plan() -> WatchSchedule {
-    let mut plan = WatchSchedule::new(7).with_timing(WAIT, Duration::ZERO, CAP);
-    plan.record_success(5, START);
-    plan
+fn schedule() -> WatchSchedule {
+    let mut schedule = WatchSchedule::new(7).with_timing(POLL_TIMEOUT, Duration::ZERO, BACKOFF_CAP);
+    schedule.record_success(5, START);
+    schedule
 }
 
 #[gtest]
-fn a_platform_that_answers_may_keep_a_watch() {
-    expect_that!(plan().next(START), eq(WatchStep::Watch(5, WAIT)));
+fn watches_are_held_open_after_a_success() {
+    expect_that!(
+        schedule().next(START),
+        eq(WatchStep::Watch(5, POLL_TIMEOUT))
+    );
 }
 
-/// A call that a silent platform took in ends with its limit, also if the platform is back
-/// meanwhile: a change that it then tells must not wait for the limit of a watch.
+/// A call that a failing platform accepted ends only at its timeout, even if the platform has
+/// recovered meanwhile. Changes after the recovery must not wait for the timeout of a long watch.
 #[gtest]
-fn a_platform_that_failed_is_not_let_keep_a_call() {
-    let mut plan = plan();
+fn watches_are_not_held_open_after_a_failure() {
+    let mut schedule = schedule();
     let mut now = START;
     for _ in 0..6 {
-        plan.record_failure(ErrorKind::Unavailable, now);
-        now = now + CAP;
-        expect_that!(plan.next(now), eq(WatchStep::Watch(5, Duration::ZERO)));
+        schedule.record_failure(ErrorKind::Unavailable, now);
+        now = now + BACKOFF_CAP;
+        expect_that!(schedule.next(now), eq(WatchStep::Watch(5, Duration::ZERO)));
     }
-    plan.record_success(6, now);
-    expect_that!(plan.next(now), eq(WatchStep::Watch(6, WAIT)));
+    schedule.record_success(6, now);
+    expect_that!(schedule.next(now), eq(WatchStep::Watch(6, POLL_TIMEOUT)));
 }
