--- a/azureway-core/src/fleet/server_state.rs
+++ b/azureway-core/src/fleet/server_state.rs
@@ -258,15 +258,15 @@
         }
     }
 
-    /// Returns whether this entry may send one more request of `rank`. With `has_credit`, a
+    /// Returns whether this entry may send one more request of `rank`. With `use_reserved`, a
     /// drafting request may use the slots that are otherwise reserved for urgent ones.
-    pub fn has_capacity(&self, rank: Rank, has_credit: bool, now: Timestamp) -> bool {
+    pub fn has_capacity(&self, rank: Rank, use_reserved: bool, now: Timestamp) -> bool {
         let reserve = self.server.slots * URGENT_RESERVE / 100;
         // The server runs queued urgent requests before the drafting requests of other entries.
         let extra = if rank == Rank::Urgent { reserve } else { 0 };
         let allowed = self.share.allows(self.in_flight(), extra, now);
         let reserved = match rank {
-            Rank::Drafting if !has_credit => reserve,
+            Rank::Drafting if !use_reserved => reserve,
             Rank::Drafting | Rank::Urgent => 0,
         };
         allowed && (reserved == 0 || self.load(now) + reserved < self.server.slots)
--- a/azureway-core/tests/cache.rs
+++ b/azureway-core/tests/cache.rs
@@ -1,4 +1,4 @@
-//! The identity of cached blocks and the index.
+//! Tests of block keys and of the cache index.
 
 mod support;
 
@@ -11,10 +11,15 @@
     BlockChain::new(salt, levels.iter().map(|l| l.as_bytes()))
 }
 
-fn update<'a>(server: &'a ServerId, life: u64, first: u64, ops: &'a [CacheOp]) -> CacheUpdate<'a> {
+fn update<'a>(
+    server: &'a ServerId,
+    incarnation: u64,
+    first: u64,
+    ops: &'a [CacheOp],
+) -> CacheUpdate<'a> {
     CacheUpdate {
         server,
-        incarnation: Incarnation::new(life),
+        incarnation: Incarnation::new(incarnation),
         first,
         snapshot: false,
         ops,
@@ -33,7 +38,7 @@
 }
 
 #[gtest]
-fn another_account_or_other_weights_share_nothing() {
+fn accounts_and_weights_do_not_share_blocks() {
     let base = chain("a", 1, &["house"]);
     expect_that!(
         chain("b", 1, &["house"]).blocks()[0].key,
@@ -46,23 +51,23 @@
 }
 
 #[gtest]
-fn entries_of_an_earlier_incarnation_are_unreachable() {
+fn records_of_an_earlier_incarnation_are_invalid() {
     let (mut index, server) = (CacheIndex::new(), ServerId::new("engine-1"));
     let prompt = chain("a", 1, &["house"]);
     let ops = [CacheOp::Stored(prompt.blocks()[0].key)];
     expect_that!(index.update(&update(&server, 1, 0, &ops)), eq(false));
-    let held = |i: &mut CacheIndex, life| {
-        i.cached_tokens(&server, Incarnation::new(life), prompt.blocks())
+    let cached = |i: &mut CacheIndex, incarnation| {
+        i.cached_tokens(&server, Incarnation::new(incarnation), prompt.blocks())
     };
-    expect_that!(held(&mut index, 1), eq(prompt.tokens()));
-    expect_that!(held(&mut index, 2), eq(TokenCount::ZERO));
+    expect_that!(cached(&mut index, 1), eq(prompt.tokens()));
+    expect_that!(cached(&mut index, 2), eq(TokenCount::ZERO));
     index.update(&update(&server, 2, 0, &[]));
     index.update(&update(&server, 1, 1, &ops));
-    expect_that!(held(&mut index, 2), eq(TokenCount::ZERO));
+    expect_that!(cached(&mut index, 2), eq(TokenCount::ZERO));
 }
 
 #[gtest]
-fn a_gap_in_the_events_is_noticed_and_doubled_events_are_not() {
+fn event_gaps_are_detected_and_repeated_events_are_ignored() {
     let (mut index, server) = (CacheIndex::new(), ServerId::new("engine-1"));
     let prompt = chain("a", 1, &["house", "shop"]);
     let ops: Vec<_> = prompt
@@ -76,7 +81,7 @@
 }
 
 #[gtest]
-fn a_full_index_keeps_what_is_looked_up_and_drops_what_is_not() {
+fn a_full_index_evicts_only_blocks_that_are_not_looked_up() {
     let (mut index, server) = (CacheIndex::new().with_bound(4), ServerId::new("engine-1"));
     let prompt = chain("a", 1, &["house", "shop"]);
     let hot: Vec<_> = prompt
@@ -88,28 +93,29 @@
     for number in 0..64_u64 {
         let cold = [CacheOp::Stored(BlockKey::new(u128::from(number)))];
         index.update(&update(&server, 1, 2 + number, &cold));
-        let held = index.cached_tokens(&server, Incarnation::new(1), prompt.blocks());
-        expect_that!(held, eq(prompt.tokens()));
+        let cached = index.cached_tokens(&server, Incarnation::new(1), prompt.blocks());
+        expect_that!(cached, eq(prompt.tokens()));
         expect_that!(index.len(), le(4));
     }
 }
 
 #[gtest]
-fn a_server_that_is_forgotten_holds_nothing_until_it_tells_again() {
+fn an_invalidated_server_has_no_blocks_until_its_next_snapshot() {
     let (mut index, server) = (CacheIndex::new(), ServerId::new("engine-1"));
     let prompt = chain("a", 1, &["house"]);
     let ops = [CacheOp::Stored(prompt.blocks()[0].key)];
-    let held = |i: &mut CacheIndex| i.cached_tokens(&server, Incarnation::new(1), prompt.blocks());
+    let cached =
+        |i: &mut CacheIndex| i.cached_tokens(&server, Incarnation::new(1), prompt.blocks());
     index.update(&update(&server, 1, 0, &ops));
     index.invalidate(&server);
-    expect_that!(held(&mut index), eq(TokenCount::ZERO));
+    expect_that!(cached(&mut index), eq(TokenCount::ZERO));
     expect_that!(index.is_complete(&server, Incarnation::new(1)), eq(false));
     index.assume_cached(&server, Incarnation::new(1), prompt.blocks());
-    expect_that!(held(&mut index), eq(TokenCount::ZERO));
+    expect_that!(cached(&mut index), eq(TokenCount::ZERO));
     let snapshot = CacheUpdate {
         snapshot: true,
         ..update(&server, 1, 9, &ops)
     };
     expect_that!(index.update(&snapshot), eq(false));
-    expect_that!(held(&mut index), eq(prompt.tokens()));
+    expect_that!(cached(&mut index), eq(prompt.tokens()));
 }
--- a/azureway-core/tests/explain.rs
+++ b/azureway-core/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Explanations: where a request would go, and why not elsewhere.
+//! Tests of route explanations and of the router overview.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use support::{Bench, failure, fleet, orders};
 
-/// Returns the chosen server and the obstacles of the others, in the order of their names.
+/// Returns the chosen server and the obstacles of the others, in the order of server names.
 fn explain(bench: &mut Bench, request: &Request) -> (Option<ServerId>, Vec<&'static str>) {
     let options = bench.router.explain(request, bench.now);
     let options = options.expect("the service exists");
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn an_explanation_names_the_server_that_the_request_then_gets() {
+fn explain_names_the_server_that_the_request_is_then_sent_to() {
     let mut bench = Bench::new(5, 4);
     for number in 0..40 {
         let levels = ["house", ["shop a", "shop b", "shop c"][number % 3]];
@@ -27,13 +27,13 @@
         expect_that!(explain(&mut bench, &request).0, eq(&chosen));
         expect_that!(bench.router.active(), eq(active));
         let sent = bench.tell(Event::Arrived(&request));
-        let order = orders(&sent).first().map(|o| o.server.clone());
-        expect_that!(order, eq(&chosen), "request {number}");
+        let dispatch = orders(&sent).first().map(|o| o.server.clone());
+        expect_that!(dispatch, eq(&chosen), "request {number}");
     }
 }
 
 #[gtest]
-fn every_obstacle_is_named() {
+fn explain_names_the_obstacle_of_each_server() {
     let mut bench = Bench::new(4, 1);
     let request = bench.request("small", &["house"]);
     let first = bench.tell(Event::Arrived(&request));
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn servers_with_other_weights_and_farther_ones_are_told_apart() {
+fn explain_distinguishes_other_weights_from_distance() {
     let mut bench = Bench::new(3, 4);
     let mut spread = fleet(3, 4).with_version(ConfigVersion::new(2));
     let far = spread.servers.get_mut("engine-3").expect("a server");
@@ -75,7 +75,7 @@
 }
 
 #[gtest]
-fn the_overview_counts_what_waits_and_what_is_in_flight() {
+fn the_overview_counts_queued_and_in_flight_requests() {
     let mut bench = Bench::new(1, 1);
     for _ in 0..3 {
         let request = bench.request("small", &["house"]);
@@ -99,8 +99,8 @@
     };
     expect_that!(standing(&bench), eq((0, 0)));
     for counts in [(1, 0), (0, 1)] {
-        let order = orders(&sent)[0].clone();
-        let broken = failure(&order, FailureKind::Broken, SendState::MaybeRun, 0);
+        let dispatch = orders(&sent)[0].clone();
+        let broken = failure(&dispatch, FailureKind::Broken, SendState::MaybeRun, 0);
         sent = bench.tell(Event::Failed(&broken));
         expect_that!(standing(&bench), eq(counts));
     }
--- a/azureway-core/tests/routing/main.rs
+++ b/azureway-core/tests/routing/main.rs
@@ -1,4 +1,5 @@
-//! Cached blocks over two entries and two engines: the table of faults, and faults in pairs.
+//! Routing by cached blocks with two entries and two engines: the fault table, and random pairs of
+//! faults.
 
 mod engine;
 mod world;
@@ -9,13 +10,13 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use world::World;
 
-/// The table of faults.
+/// The fault table.
 const TABLE: &str = include_str!("../../testdata/routing.txt");
-/// The seed of the drawn pairs.
+/// The seed of the random pairs.
 const SEED: [u8; 32] = *b"azureway routing, first seed    ";
-/// The drawn pairs of faults.
+/// The number of random pairs of faults.
 const PAIRS: u32 = 400;
-/// The faults of the table, as steps, from which pairs are drawn.
+/// The faults of the table, as steps, from which the pairs are drawn.
 const FAULTS: [&str; 16] = [
     "crash 1",
     "crash 2",
@@ -34,7 +35,7 @@
     "cut b",
     "wait 2001",
 ];
-/// What goes on between faults.
+/// The steps between faults.
 const WORK: [&str; 12] = [
     "send a x urgent h.s",
     "send a y urgent h.s",
@@ -61,24 +62,24 @@
             world.send(entry(1), words[2], rank, words[4]);
         }
         "run" => world.run(engine(1)),
-        "news" => world.news(engine(1), entry(2), false, false),
-        "lose" => world.news(engine(1), entry(2), false, true),
-        "whole" => world.news(engine(1), entry(2), true, false),
+        "news" => world.deliver(engine(1), entry(2), false, false),
+        "lose" => world.deliver(engine(1), entry(2), false, true),
+        "whole" => world.deliver(engine(1), entry(2), true, false),
         "crash" => world.crash(engine(1)),
         "replace" => world.replace(engine(1), false),
         "move" => world.replace(engine(1), true),
-        "weights" => world.weights(number(1)),
+        "weights" => world.set_weights(number(1)),
         "load" => world.engines[engine(1)].load(WeightsVersion::new(number(2))),
-        "alone" => world.alone(),
+        "alone" => world.remove_engine(),
         "restart" => world.restart(entry(1)),
-        "cut" => world.cut(entry(1)),
+        "cut" => world.partition(entry(1)),
         "wait" => world.wait(number(1)),
         word => panic!("unknown step {word}"),
     }
 }
 
 #[gtest]
-fn every_row_of_the_table_holds() {
+fn fault_table_gives_the_expected_results() {
     let rows = TABLE.lines().filter(|l| !l.starts_with('#'));
     for row in rows {
         let columns: Vec<&str> = row.split('|').map(str::trim).collect();
@@ -86,13 +87,13 @@
         for step in columns[2].split(';') {
             apply(&mut world, step.trim());
         }
-        let seen: Vec<&str> = world.seen.values().map(String::as_str).collect();
-        expect_that!(seen.join(" "), eq(columns[3]), "{row}");
+        let results: Vec<&str> = world.results.values().map(String::as_str).collect();
+        expect_that!(results.join(" "), eq(columns[3]), "{row}");
     }
 }
 
 #[gtest]
-fn no_pair_of_faults_breaks_a_promise() {
+fn pairs_of_faults_keep_the_invariants() {
     let work = prop::collection::vec(0..WORK.len(), 4..24);
     let faults = (0..FAULTS.len(), 0..FAULTS.len());
     let config = Config {
@@ -109,13 +110,13 @@
         two.iter().for_each(|w| apply(&mut world, WORK[*w]));
         apply(&mut world, FAULTS[faults.1]);
         three.iter().for_each(|w| apply(&mut world, WORK[*w]));
-        // What waits in the end has an outcome once its deadline has passed.
+        // Requests that still wait have an outcome once their deadline has passed.
         for _ in 0..4 {
             (0..2).for_each(|e| world.run(e));
             world.wait(10_001);
         }
-        prop_assert!(world.seen.values().all(|s| !s.is_empty()));
+        prop_assert!(world.results.values().all(|s| !s.is_empty()));
         Ok(())
     });
-    outcome.expect("no pair of faults breaks a promise");
+    outcome.expect("every pair of faults keeps the invariants");
 }
--- a/azureway-core/tests/routing/world.rs
+++ b/azureway-core/tests/routing/world.rs
@@ -1,4 +1,4 @@
-//! Two entries, two engines, and what the requests saw.
+//! A simulation of two entries and two engines that records the result of each request.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
 
 use std::collections::BTreeMap;
@@ -8,25 +8,25 @@
 
 use super::engine::Engine;
 
-/// The slots of an engine.
+/// The number of slots of an engine.
 pub const SLOTS: u32 = 4;
-/// The bytes of a level, a block of ten tokens.
+/// The size of a prompt level in bytes: one block of ten tokens.
 const LEVEL: usize = 40;
 /// The zones of the entries and of the engines.
 const ZONES: [&str; 2] = ["a", "b"];
 
-/// Two entries, two engines, and what the requests saw.
+/// A simulation of two entries and two engines that records the result of each request.
 pub struct World {
     pub now: Timestamp,
     pub engines: Vec<Engine>,
-    pub seen: BTreeMap<RequestId, String>,
-    pub ran: BTreeMap<RequestId, u32>,
+    pub results: BTreeMap<RequestId, String>,
+    pub runs: BTreeMap<RequestId, u32>,
     entries: Vec<Router<PrefixLoad>>,
     requests: BTreeMap<RequestId, Request>,
-    cut: [bool; 2],
+    partitioned: [bool; 2],
     fleet: Fleet,
-    /// The requests that entries counted, or lost, before they started anew.
-    past: u64,
+    /// The requests that entries had counted, or had pending, when they restarted.
+    previous: u64,
 }
 
 impl World {
@@ -35,13 +35,13 @@
         let mut world = Self {
             now: Timestamp::from_millis(1),
             engines: engines.collect(),
-            seen: BTreeMap::new(),
-            ran: BTreeMap::new(),
+            results: BTreeMap::new(),
+            runs: BTreeMap::new(),
             entries: ZONES.map(entry).into(),
             requests: BTreeMap::new(),
-            cut: [false; 2],
+            partitioned: [false; 2],
             fleet: fleet(),
-            past: 0,
+            previous: 0,
         };
         world.configure();
         world
@@ -71,103 +71,105 @@
             idempotency_key: None,
         };
         self.requests.insert(request.id, request.clone());
-        self.seen.insert(request.id, String::new());
-        self.tell(entry, Event::Arrived(&request));
+        self.results.insert(request.id, String::new());
+        self.send_event(entry, Event::Arrived(&request));
     }
 
-    /// Lets an engine run everything that it was sent.
-    pub fn run(&mut self, place: usize) {
-        for (entry, order, request) in std::mem::take(&mut self.engines[place].held) {
-            let engine = &mut self.engines[place];
-            if !engine.takes(&order) {
-                self.note(order.attempt.id, "!");
-                self.fail(entry, &order, FailureKind::Mismatch, SendState::Rejected);
+    /// Makes an engine run all its requests in flight.
+    pub fn run(&mut self, number: usize) {
+        for (entry, dispatch, request) in std::mem::take(&mut self.engines[number].in_flight) {
+            let engine = &mut self.engines[number];
+            if !engine.accepts(&dispatch) {
+                self.append(dispatch.attempt.id, "!");
+                self.fail(entry, &dispatch, FailureKind::Mismatch, SendState::Rejected);
                 continue;
             }
-            let used = engine.run(&order, &request);
-            *self.ran.entry(request.id).or_default() += 1;
-            self.note(order.attempt.id, &used.to_string());
+            let used = engine.run(&dispatch, &request);
+            *self.runs.entry(request.id).or_default() += 1;
+            self.append(dispatch.attempt.id, &used.to_string());
             let finish = Finish {
-                attempt: order.attempt,
+                attempt: dispatch.attempt,
                 cached: TokenCount::new(used as u64 * 10),
                 output: TokenCount::new(10),
             };
-            self.tell(entry, Event::Started(order.attempt));
-            self.tell(entry, Event::Finished(&finish));
+            self.send_event(entry, Event::Started(dispatch.attempt));
+            self.send_event(entry, Event::Finished(&finish));
         }
     }
 
-    /// Lets an engine's news or its whole content reach an entry, unless `lost`.
-    pub fn news(&mut self, place: usize, entry: usize, whole: bool, lost: bool) {
-        let engine = &mut self.engines[place];
+    /// Delivers an engine's load report and cache events, or a snapshot of its cache, to an entry,
+    /// unless `lost`.
+    pub fn deliver(&mut self, number: usize, entry: usize, snapshot: bool, lost: bool) {
+        let engine = &mut self.engines[number];
         let (report, id) = (engine.report(false), engine.id.clone());
-        let (first, ops) = if whole {
-            engine.whole()
+        let (first, ops) = if snapshot {
+            engine.snapshot()
         } else {
-            engine.news(entry)
+            engine.undelivered(entry)
         };
-        if lost || (self.cut[entry] && place != entry) {
+        if lost || (self.partitioned[entry] && number != entry) {
             return;
         }
         let update = CacheUpdate {
             server: &id,
             incarnation: report.incarnation,
             first,
-            snapshot: whole,
+            snapshot,
             ops: &ops,
         };
-        self.tell(entry, Event::Load(&report));
-        self.tell(entry, Event::Cache(&update));
+        self.send_event(entry, Event::Load(&report));
+        self.send_event(entry, Event::Cache(&update));
     }
 
-    pub fn crash(&mut self, place: usize) {
-        let life = self.engines[place].life + 1;
-        let broken = self.engines[place].restart(life);
-        for (entry, order, request) in broken {
-            *self.ran.entry(request.id).or_default() += 1;
-            self.note(order.attempt.id, "~");
-            self.fail(entry, &order, FailureKind::Broken, SendState::MaybeRun);
+    pub fn crash(&mut self, number: usize) {
+        let incarnation = self.engines[number].incarnation + 1;
+        let interrupted = self.engines[number].restart(incarnation);
+        for (entry, dispatch, request) in interrupted {
+            *self.runs.entry(request.id).or_default() += 1;
+            self.append(dispatch.attempt.id, "~");
+            self.fail(entry, &dispatch, FailureKind::Broken, SendState::MaybeRun);
         }
     }
 
-    /// Puts another process in the place of an engine, under the same life number.
-    pub fn replace(&mut self, place: usize, address: bool) {
-        let life = self.engines[place].life;
-        self.engines[place].restart(life);
+    /// Replaces an engine by another process with the same incarnation number. With `address`, the
+    /// configuration also gives the engine another address.
+    pub fn replace(&mut self, number: usize, address: bool) {
+        let incarnation = self.engines[number].incarnation;
+        self.engines[number].restart(incarnation);
         if address {
-            let id = self.engines[place].id.clone();
+            let id = self.engines[number].id.clone();
             let server = self.fleet.servers.get_mut(&id).expect("a server");
             server.address.set_port(server.address.port() + 100);
             self.configure();
         }
     }
 
-    /// Starts an entry anew: its requests end without an answer.
+    /// Restarts an entry: its requests end without an answer.
     pub fn restart(&mut self, number: usize) {
         let fresh = entry(ZONES[number]);
         let old = std::mem::replace(&mut self.entries[number], fresh);
-        self.past += old.tally().total() + old.tally().pending() as u64;
+        self.previous += old.tally().total() + old.tally().pending() as u64;
         for engine in &mut self.engines {
-            engine.held.retain(|(e, _, _)| *e != number);
+            engine.in_flight.retain(|(e, _, _)| *e != number);
         }
         let ids = RequestId::new(number as u64, 0)..RequestId::new(number as u64 + 1, 0);
-        for (_, seen) in self.seen.range_mut(ids) {
-            seen.push(';');
+        for (_, result) in self.results.range_mut(ids) {
+            result.push(';');
         }
         let fleet = self.fleet.clone();
-        self.tell(number, Event::Configured(&fleet));
+        self.send_event(number, Event::Configured(&fleet));
     }
 
-    pub fn cut(&mut self, entry: usize) {
-        self.cut[entry] = true;
+    pub fn partition(&mut self, entry: usize) {
+        self.partitioned[entry] = true;
     }
 
-    pub fn alone(&mut self) {
+    pub fn remove_engine(&mut self) {
         self.fleet.servers.pop_last();
         self.configure();
     }
 
-    pub fn weights(&mut self, weights: u64) {
+    pub fn set_weights(&mut self, weights: u64) {
         let service = self.fleet.services.values_mut().next().expect("one");
         service.weights = WeightsVersion::new(weights);
         self.configure();
@@ -175,79 +177,95 @@
 
     pub fn wait(&mut self, millis: u64) {
         self.now = self.now + Duration::from_millis(millis);
-        (0..self.entries.len()).for_each(|e| self.tell(e, Event::Tick));
+        (0..self.entries.len()).for_each(|e| self.send_event(e, Event::Tick));
     }
 
-    /// Checks what must hold after every event.
+    /// Checks the invariants that hold after every event.
     pub fn check(&self) {
         let counted: u64 = self.entries.iter().map(|e| e.tally().total()).sum();
         let open: usize = self.entries.iter().map(|e| e.tally().pending()).sum();
         let arrived = self.requests.len();
         assert_eq!(
-            (self.past + counted) as usize + open,
+            (self.previous + counted) as usize + open,
             arrived,
-            "each is counted once"
+            "every request is counted once"
         );
         let active: usize = self.entries.iter().map(Router::active).sum();
-        assert_eq!(open, active, "what is not counted waits or is in flight");
+        assert_eq!(
+            open, active,
+            "every uncounted request is queued or in flight"
+        );
         for state in self.entries.iter().flat_map(|e| e.servers().iter()) {
-            assert!(state.in_flight() <= SLOTS, "an entry overfills an engine");
+            assert!(
+                state.in_flight() <= SLOTS,
+                "an entry exceeds the slots of an engine"
+            );
         }
     }
 
     fn configure(&mut self) {
         self.fleet.version = self.fleet.version.next();
         let fleet = self.fleet.clone();
-        (0..self.entries.len()).for_each(|e| self.tell(e, Event::Configured(&fleet)));
+        (0..self.entries.len()).for_each(|e| self.send_event(e, Event::Configured(&fleet)));
     }
 
-    fn fail(&mut self, entry: usize, order: &Dispatch, kind: FailureKind, sent: SendState) {
+    fn fail(&mut self, entry: usize, dispatch: &Dispatch, kind: FailureKind, sent: SendState) {
         let failure = Failure {
-            attempt: order.attempt,
+            attempt: dispatch.attempt,
             kind,
             sent,
             position: StreamPosition::ZERO,
         };
-        self.tell(entry, Event::Failed(&failure));
+        self.send_event(entry, Event::Failed(&failure));
     }
 
-    fn tell(&mut self, entry: usize, event: Event<'_>) {
+    fn send_event(&mut self, entry: usize, event: Event<'_>) {
         let mut out = Vec::new();
         self.entries[entry].handle(event, self.now, &mut out);
         for action in out {
-            self.act(entry, action);
+            self.execute(entry, action);
         }
         self.check();
     }
 
-    fn act(&mut self, entry: usize, action: Action) {
+    fn execute(&mut self, entry: usize, action: Action) {
         match action {
-            Action::Dispatch(order) => self.dispatch(entry, order),
+            Action::Dispatch(dispatch) => self.dispatch(entry, dispatch),
             Action::Refuse(id, refusal) => {
-                let ran = self.ran.contains_key(&id);
-                assert!(!(refusal.not_run && ran), "a false not run");
+                let ran = self.runs.contains_key(&id);
+                assert!(
+                    !(refusal.not_run && ran),
+                    "a request that ran is refused as not run"
+                );
                 let mark = if refusal.not_run { "+" } else { "" };
-                self.note(id, &format!("{}{mark}", refusal.reason.code()));
+                self.append(id, &format!("{}{mark}", refusal.reason.code()));
             }
             _ => {}
         }
     }
 
-    fn dispatch(&mut self, entry: usize, order: Dispatch) {
-        let id = order.attempt.id;
-        let believed = order.cached.get() / 10;
-        let place = self.engines.iter().position(|e| e.id == order.server);
-        let place = place.expect("an engine");
-        if self.cut[entry] && place != entry {
-            return self.fail(entry, &order, FailureKind::Unreachable, SendState::Unsent);
+    fn dispatch(&mut self, entry: usize, dispatch: Dispatch) {
+        let id = dispatch.attempt.id;
+        let expected = dispatch.cached.get() / 10;
+        let number = self.engines.iter().position(|e| e.id == dispatch.server);
+        let number = number.expect("an engine");
+        if self.partitioned[entry] && number != entry {
+            return self.fail(
+                entry,
+                &dispatch,
+                FailureKind::Unreachable,
+                SendState::Unsent,
+            );
         }
-        self.note(id, &format!("{believed}/"));
+        self.append(id, &format!("{expected}/"));
         let request = self.requests[&id].clone();
-        self.engines[place].held.push((entry, order, request));
+        self.engines[number]
+            .in_flight
+            .push((entry, dispatch, request));
     }
 
-    fn note(&mut self, id: RequestId, text: &str) {
-        self.seen.entry(id).or_default().push_str(text);
+    fn append(&mut self, id: RequestId, text: &str) {
+        self.results.entry(id).or_default().push_str(text);
     }
 }
 
--- a/azureway-core/tests/sharing.rs
+++ b/azureway-core/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! What entries decide alike without a coordinator: limits, slots and the choice of servers.
+//! Tests of what entries share without a coordinator: account limits, slots and server choice.
 
 mod support;
 
@@ -12,11 +12,11 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use support::{Bench, orders};
 
-/// The seed of the drawn cases.
+/// The seed of the random cases.
 const SEED: [u8; 32] = *b"azureway sharing, first seed    ";
-/// The drawn cases.
+/// The number of random cases.
 const CASES: u32 = 400;
-/// The entries that share.
+/// The number of entries that share a limit.
 const ENTRIES: usize = 6;
 
 fn runner() -> TestRunner {
@@ -32,26 +32,31 @@
     InstanceId::new(&format!("entry-{number}"))
 }
 
-/// Lets entries tell one another their demand within their groups, and returns the sum of
-/// their parts of an account's limit.
-fn parts(shares: &mut [LimitShare], demands: &[u64], groups: &[bool], now: Timestamp) -> f64 {
+/// Exchanges the demands of the entries within each group, and returns the sum of their fractions
+/// of an account's limit.
+fn exchange_demands(
+    shares: &mut [LimitShare],
+    demands: &[u64],
+    groups: &[bool],
+    now: Timestamp,
+) -> f64 {
     let account = AccountId::new("x");
-    for speaker in 0..ENTRIES {
-        let rates = vec![(account.clone(), TokenRate::new(demands[speaker]))];
+    for sender in 0..ENTRIES {
+        let rates = vec![(account.clone(), TokenRate::new(demands[sender]))];
         let demand = Demand {
-            instance: instance(speaker),
+            instance: instance(sender),
             rates,
         };
-        for hearer in (0..ENTRIES).filter(|h| *h != speaker && groups[*h] == groups[speaker]) {
-            shares[hearer].record(&demand, now);
+        for receiver in (0..ENTRIES).filter(|r| *r != sender && groups[*r] == groups[sender]) {
+            shares[receiver].record(&demand, now);
         }
     }
-    let part = |(n, s): (usize, &LimitShare)| s.fraction(&account, demands[n] as f64, now);
-    shares.iter().enumerate().map(part).sum()
+    let fraction = |(n, s): (usize, &LimitShare)| s.fraction(&account, demands[n] as f64, now);
+    shares.iter().enumerate().map(fraction).sum()
 }
 
 #[gtest]
-fn the_parts_of_a_limit_stay_within_it_in_every_partition() {
+fn limit_fractions_sum_to_at_most_one_in_every_partition() {
     let demand = || prop::collection::vec(0..1_000_u64, ENTRIES);
     let groups = || prop::collection::vec(any::<bool>(), ENTRIES);
     let rounds = prop::collection::vec((demand(), groups()), 1..6);
@@ -61,10 +66,10 @@
         shares.iter_mut().for_each(|s| s.set_entries(entries));
         let mut now = Timestamp::ZERO;
         for (demands, groups) in rounds {
-            // What was heard before the partition changed no longer counts.
+            // Demands received before the partition changed have expired by now.
             now = now + Duration::from_secs(6);
-            let sum = parts(&mut shares, &demands, &groups, now);
-            prop_assert!(sum <= 1.0 + 1e-9, "the parts sum up to {sum}");
+            let sum = exchange_demands(&mut shares, &demands, &groups, now);
+            prop_assert!(sum <= 1.0 + 1e-9, "the fractions sum to {sum}");
         }
         Ok(())
     });
@@ -72,20 +77,21 @@
 }
 
 #[gtest]
-fn the_entry_that_is_asked_gets_most_of_a_limit() {
+fn the_entry_with_all_the_demand_gets_most_of_the_limit() {
     let mut shares = vec![LimitShare::new(); ENTRIES];
     let entries = u32::try_from(ENTRIES).expect("few");
     shares.iter_mut().for_each(|s| s.set_entries(entries));
     let mut demands = [0; ENTRIES];
     demands[0] = 1_000;
-    parts(&mut shares, &demands, &[true; ENTRIES], Timestamp::ZERO);
-    let part = shares[0].fraction(&AccountId::new("x"), 1_000.0, Timestamp::ZERO);
-    expect_that!(part, gt(0.75));
+    exchange_demands(&mut shares, &demands, &[true; ENTRIES], Timestamp::ZERO);
+    let fraction = shares[0].fraction(&AccountId::new("x"), 1_000.0, Timestamp::ZERO);
+    expect_that!(fraction, gt(0.75));
 }
 
-/// A server and the requests that each entry has there.
-fn report(flights: &[u32], slots: u32) -> LoadReport {
-    let all: u32 = flights.iter().sum();
+/// Returns the load report of a server with `slots` slots where the entries have `in_flight`
+/// requests each.
+fn report(in_flight: &[u32], slots: u32) -> LoadReport {
+    let all: u32 = in_flight.iter().sum();
     LoadReport {
         server: ServerId::new("engine-1"),
         incarnation: Incarnation::new(1),
@@ -98,28 +104,28 @@
 }
 
 #[gtest]
-fn entries_that_all_want_slots_come_to_equal_parts() {
+fn slot_shares_converge_to_equal_parts() {
     let case = (2..6_u32, 1..5_u32, prop::collection::vec(0..32_u32, 5));
     let outcome = runner().run(&case, |(entries, each, start)| {
         let slots = entries * each;
         let mut shares = vec![SlotShare::new(slots, entries); entries as usize];
         let start = start.iter().map(|f| f % (slots + 1));
-        let mut flights: Vec<u32> = start.take(entries as usize).collect();
-        flights.resize(entries as usize, 0);
-        // A report lags by the time between two of them.
-        let mut late = flights.clone();
+        let mut in_flight: Vec<u32> = start.take(entries as usize).collect();
+        in_flight.resize(entries as usize, 0);
+        // A report lags by one reporting interval.
+        let mut lagged = in_flight.clone();
         for round in 1..=40_u64 {
             let now = Timestamp::from_millis(round * 250);
-            let report = report(&late, slots);
-            late.clone_from(&flights);
-            for (share, own) in shares.iter_mut().zip(&mut flights) {
+            let report = report(&lagged, slots);
+            lagged.clone_from(&in_flight);
+            for (share, own) in shares.iter_mut().zip(&mut in_flight) {
                 share.apply_report(&report, *own, now);
-                // What is over the part ends; what is below it is filled.
+                // Requests above the share end; free slots below it are filled.
                 *own = share.limit(now);
                 prop_assert!(*own <= slots, "more than all slots");
             }
         }
-        prop_assert_eq!(flights, vec![each; entries as usize]);
+        prop_assert_eq!(in_flight, vec![each; entries as usize]);
         Ok::<(), TestCaseError>(())
     });
     outcome.expect("equal parts");
@@ -144,13 +150,13 @@
             *counts.entry(orders(&sent)[0].server.clone()).or_default() += 1;
         }
     }
-    // Sixteen requests for three servers: an even third, and half as much again at most.
+    // 16 requests on 3 servers: at most one and a half times an even share each.
     expect_that!(counts.values().max(), some(le(&8)));
     expect_that!(counts.len(), eq(3));
 }
 
 #[gtest]
-fn a_prefix_that_cools_down_keeps_its_replicas_for_a_while() {
+fn replicas_decay_slowly_after_a_prefix_becomes_idle() {
     let (mut scaler, prefix) = (ReplicaScaler::new(), PrefixKey::new(7));
     let now = Timestamp::from_millis(1);
     (0..32).for_each(|_| scaler.begin(prefix, now));
--- a/azureway-core/tests/weights.rs
+++ b/azureway-core/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Which weights answer while a service is brought to newer ones: the table of faults.
+//! Which weights version serves requests during a rollout: the fault table.
 
 mod support;
 
@@ -8,16 +8,16 @@
 use googletest::prelude::*;
 use support::{Bench, failure, orders};
 
-/// How long older weights may answer.
+/// The grace period in which older weights may serve requests.
 const GRACE: Duration = Duration::from_secs(6);
-/// The time of day at which cases begin: an hour after the clock's origin.
+/// The start time of each case: an hour after the clock's origin.
 const START: Timestamp = Timestamp::from_millis(3_600_000);
 
-/// A site with one server, and the router that serves it.
+/// A site with one server, and the router in front of it.
 struct Site {
     bench: Bench,
     state: SiteState,
-    life: u64,
+    incarnation: u64,
 }
 
 impl Site {
@@ -33,20 +33,21 @@
         let mut site = Self {
             bench,
             state,
-            life: 1,
+            incarnation: 1,
         };
         site.list(1);
         site
     }
 
     fn list(&mut self, weights: u64) {
-        self.state.update_server(entry(self.life, weights));
-        self.adopt();
+        self.state
+            .update_server(listed_server(self.incarnation, weights));
+        self.reconfigure();
     }
 
-    fn adopt(&mut self) {
+    fn reconfigure(&mut self) {
         let fleet = self.state.build_fleet().expect("a configuration");
-        // The bench's own first fleet has version 1.
+        // The initial fleet of the bench has version 1.
         let version = ConfigVersion::new(fleet.version.get() + 1);
         let fleet = fleet.with_version(version);
         self.bench.tell(Event::Configured(&fleet));
@@ -63,12 +64,12 @@
                 };
                 let since = self.bench.now.as_micros() - number(2) * 1_000;
                 self.state.add_named(named, Timestamp::from_micros(since));
-                self.adopt();
+                self.reconfigure();
             }
             "pass" => drop(self.bench.pass(Duration::from_millis(number(1)))),
             "list" => self.list(number(1)),
             "born" => {
-                self.life += 1;
+                self.incarnation += 1;
                 self.list(number(1));
             }
             "answer" => {
@@ -90,26 +91,27 @@
             "load" => self.load(number(1), number(2)),
             "loaded" => self.load(number(1), 0),
             "reject" => {
-                let order = self.ask().expect("the request is sent");
-                let failed = failure(&order, FailureKind::Busy, SendState::Rejected, 0);
+                let dispatch = self.submit().expect("the request is sent");
+                let failed = failure(&dispatch, FailureKind::Busy, SendState::Rejected, 0);
                 self.bench.tell(Event::Failed(&failed));
-                self.bench.tell(Event::CallerDisconnected(order.attempt.id));
+                self.bench
+                    .tell(Event::CallerDisconnected(dispatch.attempt.id));
             }
             word => panic!("unknown step {word}"),
         }
     }
 
     fn load(&mut self, weights: u64, millis: u64) {
-        let loading = LoadNotice {
+        let notice = LoadNotice {
             server: ServerId::new("s"),
             weights: WeightsVersion::new(weights),
             duration: Duration::from_millis(millis),
         };
-        self.bench.tell(Event::Loading(&loading));
+        self.bench.tell(Event::Loading(&notice));
     }
 
-    /// Lets a request arrive. Returns its order if it is sent at once.
-    fn ask(&mut self) -> Option<Dispatch> {
+    /// Submits a request. Returns its dispatch if it is sent at once.
+    fn submit(&mut self) -> Option<Dispatch> {
         let mut request = self.bench.request("", &["house"]);
         request.service = ServiceId::new("advice");
         request.rank = Rank::Drafting;
@@ -127,7 +129,7 @@
     }
 }
 
-fn entry(life: u64, weights: u64) -> ListedServer {
+fn listed_server(incarnation: u64, weights: u64) -> ListedServer {
     ListedServer {
         id: ServerId::new("s"),
         service: ServiceId::new("advice"),
@@ -135,13 +137,13 @@
         zone: ZoneId::new("a"),
         slots: 8,
         leaving: false,
-        incarnation: Incarnation::new(life),
+        incarnation: Incarnation::new(incarnation),
         weights: Some(WeightsVersion::new(weights)),
     }
 }
 
 #[gtest]
-fn weights_answer_as_the_table_says() {
+fn weights_table_gives_the_expected_versions() {
     for line in include_str!("../testdata/weights.txt").lines() {
         if line.starts_with('#') {
             continue;
@@ -152,8 +154,8 @@
         };
         let mut site = Site::new();
         script.split(';').for_each(|step| site.apply(step.trim()));
-        let sent = match site.ask() {
-            Some(order) => format!("sent {}", order.weights),
+        let sent = match site.submit() {
+            Some(dispatch) => format!("sent {}", dispatch.weights),
             None => "waits".to_owned(),
         };
         expect_that!(sent.as_str(), eq(expected), "{fault}");
