--- a/azureway-core/src/event/action.rs
+++ b/azureway-core/src/event/action.rs
@@ -1,4 +1,4 @@
-//! What the router wants done.
+//! The side effects that the router asks its driver to carry out.
 
 use super::Dispatch;
 use crate::claim::{ClaimCommand, ShortAnswer};
@@ -6,23 +6,24 @@
 use crate::member::ServerUpdate;
 use crate::quarantine::Strike;
 
-/// What the router wants done.
+/// A side effect that the router asks its driver to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a request to a backend server.
     Dispatch(Dispatch),
-    /// Tell the caller that the request is refused, or that its stream has ended early.
+    /// Answer the caller with a refusal, or end its stream early.
     Refuse(RequestId, Refusal),
-    /// Give the caller the answer of an earlier sending again.
+    /// Return to the caller the stored answer of an earlier request with the same key.
     ReplayAnswer(RequestId, ShortAnswer),
-    /// Ask the platform for a claim, or settle one. Each call must be followed by its news.
+    /// Create or close a claim at the platform. The driver must report the outcome of each
+    /// command with [`Event::Claim`](super::Event::Claim).
     Claim(ClaimCommand),
-    /// Stop a try.
+    /// Cancel an attempt.
     Cancel(Attempt),
-    /// Tell the other entry instances of a backend server.
+    /// Send a status change of a backend server to the other entry instances.
     BroadcastServer(ServerUpdate),
-    /// Tell the other entry instances of a strike.
+    /// Send a strike to the other entry instances.
     BroadcastStrike(Strike),
-    /// Ask a backend server for the whole content of its cache.
+    /// Request a snapshot of a backend server's cache.
     Resync(ServerId),
 }
--- a/azureway-core/src/event/dispatch.rs
+++ b/azureway-core/src/event/dispatch.rs
@@ -1,4 +1,4 @@
-//! An order to send a request to a backend server.
+//! The instruction to send a request to a backend server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,29 +8,31 @@
     Attempt, Incarnation, Rank, ServerId, StreamPosition, TokenCount, WeightsVersion,
 };
 
-/// An order to send a request to a backend server, with what is expected of it.
+/// An instruction to send a request to a backend server, with the state that the server is
+/// expected to be in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dispatch {
-    /// The try.
+    /// The attempt.
     pub attempt: Attempt,
-    /// The server.
+    /// The server to send to.
     pub server: ServerId,
-    /// The address that it serves on.
+    /// The address of the server.
     pub address: SocketAddr,
-    /// The rank, which the server honours as a priority.
+    /// The rank of the request, which the server uses as a priority.
     pub rank: Rank,
-    /// The salt of the blocks that the server may use.
+    /// The salt of the cache blocks that the server may use for the request.
     pub salt: Salt,
-    /// The incarnation that the server must have, if one is known.
+    /// The incarnation that the server must have, if it is known.
     pub incarnation: Option<Incarnation>,
     /// The weights version that the server must have loaded.
     pub weights: WeightsVersion,
-    /// The position to resume at.
+    /// The stream position to resume at, or zero for a new stream.
     pub position: StreamPosition,
-    /// The prompt tokens that the server is believed to hold.
+    /// The prompt tokens that the server is believed to have cached.
     pub cached: TokenCount,
-    /// A server that is believed to hold more of the prompt, to fetch it from.
+    /// The address of a server to fetch cached blocks from, if one is believed to hold more of
+    /// the prompt.
     pub fetch_from: Option<SocketAddr>,
-    /// The time to the first token that was estimated.
+    /// The estimated time to first token.
     pub expected_ttft: Duration,
 }
--- a/azureway-core/src/event/failure.rs
+++ b/azureway-core/src/event/failure.rs
@@ -1,23 +1,23 @@
-//! The bad end of a try.
+//! The failure of an attempt.
 
 use super::{FailureKind, SendState};
 use crate::domain::{Attempt, StreamPosition};
 
-/// The bad end of a try.
+/// The failure of an attempt, as the sender observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The try.
+    /// The attempt that failed.
     pub attempt: Attempt,
     /// How it failed.
     pub kind: FailureKind,
     /// Whether the server may have run the request.
     pub sent: SendState,
-    /// The position up to which the caller has the stream.
+    /// The stream position that the caller has received.
     pub position: StreamPosition,
 }
 
 impl Failure {
-    /// Tells whether the server itself said that it has no room.
+    /// Returns whether the server itself rejected the request for lack of capacity.
     pub fn is_capacity_rejection(&self) -> bool {
         self.kind == FailureKind::Busy && self.sent == SendState::Rejected
     }
--- a/azureway-core/src/event/failure_kind.rs
+++ b/azureway-core/src/event/failure_kind.rs
@@ -1,20 +1,20 @@
-//! How a try failed.
+//! The ways in which an attempt can fail.
 
-/// How a try failed.
+/// The way in which an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FailureKind {
     /// The server could not be reached.
     Unreachable,
-    /// The server refused: its incarnation or weights are not the expected ones.
+    /// The server rejected the request: its incarnation or weights differ from the expected ones.
     Mismatch,
-    /// The server refused: it has no room.
+    /// The server rejected the request for lack of capacity.
     Busy,
     /// The connection broke.
     Broken,
-    /// The connection went silent.
+    /// The connection delivered no data before its timeout.
     Silent,
-    /// The server answered with a failure of its own, which says nothing of its health.
+    /// The server answered with an error that says nothing about its health.
     Declined,
-    /// The server answered something that its interface does not allow, or an error.
+    /// The server answered with an error or violated its protocol.
     Faulty,
 }
--- a/azureway-core/src/event/finish.rs
+++ b/azureway-core/src/event/finish.rs
@@ -1,14 +1,14 @@
-//! The good end of a try.
+//! The successful end of an attempt.
 
 use crate::domain::{Attempt, TokenCount};
 
-/// The good end of a try.
+/// The successful end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Finish {
-    /// The try.
+    /// The attempt that completed.
     pub attempt: Attempt,
-    /// The prompt tokens that the server found in its cache.
+    /// The prompt tokens that the server reused from its cache.
     pub cached: TokenCount,
-    /// The tokens of the answer.
+    /// The generated tokens.
     pub output: TokenCount,
 }
--- a/azureway-core/src/event/input.rs
+++ b/azureway-core/src/event/input.rs
@@ -1,4 +1,4 @@
-//! What the router is told.
+//! The events that the router handles.
 
 use super::{Failure, Finish};
 use crate::admit::Demand;
@@ -9,47 +9,49 @@
 use crate::member::{LoadNotice, ServerUpdate};
 use crate::quarantine::Strike;
 
-/// What the router is told.
+/// An event that the router handles.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
     /// A request arrived.
     Arrived(&'a Request),
-    /// The caller of a request hung up.
+    /// The caller of a request disconnected.
     CallerDisconnected(RequestId),
-    /// A backend server began to answer a try.
+    /// A backend server began to answer an attempt.
     Started(Attempt),
-    /// A try ended well.
+    /// An attempt completed.
     Finished(&'a Finish),
-    /// A try failed.
+    /// An attempt failed.
     Failed(&'a Failure),
-    /// A call for a claim ended.
+    /// A claim command completed, successfully or not.
     Claim(&'a ClaimOutcome),
-    /// A backend server told of its cache.
+    /// A backend server reported changes of its cache.
     Cache(&'a CacheUpdate<'a>),
-    /// A backend server told of its load.
+    /// A backend server reported its load.
     Load(&'a LoadReport),
-    /// An answer told something of its backend server.
+    /// An answer carried a load sample of its backend server.
     LoadSample(&'a LoadSample),
     /// A version of the configuration was read.
     Configured(&'a Fleet),
-    /// The number of live entry instances of this availability zone changed; it counts
-    /// this one.
+    /// The number of live entry instances in this availability zone changed. It includes this
+    /// instance.
     ZoneEntries(u32),
-    /// The number of entry instances of all availability zones that the platform lists
-    /// changed; it counts this one, and those that are not heard of.
+    /// The number of entry instances that the platform lists in all availability zones changed.
+    /// It includes this instance and instances that send no heartbeats.
     ListedEntries(u32),
-    /// Another entry instance told what client accounts ask for there.
+    /// Another entry instance reported the demand of client accounts there.
     Demand(&'a Demand),
-    /// Another entry instance told of a backend server.
+    /// Another entry instance reported a status change of a backend server.
     Server(&'a ServerUpdate),
-    /// An entry instance is about to order a backend server to load weights.
+    /// An entry instance is about to order a backend server to load weights, or the load has
+    /// completed.
     Loading(&'a LoadNotice),
-    /// Another entry instance told of a request that was running when a server broke.
+    /// Another entry instance reported a request that was running when a server failed.
     Strike(&'a Strike),
-    /// The platform lists these backend servers as leaving, and no others. The list lags.
+    /// The platform lists exactly these backend servers as leaving. The list is eventually
+    /// consistent.
     Leaving(&'a [ServerId]),
-    /// The instance shuts down: nothing new is taken.
+    /// The instance is shutting down and admits no new requests.
     Draining,
-    /// Time passed.
+    /// A timer expired.
     Tick,
 }
--- a/azureway-core/src/event/mod.rs
+++ b/azureway-core/src/event/mod.rs
@@ -1,4 +1,4 @@
-//! What goes into the decisions and what comes out of them.
+//! The events that the router handles and the actions that it returns.
 
 mod action;
 mod dispatch;
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -83,7 +83,7 @@
         self.pump(now, out);
         self.tell_strikes(out);
         self.claims.apply_actions(start, out);
-        self.tally.follow(&out[start..], now);
+        self.tally.apply_actions(&out[start..], now);
     }
 
     fn arrive(&mut self, request: &Request, now: Timestamp, out: &mut Vec<Action>) {
--- a/azureway-core/src/stream/delivery.rs
+++ b/azureway-core/src/stream/delivery.rs
@@ -1,12 +1,12 @@
-//! What is to be done with an event of a stream.
+//! How a received stream event is handled.
 
-/// What is to be done with an event of a stream.
+/// How a received stream event is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It is the next one: pass it on.
+    /// The event is the next one: forward it.
     Next,
-    /// It was passed on before, or belongs to another try: drop it.
+    /// The event was already forwarded or belongs to another attempt: drop it.
     Stale,
-    /// Events before it are missing: the stream must be resumed.
+    /// Earlier events are missing: resume the stream.
     Gap,
 }
--- a/azureway-core/src/stream/mod.rs
+++ b/azureway-core/src/stream/mod.rs
@@ -1,4 +1,4 @@
-//! Streams that arrive complete and in order.
+//! Complete, in-order delivery of streams across attempts.
 
 mod delivery;
 mod progress;
--- a/azureway-core/src/stream/progress.rs
+++ b/azureway-core/src/stream/progress.rs
@@ -1,9 +1,9 @@
-//! How far a stream has been passed on.
+//! The position up to which a stream was forwarded.
 
 use super::Delivery;
 use crate::domain::{Attempt, StreamPosition};
 
-/// How far a stream has been passed on to its caller.
+/// The position up to which a stream was forwarded to its caller, and the attempt that serves it.
 #[derive(Clone, Debug)]
 pub struct StreamProgress {
     attempt: Attempt,
@@ -11,7 +11,7 @@
 }
 
 impl StreamProgress {
-    /// Creates the progress of a stream that `attempt` begins.
+    /// Creates the progress of a stream that `attempt` starts.
     pub const fn new(attempt: Attempt) -> Self {
         Self {
             attempt,
@@ -19,19 +19,19 @@
         }
     }
 
-    /// Returns the position of the next event to pass on.
+    /// Returns the position of the next event to forward.
     pub const fn next(&self) -> StreamPosition {
         self.next
     }
 
-    /// Follows a later try from now on. Earlier ones become stale.
+    /// Switches to a later attempt of the same request. Events of earlier attempts become stale.
     pub fn switch_to(&mut self, attempt: Attempt) {
         if attempt.id == self.attempt.id && attempt.number > self.attempt.number {
             self.attempt = attempt;
         }
     }
 
-    /// Judges an event, and counts it as passed on if it is the next one.
+    /// Returns how to handle an event, and counts it as forwarded if it is the next one.
     pub fn accept(&mut self, attempt: Attempt, position: StreamPosition) -> Delivery {
         if attempt != self.attempt || position < self.next {
             return Delivery::Stale;
--- a/azureway-core/src/tally/mod.rs
+++ b/azureway-core/src/tally/mod.rs
@@ -1,4 +1,4 @@
-//! How requests ended, and what that was worth.
+//! Counts of finished requests and of their worth, by outcome.
 
 mod open_request;
 mod outcome;
--- a/azureway-core/src/tally/open_request.rs
+++ b/azureway-core/src/tally/open_request.rs
@@ -1,19 +1,19 @@
-//! A request that is not counted yet.
+//! The properties of a request that its outcome is counted by.
 
 use crate::domain::{Deadline, Rank, Request, RequestKind, Timestamp, Worth};
 
-/// What is kept of a request until it ends.
+/// The properties of a request that are kept until its outcome is counted.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenRequest {
-    /// The rank.
+    /// The rank of the request.
     pub rank: Rank,
     /// Whether it may run more than once.
     pub kind: RequestKind,
-    /// What an answer in time is worth.
+    /// The worth of an answer that meets the deadline.
     pub worth: Worth,
-    /// When the first token must have come.
+    /// The deadline of the first token.
     pub deadline: Deadline,
-    /// When the first token came.
+    /// The time of the first token, once it has arrived.
     pub first: Option<Timestamp>,
 }
 
--- a/azureway-core/src/tally/outcome.rs
+++ b/azureway-core/src/tally/outcome.rs
@@ -1,17 +1,17 @@
-//! How a request ended.
+//! The outcomes of a request.
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
-    /// It was answered, and the first token came by the deadline.
+    /// The request was answered and its first token met the deadline.
     OnTime,
-    /// It was answered, and the first token came after the deadline.
+    /// The request was answered but its first token missed the deadline.
     Late,
-    /// It was refused and not run.
+    /// The request was refused and did not run.
     Refused,
-    /// It may have run, but there is no whole answer.
+    /// The request may have run but its answer is missing or incomplete.
     Broken,
-    /// Its caller hung up.
+    /// The caller disconnected before the request ended.
     Abandoned,
 }
 
@@ -25,7 +25,7 @@
         Self::Abandoned,
     ];
 
-    /// Returns the name of the outcome.
+    /// Returns the name of the outcome in metrics and reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::OnTime => "on-time",
--- a/azureway-core/src/tally/outcome_count.rs
+++ b/azureway-core/src/tally/outcome_count.rs
@@ -1,11 +1,11 @@
-//! A number of requests and their worth.
+//! The number of requests with one outcome and the sum of their worth.
 
 use crate::domain::Worth;
 
 /// A number of requests and the sum of their worth.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCount {
-    /// The requests.
+    /// The number of requests.
     pub requests: u64,
     /// The sum of their worth.
     pub worth: u64,
--- a/azureway-core/src/tally/outcome_tally.rs
+++ b/azureway-core/src/tally/outcome_tally.rs
@@ -1,4 +1,4 @@
-//! Every request, counted once.
+//! Counts of requests by rank, kind and outcome.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,10 +6,10 @@
 use crate::domain::{Rank, Request, RequestId, RequestKind, Timestamp};
 use crate::event::Action;
 
-/// Every request, counted once by rank, kind and outcome, with its worth.
+/// Counts every request once by rank, kind and outcome, with its worth.
 ///
-/// A request is opened when it arrives and counted when it is closed. Closing takes it out,
-/// so that a late or doubled end finds nothing to count.
+/// A request is opened when it arrives and counted when it is closed. Closing removes it, so
+/// a late or duplicate end of the same request is not counted.
 #[derive(Clone, Debug, Default)]
 pub struct OutcomeTally {
     open: HashMap<RequestId, OpenRequest>,
@@ -22,19 +22,19 @@
         Self::default()
     }
 
-    /// Notes that a request arrived.
+    /// Records that a request arrived.
     pub fn open(&mut self, request: &Request) {
         self.open.insert(request.id, request.into());
     }
 
-    /// Notes that the first token of a request came at `now`.
+    /// Records that the first token of a request arrived at `now`.
     pub fn start(&mut self, id: RequestId, now: Timestamp) {
         if let Some(open) = self.open.get_mut(&id) {
             open.first.get_or_insert(now);
         }
     }
 
-    /// Counts a request that was answered completely at `now`.
+    /// Counts a request whose answer completed at `now` as on time or late.
     pub fn finish(&mut self, id: RequestId, now: Timestamp) {
         let Some(open) = self.open.get(&id) else {
             return;
@@ -43,7 +43,7 @@
         self.close(id, if late { Outcome::Late } else { Outcome::OnTime });
     }
 
-    /// Counts a request.
+    /// Counts a request with an outcome and removes it.
     pub fn close(&mut self, id: RequestId, outcome: Outcome) {
         if let Some(open) = self.open.remove(&id) {
             let once = open.kind == RequestKind::AtMostOnce;
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Counts the requests that `actions` end.
-    pub fn follow(&mut self, actions: &[Action], now: Timestamp) {
+    /// Counts the requests that `actions` end at `now`.
+    pub fn apply_actions(&mut self, actions: &[Action], now: Timestamp) {
         for action in actions {
             match action {
                 Action::Refuse(id, refusal) if refusal.not_run => self.close(*id, Outcome::Refused),
@@ -64,19 +64,19 @@
         }
     }
 
-    /// Returns the number of requests that are not counted yet.
+    /// Returns the number of requests that have arrived but not ended.
     pub fn pending(&self) -> usize {
         self.open.len()
     }
 
-    /// Returns what was counted for a rank, a kind and an outcome.
+    /// Returns the count of a rank, a kind and an outcome.
     pub fn count(&self, rank: Rank, kind: RequestKind, outcome: Outcome) -> OutcomeCount {
         let once = kind == RequestKind::AtMostOnce;
         let count = self.counts.get(&(rank, once, outcome));
         count.copied().unwrap_or_default()
     }
 
-    /// Returns the number of requests that were counted.
+    /// Returns the number of requests that have ended.
     pub fn total(&self) -> u64 {
         self.counts.values().map(|c| c.requests).sum()
     }
