--- a/azureway-core/src/router/intake.rs
+++ b/azureway-core/src/router/admission_check.rs
@@ -1,36 +1,37 @@
-//! Whether a request may wait.
+//! The checks before a request is queued.
 
 use std::time::Duration;
 
-use super::{Queues, Verdict};
+use super::{Queues, RetryDecision};
 use crate::admit::{AccountLimits, PoolQueue};
 use crate::domain::{ClientAccount, ModelService, Refusal, RefusalReason, Request, Timestamp};
 use crate::fleet::Fleet;
 use crate::quarantine::CrashGuard;
 
-/// What is looked at to tell whether a request may wait.
+/// The state that decides whether a new request is queued.
 #[derive(Debug)]
-pub struct Intake<'a> {
-    /// The configuration in force.
+pub struct AdmissionCheck<'a> {
+    /// The configuration of the fleet.
     pub fleet: &'a Fleet,
-    /// The requests that wait.
+    /// The queued requests.
     pub queues: &'a Queues,
-    /// The limits of client accounts.
+    /// The rate limits of client accounts.
     pub limits: &'a mut AccountLimits,
     /// The guard against requests that crash servers.
     pub guard: &'a CrashGuard,
-    /// The requests that may wait for a pool.
-    pub bound: usize,
+    /// The maximum number of queued requests per pool.
+    pub queue_limit: usize,
     /// Whether the instance is shutting down.
     pub draining: bool,
 }
 
-impl<'a> Intake<'a> {
-    /// Returns the service and the account of a request that may wait, and charges the account.
+impl<'a> AdmissionCheck<'a> {
+    /// Returns the service and the account of a request that may be queued, and charges its
+    /// account.
     ///
     /// # Errors
     ///
-    /// Returns the refusal of a request that may not.
+    /// Returns the refusal of a request that may not be queued.
     pub fn check(
         &mut self,
         request: &Request,
@@ -46,15 +47,15 @@
             return Err(refusal(RefusalReason::Deadline, "the deadline has passed"));
         }
         if self.guard.is_quarantined(&request.fingerprint, now) {
-            return Err(Verdict::barred(true));
+            return Err(RetryDecision::quarantined(true));
         }
         let service = self.service(request)?;
         let account = self.account(request)?;
-        if self.queues.len_of(&service.pool) >= self.bound {
+        if self.queues.pool_len(&service.pool) >= self.queue_limit {
             return Err(refusal(RefusalReason::Overloaded, "too many requests wait"));
         }
         self.check_wait(service, request, now)?;
-        // The limit comes last: what is refused for another reason is not charged.
+        // The limit is checked last, so that a request refused for another reason is not charged.
         self.check_limit(account, request, now)?;
         Ok((service, account))
     }
@@ -69,15 +70,15 @@
         account.ok_or_else(|| refusal(RefusalReason::Unauthorized, "the client account is gone"))
     }
 
-    /// Refuses a request that would wait past its deadline at the pace of the work before it.
+    /// Refuses a request whose expected queue wait exceeds its deadline.
     fn check_wait(
         &self,
         service: &ModelService,
         request: &Request,
         now: Timestamp,
     ) -> Result<(), Refusal> {
-        let order = self.queues.get(&service.pool);
-        let wait = order.and_then(|o: &PoolQueue| o.expected_wait(request, now));
+        let queue = self.queues.get(&service.pool);
+        let wait = queue.and_then(|q: &PoolQueue| q.expected_wait(request, now));
         match wait.filter(|w| !request.deadline.allows(now, *w)) {
             None => Ok(()),
             Some(wait) => {
--- a/azureway-core/src/router/attempt_plan.rs
+++ b/azureway-core/src/router/attempt_plan.rs
@@ -1,4 +1,4 @@
-//! What is to be tried next.
+//! The plan of the next attempt of a request.
 
 use std::time::Duration;
 
@@ -6,38 +6,39 @@
 use crate::event::Dispatch;
 use crate::route::Candidate;
 
-/// What is to be tried next for a request.
+/// The plan of the next attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptPlan {
-    /// The try.
+    /// The attempt to make.
     pub attempt: Attempt,
-    /// The position to resume at.
+    /// The stream position to resume at, or zero for a new stream.
     pub position: StreamPosition,
-    /// Whether no earlier try can have run the request.
-    pub untouched: bool,
-    /// The earlier tries that a server refused for lack of room.
-    pub bounced: u32,
+    /// Whether no earlier attempt can have run the request.
+    pub not_run: bool,
+    /// The number of earlier attempts that servers rejected for lack of capacity.
+    pub rejections: u32,
 }
 
 impl AttemptPlan {
-    /// Creates the plan of a first try.
+    /// Creates the plan of the first attempt.
     pub const fn first(id: RequestId) -> Self {
         Self {
             attempt: Attempt::new(id, 1),
             position: StreamPosition::ZERO,
-            untouched: true,
-            bounced: 0,
+            not_run: true,
+            rejections: 0,
         }
     }
 
-    /// Returns the order that sends `request` to the chosen server of `service`.
-    pub fn order(
+    /// Returns the dispatch of `request` to the chosen server of `service`.
+    pub fn dispatch_to(
         &self,
         request: &Request,
         service: &ModelService,
         best: &Candidate<'_>,
     ) -> Dispatch {
-        // During a rollout the answer comes from what the server has, and so do its blocks.
+        // During a rollout the server answers from the weights that it has loaded, and its cache
+        // blocks belong to them.
         let loaded = service.rollout.as_ref().and(best.state.weights);
         let known = best.state.incarnation > Incarnation::ZERO;
         Dispatch {
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -1,7 +1,8 @@
-//! The router itself.
+//! The event handler that makes all decisions of an entry instance.
 
 use super::{
-    Dispatcher, InFlight, Intake, PlacementRequest, Queues, Retries, Retry, RouterConfig, Verdict,
+    AdmissionCheck, Dispatcher, InFlight, PlacementRequest, Queues, Retry, RetryDecision,
+    RetryQueue, RouterConfig,
 };
 use crate::admit::{AccountLimits, BlockedClasses, QueuedRequest};
 use crate::claim::{ClaimDecision, ClaimOutcome, ClaimTable};
@@ -12,92 +13,93 @@
 use crate::route::Policy;
 use crate::tally::{Outcome, OutcomeTally};
 
-/// The decisions of one entry instance. Events and the time go in, actions come out.
+/// Makes all decisions of one entry instance. It handles events with their time and returns
+/// actions.
 #[derive(Debug)]
 pub struct Router<P> {
     pub(super) config: RouterConfig,
     pub(super) fleet: Fleet,
-    pub(super) sender: Dispatcher<P>,
+    pub(super) dispatcher: Dispatcher<P>,
     pub(super) limits: AccountLimits,
     pub(super) queues: Queues,
     pub(super) claims: ClaimTable,
-    pub(super) retries: Retries,
+    pub(super) retries: RetryQueue,
     pub(super) budgets: RetryBudgets,
     pub(super) tally: OutcomeTally,
     pub(super) draining: bool,
-    pub(super) seen: Timestamp,
+    pub(super) last_event: Timestamp,
 }
 
 impl<P: Policy> Router<P> {
-    /// Creates a router that knows no configuration yet.
+    /// Creates a router without a fleet configuration.
     pub fn new(config: RouterConfig, policy: P) -> Self {
         Self {
             budgets: RetryBudgets::new(config.retry_percent, config.retry_slack),
-            retries: Retries::new(),
+            retries: RetryQueue::new(),
             config,
             fleet: Fleet::new(),
-            sender: Dispatcher::new(policy),
+            dispatcher: Dispatcher::new(policy),
             limits: AccountLimits::new(),
             queues: Queues::new(),
             claims: ClaimTable::new(),
             tally: OutcomeTally::new(),
             draining: false,
-            seen: Timestamp::ZERO,
+            last_event: Timestamp::ZERO,
         }
     }
 
-    /// Takes in an event and appends what is to be done about it.
+    /// Handles an event that was seen at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, event: Event<'_>, now: Timestamp, out: &mut Vec<Action>) {
-        self.seen = now;
+        self.last_event = now;
         let start = out.len();
         match event {
             Event::Arrived(request) => self.arrive(request, now, out),
-            Event::CallerDisconnected(id) => self.hang_up(id, now, out),
+            Event::CallerDisconnected(id) => self.disconnect(id, now, out),
             Event::Started(attempt) => self.start(attempt, now),
             Event::Finished(finish) => self.finish(finish, now, out),
             Event::Failed(failure) => self.fail(failure, now, out),
-            Event::Claim(news) => self.claimed(news, now, out),
-            Event::Cache(update) => self.hear(update, out),
-            Event::Load(report) => self.report(report, now, out),
-            Event::LoadSample(sample) => self.sample(sample, now),
+            Event::Claim(news) => self.handle_claim(news, now, out),
+            Event::Cache(update) => self.update_cache(update, out),
+            Event::Load(report) => self.apply_report(report, now, out),
+            Event::LoadSample(sample) => self.apply_sample(sample, now),
             Event::Configured(fleet) => self.configure(fleet, now),
             Event::ZoneEntries(_) if self.config.shared_servers => {}
-            Event::ZoneEntries(count) => self.sender.servers_mut().set_entries(count),
-            Event::ListedEntries(count) => self.list(count),
+            Event::ZoneEntries(count) => self.dispatcher.servers_mut().set_entries(count),
+            Event::ListedEntries(count) => self.set_listed_entries(count),
             Event::Demand(demand) => self.limits.share_mut().record(demand, now),
-            Event::Server(news) => self.sender.servers_mut().apply_update(news),
+            Event::Server(news) => self.dispatcher.servers_mut().apply_update(news),
             Event::Loading(loading) => {
-                self.sender.load(loading, now);
-                self.queues.mark_all();
+                self.dispatcher.apply_loading(loading, now);
+                self.queues.mark_all_dirty();
             }
-            Event::Strike(strike) => self.struck(strike, now, out),
+            Event::Strike(strike) => self.apply_strike(strike, now, out),
             Event::Leaving(list) => {
-                self.sender.servers_mut().set_listed_leaving(list);
-                self.queues.mark_all();
+                self.dispatcher.servers_mut().set_listed_leaving(list);
+                self.queues.mark_all_dirty();
             }
             Event::Draining => self.draining = true,
-            Event::Tick => self.queues.mark_all(),
+            Event::Tick => self.queues.mark_all_dirty(),
         }
         self.expire(now, out);
-        self.try_again(now, out);
-        self.pump(now, out);
-        self.tell_strikes(out);
+        self.dispatch_retries(now, out);
+        self.dispatch_queued(now, out);
+        self.broadcast_strikes(out);
         self.claims.apply_actions(start, out);
         self.tally.apply_actions(&out[start..], now);
     }
 
     fn arrive(&mut self, request: &Request, now: Timestamp, out: &mut Vec<Action>) {
         self.tally.open(request);
-        let mut intake = Intake {
+        let mut admission = AdmissionCheck {
             fleet: &self.fleet,
             queues: &self.queues,
             limits: &mut self.limits,
-            guard: self.sender.guard(),
-            bound: self.config.queue_limit,
+            guard: self.dispatcher.guard(),
+            queue_limit: self.config.queue_limit,
             draining: self.draining,
         };
-        let servers = self.sender.servers();
-        let action = match intake.check(request, now) {
+        let servers = self.dispatcher.servers();
+        let action = match admission.check(request, now) {
             Err(refusal) => Action::Refuse(request.id, refusal),
             Ok((service, _)) if self.claims.permits(request, service, servers) => {
                 return self.enqueue(request, now, out);
@@ -107,7 +109,7 @@
         out.push(action);
     }
 
-    /// Lets a request wait for a server.
+    /// Queues a request for its pool.
     fn enqueue(&mut self, request: &Request, now: Timestamp, out: &mut Vec<Action>) {
         let service = self.fleet.services.get(&request.service);
         let account = self.fleet.accounts.get(&request.account);
@@ -122,7 +124,7 @@
         }
     }
 
-    fn claimed(&mut self, news: &ClaimOutcome, now: Timestamp, out: &mut Vec<Action>) {
+    fn handle_claim(&mut self, news: &ClaimOutcome, now: Timestamp, out: &mut Vec<Action>) {
         match self.claims.handle_outcome(news, now, out) {
             ClaimDecision::Proceed(request) => self.enqueue(&request, now, out),
             ClaimDecision::ReplayAnswer(answer) => {
@@ -133,13 +135,14 @@
         }
     }
 
-    fn hang_up(&mut self, id: RequestId, now: Timestamp, out: &mut Vec<Action>) {
+    fn disconnect(&mut self, id: RequestId, now: Timestamp, out: &mut Vec<Action>) {
         self.tally.close(id, Outcome::Abandoned);
-        if let Some(flight) = self.sender.remove(id, now) {
-            // A whole answer still comes from the server, and is kept for the caller's return.
+        if let Some(flight) = self.dispatcher.remove(id, now) {
+            // The server still completes the whole answer of a plain service, and the claim
+            // keeps it for a caller that retries.
             let whole = self.fleet.is_plain(&flight.request.service);
             self.claims.caller_disconnected(id, whole);
-            self.queues.mark(&flight.pool);
+            self.queues.mark_dirty(&flight.pool);
             return out.push(Action::Cancel(flight.attempt));
         }
         if self.retries.remove(id).is_none() {
@@ -149,83 +152,83 @@
     }
 
     fn start(&mut self, attempt: Attempt, now: Timestamp) {
-        if self.sender.start(attempt) {
+        if self.dispatcher.start(attempt) {
             self.tally.start(attempt.id, now);
         }
     }
 
     fn finish(&mut self, finish: &Finish, now: Timestamp, out: &mut Vec<Action>) {
         self.claims.finish(finish.attempt, out);
-        if let Some(flight) = self.sender.finish(finish.attempt, now) {
+        if let Some(flight) = self.dispatcher.finish(finish.attempt, now) {
             self.tally.finish(finish.attempt.id, now);
-            self.queues.mark(&flight.pool);
+            self.queues.mark_dirty(&flight.pool);
         }
     }
 
     fn fail(&mut self, failure: &Failure, now: Timestamp, out: &mut Vec<Action>) {
         self.claims.fail(failure, out);
-        let Some((flight, unknown)) = self.sender.fail(failure, now) else {
+        let Some((flight, cache_lost)) = self.dispatcher.fail(failure, now) else {
             return;
         };
-        self.queues.mark(&flight.pool);
-        if unknown {
+        self.queues.mark_dirty(&flight.pool);
+        if cache_lost {
             out.push(Action::Resync(flight.server.clone()));
         }
-        match self.judge(&flight, failure, now, out) {
-            Verdict::Retry => self.retries.push(Retry::new(flight, failure, now)),
-            Verdict::Wait => self.wait(flight, now, out),
-            Verdict::Refuse(refusal) => out.push(Action::Refuse(failure.attempt.id, refusal)),
+        match self.decide_retry(&flight, failure, now, out) {
+            RetryDecision::Retry => self.retries.push(Retry::new(flight, failure, now)),
+            RetryDecision::Requeue => self.requeue(flight, now, out),
+            RetryDecision::Refuse(refusal) => out.push(Action::Refuse(failure.attempt.id, refusal)),
         }
     }
 
-    /// Lets a request that a server had no room for wait again.
-    fn wait(&mut self, flight: InFlight, now: Timestamp, out: &mut Vec<Action>) {
-        // Where all entries share the budget, what servers refuse counts in it too.
+    /// Requeues a request that a server rejected for lack of capacity.
+    fn requeue(&mut self, flight: InFlight, now: Timestamp, out: &mut Vec<Action>) {
+        // Where all entries share the retry budget, capacity rejections are charged to it too.
         if self.budgets.is_shared() && !self.budgets.for_pool(&flight.pool, now).try_spend() {
-            let refusal = Verdict::give_up(false, true);
+            let refusal = RetryDecision::give_up(false, true);
             return out.push(Action::Refuse(flight.attempt.id, refusal));
         }
         let account = self.fleet.accounts.get(&flight.request.account);
         let weight = account.map_or(1, |a| a.weight);
-        let (pool, plan) = (flight.pool.clone(), flight.bounce());
+        let (pool, plan) = (flight.pool.clone(), flight.requeue_plan());
         let queued = QueuedRequest::with_plan(flight.request, weight, plan);
         self.queues.push(pool, queued, now);
     }
 
     fn configure(&mut self, fleet: &Fleet, now: Timestamp) {
-        // Versions only grow, so that a slow read or a late peer cannot bring an old one back.
+        // Versions must increase, so that a slow read or a late peer cannot restore an old one.
         if fleet.version <= self.fleet.version {
             return;
         }
         self.fleet = fleet.clone();
-        self.sender.adopt(fleet, now);
+        self.dispatcher.reconfigure(fleet, now);
         self.limits.retain(|id| fleet.accounts.contains_key(id));
-        self.queues.set_floor(fleet.rules.drafting_share);
-        self.queues.mark_all();
+        self.queues.set_drafting_share(fleet.rules.drafting_share);
+        self.queues.mark_all_dirty();
     }
 
     fn expire(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         self.claims.expire(now, out);
         for request in self.queues.expire(now) {
-            out.push(Action::Refuse(request.id, Verdict::late()));
+            out.push(Action::Refuse(request.id, RetryDecision::deadline_passed()));
         }
         for retry in self.retries.expire(now) {
             out.push(Action::Refuse(retry.request.id, retry.give_up()));
         }
     }
 
-    /// Tries again what waits for it, as far as the budget and the servers allow.
-    fn try_again(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+    /// Dispatches waiting retries as far as the retry budget and the servers allow.
+    fn dispatch_retries(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         self.budgets.refill(now);
         for retry in self.retries.take() {
-            let want = PlacementRequest::new(&retry.request, retry.plan, true);
-            let want = want.with_failed(retry.failed.as_ref());
+            let query = PlacementRequest::new(&retry.request, retry.plan, true);
+            let query = query.with_failed_server(retry.failed_server.as_ref());
             let service = self.fleet.services.get(&retry.request.service);
             let pool = service.map(|s| s.pool.clone());
             let allowed = pool
                 .as_ref()
                 .is_some_and(|p| self.budgets.for_pool(p, now).has_retry());
-            if allowed && self.dispatch(want, now, out) {
+            if allowed && self.dispatch(query, now, out) {
                 if let Some(pool) = &pool {
                     self.budgets.for_pool(pool, now).try_spend();
                 }
@@ -235,40 +238,42 @@
         }
     }
 
-    /// Sends requests that wait, pool by pool, for as long as there is a server for the next.
-    fn pump(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        while let Some(pool) = self.queues.next_marked() {
+    /// Dispatches queued requests of each dirty pool for as long as the next one finds a server.
+    fn dispatch_queued(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        while let Some(pool) = self.queues.pop_dirty() {
             let mut blocked = BlockedClasses::new();
-            while let Some((queued, owed)) = self.queues.peek(&pool, &blocked) {
+            while let Some((queued, use_reserved)) = self.queues.peek(&pool, &blocked) {
                 let queued = queued.clone();
                 if self.dispatch(
-                    PlacementRequest::new(&queued.request, queued.plan, owed),
+                    PlacementRequest::new(&queued.request, queued.plan, use_reserved),
                     now,
                     out,
                 ) {
                     self.queues.take(queued.request.id, now);
                 } else {
-                    self.set_aside(&queued, &mut blocked, now, out);
+                    self.defer(&queued, &mut blocked, now, out);
                 }
             }
         }
     }
 
-    /// Sends a request to the best server. Returns whether there was one.
+    /// Dispatches a request to the best server. Returns whether there was one.
     fn dispatch(
         &mut self,
-        want: PlacementRequest<'_>,
+        query: PlacementRequest<'_>,
         now: Timestamp,
         out: &mut Vec<Action>,
     ) -> bool {
-        let service = self.fleet.services.get(&want.request.service);
-        let servers = self.sender.servers();
-        if !service.is_some_and(|s| self.claims.permits(want.request, s, servers)) {
+        let service = self.fleet.services.get(&query.request.service);
+        let servers = self.dispatcher.servers();
+        if !service.is_some_and(|s| self.claims.permits(query.request, s, servers)) {
             return false;
         }
-        let order = self.sender.send(want, &self.config, &self.fleet, now);
-        let sent = order.is_some();
-        out.extend(order.map(Action::Dispatch));
+        let dispatch = self
+            .dispatcher
+            .dispatch(query, &self.config, &self.fleet, now);
+        let sent = dispatch.is_some();
+        out.extend(dispatch.map(Action::Dispatch));
         sent
     }
 }
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Sending requests to backend servers.
+//! Dispatch of requests to backend servers.
 
 use super::{InFlight, InFlightTable, Placement, PlacementRequest, RouteOption, RouterConfig};
 use crate::cache::{CacheIndex, CacheUpdate};
@@ -9,44 +9,44 @@
 use crate::quarantine::{CrashGuard, CrashSite};
 use crate::route::{Estimate, Policy, ReplicaScaler};
 
-/// Sends requests to backend servers, and keeps what that takes: the servers, the index of
-/// their caches and the requests in flight.
+/// Dispatches requests to backend servers, and tracks the servers, the index of their caches
+/// and the requests in flight.
 #[derive(Debug)]
 pub struct Dispatcher<P> {
     policy: P,
     servers: ServerTable,
     index: CacheIndex,
     scaler: ReplicaScaler,
-    flights: InFlightTable,
+    in_flight: InFlightTable,
     guard: CrashGuard,
 }
 
 impl<P: Policy> Dispatcher<P> {
-    /// Creates a dispatcher that knows no server.
+    /// Creates a dispatcher without servers.
     pub fn new(policy: P) -> Self {
         Self {
             policy,
             servers: ServerTable::new(),
             index: CacheIndex::new(),
             scaler: ReplicaScaler::new(),
-            flights: InFlightTable::new(),
+            in_flight: InFlightTable::new(),
             guard: CrashGuard::new(),
         }
     }
 
-    /// Returns what is known of the backend servers.
+    /// Returns the state of the backend servers.
     pub const fn servers(&self) -> &ServerTable {
         &self.servers
     }
 
-    /// Returns what is known of the backend servers, to be changed.
+    /// Returns the state of the backend servers for modification.
     pub fn servers_mut(&mut self) -> &mut ServerTable {
         &mut self.servers
     }
 
     /// Returns the requests in flight.
-    pub const fn flights(&self) -> &InFlightTable {
-        &self.flights
+    pub const fn in_flight(&self) -> &InFlightTable {
+        &self.in_flight
     }
 
     /// Returns the guard against requests that crash servers.
@@ -54,17 +54,18 @@
         &self.guard
     }
 
-    /// Returns the guard against requests that crash servers, to be told.
+    /// Returns the guard against requests that crash servers for modification.
     pub fn guard_mut(&mut self) -> &mut CrashGuard {
         &mut self.guard
     }
 
-    /// Takes over the servers of a new configuration.
-    pub fn adopt(&mut self, fleet: &Fleet, now: Timestamp) {
+    /// Applies the servers of a new configuration.
+    pub fn reconfigure(&mut self, fleet: &Fleet, now: Timestamp) {
         for gone in self.servers.reconfigure(fleet) {
             self.index.invalidate(&gone);
         }
-        // Servers that only the list tells of have no news of their own to begin with.
+        // Servers known only from the platform's list have not reported their cache or
+        // incarnation.
         for server in fleet.servers.values() {
             if let Some(loaded) = server.listed {
                 self.index.track(&server.id, loaded.incarnation);
@@ -74,13 +75,14 @@
         }
     }
 
-    /// Takes in a run of cache events. Returns whether some before it were lost.
-    pub fn hear(&mut self, update: &CacheUpdate<'_>) -> bool {
+    /// Applies a run of cache events. Returns whether earlier events were lost.
+    pub fn update_cache(&mut self, update: &CacheUpdate<'_>) -> bool {
         self.servers.get(update.server).is_some() && self.index.update(update)
     }
 
-    /// Returns what peers have to hear of a report: that a server leaves, when that is new.
-    pub fn leave_news(&self, report: &LoadReport) -> Option<ServerUpdate> {
+    /// Returns the update to send to peers if a report says for the first time that its server
+    /// is leaving.
+    pub fn leaving_update(&self, report: &LoadReport) -> Option<ServerUpdate> {
         let state = self.servers.get(&report.server)?;
         let fresh = report.leaving && !state.is_leaving();
         fresh.then(|| ServerUpdate {
@@ -90,22 +92,22 @@
         })
     }
 
-    /// Takes in a report. Returns the pool of the server.
-    pub fn report(&mut self, report: &LoadReport, now: Timestamp) -> Option<&PoolId> {
+    /// Applies a load report. Returns the pool of the server.
+    pub fn apply_report(&mut self, report: &LoadReport, now: Timestamp) -> Option<&PoolId> {
         self.guard
             .observe_incarnation(&report.server, report.incarnation, now);
         self.servers.apply_report(report, now)
     }
 
-    /// Takes in that a server is about to load weights or has loaded them.
-    pub fn load(&mut self, loading: &LoadNotice, now: Timestamp) {
+    /// Applies the notice that a server is about to load weights or has loaded them.
+    pub fn apply_loading(&mut self, loading: &LoadNotice, now: Timestamp) {
         if self.servers.apply_loading(loading, now) {
             self.index.invalidate(&loading.server);
         }
     }
 
-    /// Takes in what an answer told of its server. Returns the server's pool.
-    pub fn sample(&mut self, sample: &LoadSample, now: Timestamp) -> Option<&PoolId> {
+    /// Applies the load sample of an answer. Returns the pool of the server.
+    pub fn apply_sample(&mut self, sample: &LoadSample, now: Timestamp) -> Option<&PoolId> {
         let state = self.servers.get_mut(&sample.server)?;
         if state.apply_sample(sample, now) {
             self.index.invalidate(&sample.server);
@@ -113,38 +115,39 @@
         Some(&state.server.pool)
     }
 
-    /// Sends a request to the best server. Returns the order, if there was a server.
-    pub fn send(
+    /// Dispatches a request to the best server, or returns `None` if no server can take it.
+    pub fn dispatch(
         &mut self,
-        want: PlacementRequest<'_>,
+        query: PlacementRequest<'_>,
         config: &RouterConfig,
         fleet: &Fleet,
         now: Timestamp,
     ) -> Option<Dispatch> {
-        let service = fleet.services.get(&want.request.service)?;
+        let service = fleet.services.get(&query.request.service)?;
         let (mut placement, policy) = self.placement(config, fleet);
-        let best = placement.choose(policy, want, service, now)?;
-        let mut order = want.plan.order(want.request, service, &best);
-        order.fetch_from = placement.source(want.request, service, &best, now);
-        order.expected_ttft = Estimate::new(want.profile(service), &best, now).total();
-        self.track(want, service.pool.clone(), &order, now);
-        Some(order)
+        let best = placement.choose(policy, query, service, now)?;
+        let mut dispatch = query.plan.dispatch_to(query.request, service, &best);
+        dispatch.fetch_from = placement.fetch_source(query.request, service, &best, now);
+        dispatch.expected_ttft = Estimate::new(query.profile(service), &best, now).total();
+        self.track(query, service.pool.clone(), &dispatch, now);
+        Some(dispatch)
     }
 
-    /// Tells of every server of the service's pool whether the request would go there.
+    /// Explains for every server of the service's pool whether the request would go there.
+    /// Returns `None` for an unknown service.
     pub fn explain(
         &mut self,
-        want: PlacementRequest<'_>,
+        query: PlacementRequest<'_>,
         config: &RouterConfig,
         fleet: &Fleet,
         now: Timestamp,
     ) -> Option<Vec<RouteOption>> {
-        let service = fleet.services.get(&want.request.service)?;
+        let service = fleet.services.get(&query.request.service)?;
         let (mut placement, policy) = self.placement(config, fleet);
-        Some(placement.explain(policy, want, service, now))
+        Some(placement.explain(policy, query, service, now))
     }
 
-    /// Returns what is looked at to find a server, and the policy that chooses.
+    /// Returns the placement over the current state and the policy that chooses.
     fn placement<'a>(
         &'a mut self,
         config: &'a RouterConfig,
@@ -161,82 +164,82 @@
         (placement, &mut self.policy)
     }
 
-    /// Notes that a server began to answer. Returns whether the try is the current one.
+    /// Records that a server began to answer. Returns whether the attempt is the current one.
     pub fn start(&mut self, attempt: Attempt) -> bool {
-        let Some(flight) = self.flights.current(attempt) else {
+        let Some(flight) = self.in_flight.current(attempt) else {
             return false;
         };
         if let Some(state) = self.servers.get_mut(&flight.server) {
-            state.finish_prefill(flight.period, flight.owed());
+            state.finish_prefill(flight.period, flight.pending_prefill());
         }
         flight.started = true;
         true
     }
 
-    /// Takes a request that was answered out of flight, if the try is the current one.
+    /// Records a completed attempt and returns its request, if the attempt is the current one.
     pub fn finish(&mut self, attempt: Attempt, now: Timestamp) -> Option<InFlight> {
-        let flight = self.flights.take(attempt)?;
+        let flight = self.in_flight.take(attempt)?;
         self.untrack(&flight, now);
         if let Some(state) = self.servers.get_mut(&flight.server) {
-            state.record_success(now.since(flight.begun), now);
+            state.record_success(now.since(flight.sent), now);
         }
         self.guard.record_success(&flight.request, now);
         Some(flight)
     }
 
-    /// Takes a request that failed out of flight, if the try is the current one. Returns also
-    /// whether the server's cache is no longer known.
+    /// Records a failed attempt and returns its request, if the attempt is the current one. Also
+    /// returns whether the index of the server's cache was invalidated.
     pub fn fail(&mut self, failure: &Failure, now: Timestamp) -> Option<(InFlight, bool)> {
-        let flight = self.flights.take(failure.attempt)?;
+        let flight = self.in_flight.take(failure.attempt)?;
         self.untrack(&flight, now);
-        self.accuse(&flight, failure, now);
+        self.report_to_guard(&flight, failure, now);
         let state = self.servers.get_mut(&flight.server);
-        let unknown = state.is_some_and(|s| s.record_failure(failure, now));
-        if unknown {
+        let lost = state.is_some_and(|s| s.record_failure(failure, now));
+        if lost {
             self.index.invalidate(&flight.server);
         }
-        Some((flight, unknown))
+        Some((flight, lost))
     }
 
-    /// Takes a request out of flight, whatever its current try.
+    /// Removes a request in flight, whatever its current attempt.
     pub fn remove(&mut self, id: RequestId, now: Timestamp) -> Option<InFlight> {
-        let flight = self.flights.remove(id)?;
+        let flight = self.in_flight.remove(id)?;
         self.untrack(&flight, now);
         Some(flight)
     }
 
-    /// Notes that a request is in flight.
+    /// Records that a request is in flight.
     fn track(
         &mut self,
-        want: PlacementRequest<'_>,
+        query: PlacementRequest<'_>,
         pool: PoolId,
-        order: &Dispatch,
+        dispatch: &Dispatch,
         now: Timestamp,
     ) {
-        let mut flight = InFlight::new(want.request, pool, order, want.plan);
+        let mut flight = InFlight::new(query.request, pool, dispatch, query.plan);
         if let Some(state) = self.servers.get_mut(&flight.server) {
-            flight.period = state.begin(flight.owed());
-            flight.begun = now;
-            let blocks = want.request.chain.blocks();
+            flight.period = state.begin(flight.pending_prefill());
+            flight.sent = now;
+            let blocks = query.request.chain.blocks();
             self.index
                 .assume_cached(&flight.server, state.incarnation, blocks);
         }
-        self.scaler.begin(want.request.chain.prefix(), now);
-        self.guard.begin(want.request, &flight.server, now);
-        self.flights.insert(flight);
+        self.scaler.begin(query.request.chain.prefix(), now);
+        self.guard.begin(query.request, &flight.server, now);
+        self.in_flight.insert(flight);
     }
 
-    /// Gives back what a request in flight held.
+    /// Releases the resources that a request in flight held.
     fn untrack(&mut self, flight: &InFlight, now: Timestamp) {
         if let Some(state) = self.servers.get_mut(&flight.server) {
-            state.release(flight.period, flight.owed());
+            state.release(flight.period, flight.pending_prefill());
         }
         self.scaler.end(flight.request.chain.prefix(), now);
         self.guard.end(flight.attempt.id);
     }
 
-    /// Tells the guard of a failure.
-    fn accuse(&mut self, flight: &InFlight, failure: &Failure, now: Timestamp) {
+    /// Reports a failure to the guard against requests that crash servers.
+    fn report_to_guard(&mut self, flight: &InFlight, failure: &Failure, now: Timestamp) {
         let known = self.servers.get(&flight.server);
         let known = known.map_or(Incarnation::ZERO, |s| s.incarnation);
         let site = CrashSite::new(flight.server.clone(), flight.incarnation);
--- a/azureway-core/src/router/in_flight.rs
+++ b/azureway-core/src/router/in_flight.rs
@@ -9,53 +9,53 @@
 /// A request that a backend server is running.
 #[derive(Clone, Debug)]
 pub struct InFlight {
-    /// The request.
+    /// The request that runs.
     pub request: Request,
-    /// The pool.
+    /// The pool of the server.
     pub pool: PoolId,
-    /// The current try.
+    /// The current attempt.
     pub attempt: Attempt,
-    /// The server.
+    /// The server that runs the request.
     pub server: ServerId,
-    /// The incarnation that the server has by what is known; zero if nothing is.
+    /// The expected incarnation of the server, or zero if it is unknown.
     pub incarnation: Incarnation,
-    /// The prompt tokens that the server is believed to have to compute.
+    /// The prompt tokens that the server is expected to compute.
     pub prefill: TokenCount,
     /// Whether the server has begun to answer.
     pub started: bool,
-    /// Whether no earlier try can have run the request.
-    pub untouched: bool,
-    /// The earlier tries that a server refused for lack of room.
-    pub bounced: u32,
-    /// When it was sent.
-    pub begun: Timestamp,
-    /// The period in which the server's state notes the work.
+    /// Whether no earlier attempt can have run the request.
+    pub not_run: bool,
+    /// The number of earlier attempts that servers rejected for lack of capacity.
+    pub rejections: u32,
+    /// The time at which the attempt was sent.
+    pub sent: Timestamp,
+    /// The accounting period of the work in the state of the server.
     pub period: u64,
-    /// The position at which the current try was resumed.
+    /// The stream position at which the current attempt started.
     pub position: StreamPosition,
 }
 
 impl InFlight {
-    /// Creates the flight that an order begins by `plan`.
-    pub fn new(request: &Request, pool: PoolId, order: &Dispatch, plan: AttemptPlan) -> Self {
+    /// Creates the request in flight that `dispatch` starts by `plan`.
+    pub fn new(request: &Request, pool: PoolId, dispatch: &Dispatch, plan: AttemptPlan) -> Self {
         Self {
             request: request.clone(),
             pool,
-            attempt: order.attempt,
-            server: order.server.clone(),
-            incarnation: order.incarnation.unwrap_or(Incarnation::ZERO),
-            prefill: request.chain.tokens().saturating_sub(order.cached),
+            attempt: dispatch.attempt,
+            server: dispatch.server.clone(),
+            incarnation: dispatch.incarnation.unwrap_or(Incarnation::ZERO),
+            prefill: request.chain.tokens().saturating_sub(dispatch.cached),
             started: false,
-            untouched: plan.untouched,
-            bounced: plan.bounced,
-            begun: Timestamp::ZERO,
+            not_run: plan.not_run,
+            rejections: plan.rejections,
+            sent: Timestamp::ZERO,
             period: 0,
-            position: order.position,
+            position: dispatch.position,
         }
     }
 
-    /// Returns the prompt tokens that the server still owes.
-    pub const fn owed(&self) -> TokenCount {
+    /// Returns the prompt tokens that the server has yet to compute.
+    pub const fn pending_prefill(&self) -> TokenCount {
         if self.started {
             TokenCount::ZERO
         } else {
@@ -63,13 +63,14 @@
         }
     }
 
-    /// Returns the plan of the next try, after the server had no room for this one.
-    pub const fn bounce(&self) -> AttemptPlan {
+    /// Returns the plan of the next attempt after the server rejected this one for lack of
+    /// capacity.
+    pub const fn requeue_plan(&self) -> AttemptPlan {
         AttemptPlan {
             attempt: Attempt::new(self.attempt.id, self.attempt.number + 1),
             position: self.position,
-            untouched: self.untouched,
-            bounced: self.bounced + 1,
+            not_run: self.not_run,
+            rejections: self.rejections + 1,
         }
     }
 }
--- a/azureway-core/src/router/in_flight_table.rs
+++ b/azureway-core/src/router/in_flight_table.rs
@@ -1,57 +1,58 @@
-//! The requests in flight.
+//! The table of requests in flight.
 
 use std::collections::BTreeMap;
 
 use super::InFlight;
 use crate::domain::{Attempt, RequestId, ServerId};
 
-/// The requests in flight by their identity.
+/// The requests in flight by their id.
 #[derive(Debug, Default)]
 pub struct InFlightTable {
-    flights: BTreeMap<RequestId, InFlight>,
+    requests: BTreeMap<RequestId, InFlight>,
 }
 
 impl InFlightTable {
-    /// Creates an empty set.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Returns the number of requests in flight.
     pub fn len(&self) -> usize {
-        self.flights.len()
+        self.requests.len()
     }
 
-    /// Tells whether nothing is in flight.
+    /// Returns whether no request is in flight.
     pub fn is_empty(&self) -> bool {
-        self.flights.is_empty()
+        self.requests.is_empty()
     }
 
-    /// Adds a request.
+    /// Inserts a request in flight.
     pub fn insert(&mut self, flight: InFlight) {
-        self.flights.insert(flight.attempt.id, flight);
+        self.requests.insert(flight.attempt.id, flight);
     }
 
-    /// Returns the request of a try, if it is the current one. News of an earlier try is stale.
+    /// Returns the request of an attempt, or `None` if the attempt is stale, that is, not the
+    /// current one of its request.
     pub fn current(&mut self, attempt: Attempt) -> Option<&mut InFlight> {
-        self.flights
+        self.requests
             .get_mut(&attempt.id)
             .filter(|f| f.attempt == attempt)
     }
 
-    /// Takes out the request of a try, if it is the current one.
+    /// Removes the request of an attempt, if the attempt is the current one.
     pub fn take(&mut self, attempt: Attempt) -> Option<InFlight> {
         self.current(attempt)?;
-        self.flights.remove(&attempt.id)
+        self.requests.remove(&attempt.id)
     }
 
-    /// Takes out a request, whatever its current try.
+    /// Removes a request, whatever its current attempt.
     pub fn remove(&mut self, id: RequestId) -> Option<InFlight> {
-        self.flights.remove(&id)
+        self.requests.remove(&id)
     }
 
-    /// Returns the requests in flight at a server.
-    pub fn at<'a>(&'a self, server: &'a ServerId) -> impl Iterator<Item = &'a InFlight> {
-        self.flights.values().filter(move |f| f.server == *server)
+    /// Returns the requests in flight at one server.
+    pub fn at_server<'a>(&'a self, server: &'a ServerId) -> impl Iterator<Item = &'a InFlight> {
+        self.requests.values().filter(move |f| f.server == *server)
     }
 }
--- a/azureway-core/src/router/obstacle.rs
+++ b/azureway-core/src/router/obstacle.rs
@@ -1,30 +1,30 @@
-//! Why a backend server does not get a request.
+//! The reasons why a backend server is not chosen.
 
 use super::PlacementRequest;
 use crate::domain::{ModelService, Timestamp};
 use crate::fleet::{Health, ServerState};
 
-/// Why a backend server does not get a request now.
+/// The reason why a backend server is not chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Obstacle {
-    /// It is leaving.
+    /// The server is leaving the fleet.
     Leaving,
-    /// It failed and is left alone for a while.
+    /// The server failed recently and is not retried yet.
     Suspect,
-    /// It has other weights loaded.
+    /// The server has other weights loaded.
     Weights,
-    /// This entry fills its share of the server's slots.
+    /// The server has no free slot for this request, by this entry's share of its slots.
     Full,
-    /// A nearer server is good enough.
+    /// A nearer server is fast enough.
     Far,
-    /// Another server is estimated to be as good or better.
+    /// The policy preferred another candidate.
     Behind,
 }
 
 impl Obstacle {
-    /// Returns why a server is no candidate.
-    pub fn between(
-        want: PlacementRequest<'_>,
+    /// Returns the reason why a server is not a candidate.
+    pub fn for_server(
+        query: PlacementRequest<'_>,
         state: &ServerState,
         service: &ModelService,
         now: Timestamp,
@@ -35,16 +35,16 @@
                 Health::Live | Health::Suspect => Self::Suspect,
             };
         }
-        if !want.fits(state, service, now) {
+        if !query.is_served_by(state, service, now) {
             return Self::Weights;
         }
-        match want.has_capacity(state, now) {
+        match query.has_capacity(state, now) {
             true => Self::Far,
             false => Self::Full,
         }
     }
 
-    /// Returns the name of the obstacle.
+    /// Returns the name of the obstacle on the wire.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
--- a/azureway-core/src/router/overview.rs
+++ b/azureway-core/src/router/overview.rs
@@ -1,31 +1,31 @@
-//! The state of a router at a glance.
+//! A summary of the state of a router.
 
 use crate::domain::{ConfigVersion, Rank, RequestKind};
 use crate::tally::{Outcome, OutcomeCount};
 
-/// The state of a router at a glance.
+/// A summary of the state of a router.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overview {
-    /// The configuration in force.
+    /// The version of the configuration in force.
     pub version: ConfigVersion,
     /// Whether the instance is shutting down.
     pub draining: bool,
-    /// The entry instances that share the zone's servers, with this one.
+    /// The number of entry instances that share the servers, including this one.
     pub entries: u32,
-    /// The requests of each rank that wait for a server, by [`Rank::index`].
+    /// The number of queued requests of each rank, by [`Rank::index`].
     pub queued: [usize; 2],
-    /// The requests in flight.
+    /// The number of requests in flight.
     pub in_flight: usize,
-    /// The requests that wait to be tried again.
+    /// The number of requests that wait for a retry.
     pub retries: usize,
-    /// The retries that are left in the budget.
+    /// The retries that are left in the retry budget.
     pub retry_budget: u64,
-    /// The claims that are asked for, held or being settled.
+    /// The number of claims that are being created, held or being closed.
     pub claims: usize,
-    /// The requests that were running when one backend server broke.
+    /// The number of requests that were running when one backend server failed.
     pub suspects: usize,
-    /// The requests that do not run, since two backend servers broke under them.
+    /// The number of requests that may not run because two backend servers failed while they ran.
     pub quarantined: usize,
-    /// How the requests ended.
+    /// The counts of ended requests by rank, kind and outcome.
     pub counts: Vec<(Rank, RequestKind, Outcome, OutcomeCount)>,
 }
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -1,4 +1,4 @@
-//! Finding a backend server for a request.
+//! Selection of a backend server for a request.
 
 use std::time::Duration;
 
@@ -13,70 +13,73 @@
     Candidate, Estimate, Locality, Policy, Rendezvous, ReplicaScaler, RequestProfile,
 };
 
-/// What is looked at to find a backend server for a request.
+/// The state that is consulted to select a backend server for a request.
 #[derive(Debug)]
 pub struct Placement<'a> {
-    /// The bounds of the router.
+    /// The configuration of the router.
     pub config: &'a RouterConfig,
-    /// The configuration in force.
+    /// The configuration of the fleet.
     pub fleet: &'a Fleet,
-    /// The servers.
+    /// The state of the backend servers.
     pub servers: &'a ServerTable,
     /// The index of cached blocks.
     pub index: &'a mut CacheIndex,
-    /// Over how many replicas each prefix is spread.
+    /// The number of replicas that each prefix gets.
     pub scaler: &'a ReplicaScaler,
     /// The guard against requests that crash servers.
     pub guard: &'a CrashGuard,
 }
 
-/// A short list of candidates.
+/// Candidates on the stack for up to 16 servers.
 type Candidates<'a> = SmallVec<[Candidate<'a>; 16]>;
 
-/// The time to first token above which the next reach is looked at too: a fifth of the target.
-const SPILL: Duration = Duration::from_millis(200);
-/// What an answer from older weights costs, as time, once newer ones have been named for a
-/// while: most of the time that an urgent request has.
-const OLD_WEIGHTS_TOLL: Duration = Duration::from_millis(250);
+/// The estimated time to first token above which servers of the next locality are considered:
+/// a fifth of the target.
+const SPILL_THRESHOLD: Duration = Duration::from_millis(200);
+/// The penalty, as time, of an answer from outdated weights once the grace period after newer
+/// ones were named is over: most of the time budget of an urgent request.
+const OUTDATED_WEIGHTS_COST: Duration = Duration::from_millis(250);
 
 impl<'a> Placement<'a> {
-    /// Chooses a server for a request.
+    /// Returns the candidate that the policy chooses, or `None` if no server can take the request.
     pub fn choose<P: Policy>(
         &mut self,
         policy: &mut P,
-        want: PlacementRequest<'_>,
+        query: PlacementRequest<'_>,
         service: &'a ModelService,
         now: Timestamp,
     ) -> Option<Candidate<'a>> {
-        let profile = want.profile(service);
-        let found = self.candidates(profile, want, service, now);
+        let profile = query.profile(service);
+        let candidates = self.candidates(profile, query, service, now);
         policy
-            .choose(profile, &found, now)
-            .map(|place| found[place])
+            .choose(profile, &candidates, now)
+            .map(|index| candidates[index])
     }
 
-    /// Tells of every server of the pool whether the request would go there, and why not.
+    /// Explains for every server of the pool whether it would be chosen and, if not, why.
     pub fn explain<P: Policy>(
         &mut self,
         policy: &mut P,
-        want: PlacementRequest<'_>,
+        query: PlacementRequest<'_>,
         service: &'a ModelService,
         now: Timestamp,
     ) -> Vec<RouteOption> {
-        let profile = want.profile(service);
-        let found = self.candidates(profile, want, service, now);
+        let profile = query.profile(service);
+        let candidates = self.candidates(profile, query, service, now);
         let best = policy
-            .choose(profile, &found, now)
-            .map(|place| found[place]);
-        let of_pool = self.servers.in_pool(&service.pool);
-        let order = Rendezvous::new(profile.prefix);
-        let options = of_pool.map(|state| {
-            let candidate = self.find(&found, state, want.request, &order);
+            .choose(profile, &candidates, now)
+            .map(|index| candidates[index]);
+        let servers = self.servers.in_pool(&service.pool);
+        let rendezvous = Rendezvous::new(profile.prefix);
+        let options = servers.map(|state| {
+            let candidate = self.candidate_for(&candidates, state, query.request, &rendezvous);
             let chosen = best.is_some_and(|b| b.state.server.id == state.server.id);
-            let listed = found.iter().any(|c| c.state.server.id == state.server.id);
+            let listed = candidates
+                .iter()
+                .any(|c| c.state.server.id == state.server.id);
             let obstacle = || match listed {
                 true => Obstacle::Behind,
-                false => Obstacle::between(want, state, service, now),
+                false => Obstacle::for_server(query, state, service, now),
             };
             RouteOption {
                 server: state.server.id.clone(),
@@ -90,133 +93,151 @@
         options.collect()
     }
 
-    /// Returns the candidate of a server, made up where the server is none.
-    fn find(
+    /// Returns the candidate of a server, or a hypothetical one if the server cannot take the
+    /// request.
+    fn candidate_for(
         &mut self,
-        found: &[Candidate<'a>],
+        candidates: &[Candidate<'a>],
         state: &'a ServerState,
         request: &Request,
-        order: &Rendezvous,
+        rendezvous: &Rendezvous,
     ) -> Candidate<'a> {
-        let listed = found.iter().find(|c| c.state.server.id == state.server.id);
-        let weights = (order.weight(&state.server.id), u64::MAX);
-        let reach = self.reach(state);
+        let listed = candidates
+            .iter()
+            .find(|c| c.state.server.id == state.server.id);
+        let weights = (rendezvous.weight(&state.server.id), u64::MAX);
+        let locality = self.locality(state);
         listed
             .copied()
-            .unwrap_or_else(|| self.candidate(state, request, reach, weights))
+            .unwrap_or_else(|| self.candidate(state, request, locality, weights))
     }
 
-    /// Returns the servers that can take the request now. Those that have stopped to report are
-    /// looked at only if no other is alive.
+    /// Returns the servers that can take the request now. Servers with stale reports are
+    /// considered only if no other is alive, and the server that failed the request last only if
+    /// there is no other candidate.
     fn candidates(
         &mut self,
         profile: RequestProfile,
-        want: PlacementRequest<'_>,
+        query: PlacementRequest<'_>,
         service: &'a ModelService,
         now: Timestamp,
     ) -> Candidates<'a> {
-        let mut found = Candidates::new();
-        if !self.collect(false, profile, want, service, now, &mut found) {
-            self.collect(true, profile, want, service, now, &mut found);
+        let mut candidates = Candidates::new();
+        if !self.collect_candidates(false, profile, query, service, now, &mut candidates) {
+            self.collect_candidates(true, profile, query, service, now, &mut candidates);
         }
-        let other = |c: &Candidate<'_>| Some(&c.state.server.id) != want.failed;
-        if found.iter().any(other) {
-            found.retain(|c| other(c));
+        let other = |c: &Candidate<'_>| Some(&c.state.server.id) != query.failed_server;
+        if candidates.iter().any(other) {
+            candidates.retain(|c| other(c));
         }
-        found
+        candidates
     }
 
-    /// Adds the servers, the nearest first and then in the order of their names. Farther ones
-    /// are looked at when the nearer ones are full or slow. Returns whether any is alive.
-    fn collect(
+    /// Adds candidates from the nearest locality outwards, in name order within each. Farther
+    /// localities are considered only if the nearer servers are full or slow. Returns whether
+    /// any server is alive.
+    fn collect_candidates(
         &mut self,
-        quiet: bool,
+        stale: bool,
         profile: RequestProfile,
-        want: PlacementRequest<'_>,
+        query: PlacementRequest<'_>,
         service: &'a ModelService,
         now: Timestamp,
-        found: &mut Candidates<'a>,
+        candidates: &mut Candidates<'a>,
     ) -> bool {
-        if self.is_wide(want.request, service) {
-            return self.survey(None, quiet, want, service, now, found);
+        if self.is_global(query.request, service) {
+            return self.add_candidates(None, stale, query, service, now, candidates);
         }
         let mut alive = false;
-        for reach in Locality::ALL {
-            // Traffic to another region is paid: it is for a region without any server, and
-            // for requests that have waited.
-            // So is a second try, which a server that has failed the first would get otherwise.
-            let waited = now.since(want.request.arrived) >= self.config.remote_delay
-                || (self.config.shared_servers && want.failed.is_some());
-            if reach == Locality::Remote && alive && !waited {
+        for locality in Locality::ALL {
+            // Traffic to another region is billed. It is allowed if no nearer server is alive,
+            // for requests that have waited, and, where servers are shared, for retries, which
+            // would otherwise go back to the server that failed the last attempt.
+            let waited = now.since(query.request.arrived) >= self.config.remote_delay
+                || (self.config.shared_servers && query.failed_server.is_some());
+            if locality == Locality::Remote && alive && !waited {
                 break;
             }
-            alive |= self.survey(Some(reach), quiet, want, service, now, found);
+            alive |= self.add_candidates(Some(locality), stale, query, service, now, candidates);
             let time = |c: &Candidate<'_>| Estimate::new(profile, c, now).total();
             let shared = self.config.shared_servers;
-            let other = |c: &Candidate<'_>| !shared || Some(&c.state.server.id) != want.failed;
-            if found.iter().any(|c| time(c) <= SPILL && other(c)) {
+            let other =
+                |c: &Candidate<'_>| !shared || Some(&c.state.server.id) != query.failed_server;
+            if candidates
+                .iter()
+                .any(|c| time(c) <= SPILL_THRESHOLD && other(c))
+            {
                 break;
             }
         }
         alive
     }
 
-    /// Adds the servers within one reach, or all of them. Returns whether any could take the
-    /// request at all.
-    fn survey(
+    /// Adds the servers of one locality, or of all if `locality` is `None`. Returns whether any
+    /// could serve the request if it had capacity.
+    fn add_candidates(
         &mut self,
-        reach: Option<Locality>,
-        quiet: bool,
-        want: PlacementRequest<'_>,
+        locality: Option<Locality>,
+        stale: bool,
+        query: PlacementRequest<'_>,
         service: &'a ModelService,
         now: Timestamp,
-        found: &mut Candidates<'a>,
+        candidates: &mut Candidates<'a>,
     ) -> bool {
-        let order = Rendezvous::new(want.request.chain.prefix());
-        let near = self.servers.in_pool(&service.pool);
-        let near = near.filter(|s| s.is_stale(now) == quiet);
-        let near = near.filter(|s| reach.is_none_or(|r| self.reach(s) == r));
-        let near = near.filter(|s| want.fits(s, service, now));
-        let mut fit: SmallVec<[(u64, &ServerState); 16]> =
-            near.map(|s| (order.weight(&s.server.id), s)).collect();
-        let bound = self.home_bound(want.request, &fit, now);
-        fit.retain(|(_, s)| want.has_capacity(s, now) && self.admits(want, s, now));
-        let wide = reach.is_none();
-        for (weight, state) in &fit {
-            let near = self.reach(state);
-            let mut candidate = self.candidate(state, want.request, near, (*weight, bound));
-            if wide {
-                // A copy in each region would leave room for a third of the prompts.
+        let rendezvous = Rendezvous::new(query.request.chain.prefix());
+        let servers = self.servers.in_pool(&service.pool);
+        let servers = servers.filter(|s| s.is_stale(now) == stale);
+        let servers = servers.filter(|s| locality.is_none_or(|r| self.locality(s) == r));
+        let servers = servers.filter(|s| query.is_served_by(s, service, now));
+        let mut eligible: SmallVec<[(u64, &ServerState); 16]> = servers
+            .map(|s| (rendezvous.weight(&s.server.id), s))
+            .collect();
+        let threshold = self.replica_threshold(query.request, &eligible, now);
+        eligible.retain(|(_, s)| query.has_capacity(s, now) && self.is_allowed(query, s, now));
+        let global = locality.is_none();
+        for (weight, state) in &eligible {
+            let locality = self.locality(state);
+            let mut candidate =
+                self.candidate(state, query.request, locality, (*weight, threshold));
+            if global {
+                // Otherwise each region would cache its own copy, and the caches would hold a
+                // third as many prompts.
                 candidate.traffic_cost = Duration::ZERO;
             }
             let rollout = service.rollout.as_ref().zip(state.weights);
             if rollout.is_some_and(|(r, loaded)| r.is_outdated(loaded, now)) {
-                candidate.traffic_cost += OLD_WEIGHTS_TOLL;
+                candidate.traffic_cost += OUTDATED_WEIGHTS_COST;
             }
-            found.push(candidate);
+            candidates.push(candidate);
         }
         if self.config.shared_servers {
-            presume(found, want.request);
+            assume_replicas_cached(candidates, query.request);
         }
-        bound < u64::MAX
+        threshold < u64::MAX
     }
 
-    fn admits(&self, want: PlacementRequest<'_>, state: &ServerState, now: Timestamp) -> bool {
-        let begun = want.is_begun();
+    fn is_allowed(&self, query: PlacementRequest<'_>, state: &ServerState, now: Timestamp) -> bool {
+        let begun = query.is_begun();
         self.guard
-            .allows(want.request, begun, &state.server.id, now)
+            .allows(query.request, begun, &state.server.id, now)
     }
 
-    /// Returns the least weight of the servers that the prefix is kept on. These are chosen
-    /// among all that are alive, with room or without, so that every entry finds the same.
-    fn home_bound(&self, request: &Request, fit: &[(u64, &ServerState)], now: Timestamp) -> u64 {
-        let Some((_, first)) = fit.first() else {
+    /// Returns the lowest rendezvous weight among the replicas of the prefix. They are chosen
+    /// from all live servers, with or without capacity, so that every entry chooses the same
+    /// ones.
+    fn replica_threshold(
+        &self,
+        request: &Request,
+        eligible: &[(u64, &ServerState)],
+        now: Timestamp,
+    ) -> u64 {
+        let Some((_, first)) = eligible.first() else {
             return u64::MAX;
         };
         let (slots, entries) = (first.server.slots, first.entries());
         let prefix = request.chain.prefix();
         let count = self.scaler.replicas(prefix, slots, entries, now);
-        let mut weights: SmallVec<[u64; 16]> = fit.iter().map(|(w, _)| *w).collect();
+        let mut weights: SmallVec<[u64; 16]> = eligible.iter().map(|(w, _)| *w).collect();
         weights.sort_unstable_by(|a, b| b.cmp(a));
         weights[count.min(weights.len()) - 1]
     }
@@ -225,22 +246,22 @@
         &mut self,
         state: &'a ServerState,
         request: &Request,
-        reach: Locality,
-        (weight, bound): (u64, u64),
+        locality: Locality,
+        (weight, threshold): (u64, u64),
     ) -> Candidate<'a> {
         let (id, incarnation) = (&state.server.id, state.incarnation);
-        let replica = weight >= bound;
+        let replica = weight >= threshold;
         let mut cached = self
             .index
             .cached_tokens(id, incarnation, request.chain.blocks());
         if replica && !self.config.shared_servers && !self.index.is_complete(id, incarnation) {
-            // An entry that has just started takes a prefix to be where it is kept.
+            // An entry that has just started assumes that replicas hold the prefix.
             cached = cached.max(request.chain.prefix_tokens());
         }
-        let (link, traffic_cost) = match reach {
+        let (link, traffic_cost) = match locality {
             Locality::Zone => (Duration::ZERO, Duration::ZERO),
             Locality::Region => (self.config.zone_latency, Duration::ZERO),
-            Locality::Remote => (self.config.remote_latency, self.toll(request)),
+            Locality::Remote => (self.config.remote_latency, self.traffic_cost(request)),
         };
         Candidate {
             state,
@@ -252,7 +273,7 @@
         }
     }
 
-    fn reach(&self, state: &ServerState) -> Locality {
+    fn locality(&self, state: &ServerState) -> Locality {
         let (own, zone) = (&self.config.zone, &state.server.zone);
         if own == zone {
             Locality::Zone
@@ -264,12 +285,12 @@
     }
 }
 
-/// Takes the prefix to be where it is kept, if no server is known to hold it: whoever asks for it
-/// next then finds it there.
-fn presume(found: &mut Candidates<'_>, request: &Request) {
+/// Assumes that the replicas hold the prefix if no server is known to hold all of it, so that
+/// later requests with the prefix find it there.
+fn assume_replicas_cached(candidates: &mut Candidates<'_>, request: &Request) {
     let shared = request.chain.prefix_tokens();
-    if found.iter().all(|c| c.cached < shared) {
-        let replicas = found.iter_mut().filter(|c| c.replica);
+    if candidates.iter().all(|c| c.cached < shared) {
+        let replicas = candidates.iter_mut().filter(|c| c.replica);
         replicas.for_each(|c| c.cached = c.cached.max(shared));
     }
 }
--- a/azureway-core/src/router/placement_request.rs
+++ b/azureway-core/src/router/placement_request.rs
@@ -1,4 +1,4 @@
-//! What is asked of a placement.
+//! The input of a placement decision.
 
 use super::AttemptPlan;
 use crate::domain::{
@@ -7,38 +7,39 @@
 use crate::fleet::ServerState;
 use crate::route::RequestProfile;
 
-/// A request that wants a backend server now.
+/// A request to be placed on a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The request.
+    /// The request to place.
     pub request: &'a Request,
-    /// What is to be tried.
+    /// The plan of the next attempt.
     pub plan: AttemptPlan,
-    /// The server that failed it last, which is taken only if there is no other.
-    pub failed: Option<&'a ServerId>,
-    /// Whether the floor grants drafting the slots that are kept for urgent work.
-    pub owed: bool,
+    /// The server that failed the last attempt, which is chosen only if there is no other.
+    pub failed_server: Option<&'a ServerId>,
+    /// Whether drafting work may use the slots reserved for urgent work, because its guaranteed
+    /// share is due.
+    pub use_reserved: bool,
 }
 
 impl<'a> PlacementRequest<'a> {
-    /// Creates the want of a request that has failed nowhere.
-    pub const fn new(request: &'a Request, plan: AttemptPlan, owed: bool) -> Self {
+    /// Creates the placement request of an attempt without a failed server.
+    pub const fn new(request: &'a Request, plan: AttemptPlan, use_reserved: bool) -> Self {
         Self {
             request,
             plan,
-            failed: None,
-            owed,
+            failed_server: None,
+            use_reserved,
         }
     }
 
-    /// Sets the server that failed the request last, if one did.
+    /// Sets the server that failed the last attempt, if any.
     #[must_use]
-    pub const fn with_failed(mut self, failed: Option<&'a ServerId>) -> Self {
-        self.failed = failed;
+    pub const fn with_failed_server(mut self, server: Option<&'a ServerId>) -> Self {
+        self.failed_server = server;
         self
     }
 
-    /// Returns what a policy is told of the request.
+    /// Returns the properties of the request that a routing policy uses.
     pub fn profile(&self, service: &ModelService) -> RequestProfile {
         let shared = self.request.chain.prefix_tokens();
         RequestProfile {
@@ -54,24 +55,30 @@
         }
     }
 
-    /// Tells whether a stream that has begun is to be resumed.
+    /// Returns whether the attempt resumes a stream that has begun.
     pub fn is_begun(&self) -> bool {
         self.plan.position > StreamPosition::ZERO
     }
 
-    /// Tells whether a server is alive and has what a request to `service` needs.
-    pub fn fits(&self, state: &ServerState, service: &ModelService, now: Timestamp) -> bool {
-        let takes = |loaded| service.accepts_weights(loaded, self.request.weights, now);
-        let weights = service.kind == ServiceKind::Plain || state.weights.is_none_or(takes);
-        weights && state.accepts(now)
+    /// Returns whether a server accepts work and has weights that serve the request.
+    pub fn is_served_by(
+        &self,
+        state: &ServerState,
+        service: &ModelService,
+        now: Timestamp,
+    ) -> bool {
+        let accepts = |loaded| service.accepts_weights(loaded, self.request.weights, now);
+        let has_weights = service.kind == ServiceKind::Plain || state.weights.is_none_or(accepts);
+        has_weights && state.accepts(now)
     }
 
-    /// Tells whether a server has room. A stream that has begun may use any slot.
+    /// Returns whether a server has a free slot for the request. A stream that has begun may use
+    /// any slot.
     pub fn has_capacity(&self, state: &ServerState, now: Timestamp) -> bool {
         if self.is_begun() {
             state.in_flight() < state.server.slots
         } else {
-            state.has_capacity(self.request.rank, self.owed, now)
+            state.has_capacity(self.request.rank, self.use_reserved, now)
         }
     }
 }
--- a/azureway-core/src/router/queues.rs
+++ b/azureway-core/src/router/queues.rs
@@ -1,111 +1,113 @@
-//! The requests that wait, by pool.
+//! The queued requests of all pools.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::admit::{BlockedClasses, PoolQueue, QueuedRequest};
 use crate::domain::{PoolId, Rank, Request, RequestId, Timestamp};
 
-/// The requests that wait, in one order for each pool.
+/// The queued requests, with one queue for each pool.
 ///
-/// A pool is marked when something changed that may let a request of it go.
+/// A pool is marked as dirty when a change may allow one of its requests to be dispatched.
 #[derive(Debug, Default)]
 pub struct Queues {
     pools: BTreeMap<PoolId, PoolQueue>,
-    pool_of: HashMap<RequestId, PoolId>,
-    marked: BTreeSet<PoolId>,
-    floor: u8,
+    pools_by_request: HashMap<RequestId, PoolId>,
+    dirty: BTreeSet<PoolId>,
+    drafting_share: u8,
 }
 
 impl Queues {
-    /// Creates empty queues.
+    /// Creates a set without queues.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets the share of drafting, in percent.
-    pub fn set_floor(&mut self, floor: u8) {
-        self.floor = floor;
+    /// Sets the guaranteed share of drafting work, in percent.
+    pub fn set_drafting_share(&mut self, percent: u8) {
+        self.drafting_share = percent;
         self.pools
             .values_mut()
-            .for_each(|q| q.set_drafting_share(floor));
+            .for_each(|q| q.set_drafting_share(percent));
     }
 
-    /// Marks a pool, if a request waits for it.
-    pub fn mark(&mut self, pool: &PoolId) {
-        if self.len_of(pool) > 0 {
-            self.marked.insert(pool.clone());
+    /// Marks a pool as dirty if it has queued requests.
+    pub fn mark_dirty(&mut self, pool: &PoolId) {
+        if self.pool_len(pool) > 0 {
+            self.dirty.insert(pool.clone());
         }
     }
 
-    /// Marks every pool for which a request waits.
-    pub fn mark_all(&mut self) {
+    /// Marks every pool with queued requests as dirty.
+    pub fn mark_all_dirty(&mut self) {
         let waiting = self.pools.iter().filter(|(_, q)| !q.is_empty());
-        self.marked.extend(waiting.map(|(p, _)| p.clone()));
+        self.dirty.extend(waiting.map(|(p, _)| p.clone()));
     }
 
-    /// Takes a marked pool.
-    pub fn next_marked(&mut self) -> Option<PoolId> {
-        self.marked.pop_first()
+    /// Removes and returns a dirty pool.
+    pub fn pop_dirty(&mut self) -> Option<PoolId> {
+        self.dirty.pop_first()
     }
 
-    /// Returns the order of a pool.
+    /// Returns the queue of a pool.
     pub fn get(&self, pool: &PoolId) -> Option<&PoolQueue> {
         self.pools.get(pool)
     }
 
-    /// Returns the number of requests that wait for a pool.
-    pub fn len_of(&self, pool: &PoolId) -> usize {
+    /// Returns the number of queued requests of a pool.
+    pub fn pool_len(&self, pool: &PoolId) -> usize {
         self.pools.get(pool).map_or(0, PoolQueue::len)
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
-        self.pool_of.len()
+        self.pools_by_request.len()
     }
 
-    /// Returns the number of requests of `rank` that wait.
+    /// Returns the number of queued requests of `rank`.
     pub fn depth(&self, rank: Rank) -> usize {
         self.pools.values().map(|q| q.depth(rank)).sum()
     }
 
-    /// Tells whether no request waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.pool_of.is_empty()
+        self.pools_by_request.is_empty()
     }
 
-    /// Adds a request at `now` and marks its pool.
+    /// Adds a request at `now` and marks its pool as dirty.
     pub fn push(&mut self, pool: PoolId, queued: QueuedRequest, now: Timestamp) {
-        let floor = self.floor;
-        self.pool_of.insert(queued.request.id, pool.clone());
-        self.marked.insert(pool.clone());
-        let order = self
+        let drafting_share = self.drafting_share;
+        self.pools_by_request
+            .insert(queued.request.id, pool.clone());
+        self.dirty.insert(pool.clone());
+        let queue = self
             .pools
             .entry(pool)
-            .or_insert_with(|| PoolQueue::new(floor));
-        order.push(queued, now);
+            .or_insert_with(|| PoolQueue::new(drafting_share));
+        queue.push(queued, now);
     }
 
-    /// Returns the request that goes next at a pool, and whether the floor grants its place.
+    /// Returns the next request of a pool outside the blocked classes, and whether it is due by
+    /// the guaranteed share of drafting work.
     pub fn peek(&self, pool: &PoolId, blocked: &BlockedClasses) -> Option<(&QueuedRequest, bool)> {
-        let order = self.pools.get(pool)?;
-        let queued = order.peek(blocked)?;
-        Some((queued, order.has_credit(&queued.request)))
+        let queue = self.pools.get(pool)?;
+        let queued = queue.peek(blocked)?;
+        Some((queued, queue.has_credit(&queued.request)))
     }
 
-    /// Takes out a request that is served at `now`.
+    /// Removes a request that is served at `now`.
     pub fn take(&mut self, id: RequestId, now: Timestamp) -> Option<QueuedRequest> {
-        let pool = self.pool_of.remove(&id)?;
+        let pool = self.pools_by_request.remove(&id)?;
         self.pools.get_mut(&pool)?.take(id, now)
     }
 
-    /// Takes out a request that is not served.
+    /// Removes a request that is not served.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
-        let pool = self.pool_of.remove(&id)?;
+        let pool = self.pools_by_request.remove(&id)?;
         let queued = self.pools.get_mut(&pool)?.remove(id);
         queued.map(|q| q.request)
     }
 
-    /// Takes out every request whose deadline lies before `now`.
+    /// Removes every request whose deadline is before `now`.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Request> {
         let late: Vec<_> = self
             .pools
@@ -114,19 +116,19 @@
             .collect();
         let requests = late.into_iter().map(|q| q.request);
         requests
-            .inspect(|r| drop(self.pool_of.remove(&r.id)))
+            .inspect(|r| drop(self.pools_by_request.remove(&r.id)))
             .collect()
     }
 
-    /// Returns the earliest arrival of the requests that go next.
-    pub fn oldest(&self) -> Option<Timestamp> {
+    /// Returns the earliest arrival among the next requests of all pools.
+    pub fn earliest_arrival(&self) -> Option<Timestamp> {
         let open = BlockedClasses::new();
         let heads = self.pools.values().filter_map(|q| q.peek(&open));
         heads.map(|q| q.request.arrived).min()
     }
 
-    /// Returns the earliest deadline of the requests that wait.
-    pub fn earliest(&self) -> Option<Timestamp> {
+    /// Returns the earliest deadline of the queued requests.
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.pools
             .values()
             .filter_map(PoolQueue::next_deadline)
--- a/azureway-core/src/router/retry.rs
+++ b/azureway-core/src/router/retry.rs
@@ -1,4 +1,4 @@
-//! A request that waits to be tried again.
+//! A request that waits for a retry.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 use crate::domain::{Attempt, Refusal, Request, ServerId, StreamPosition, Timestamp};
 use crate::event::Failure;
 
-/// A request that waits to be tried again.
+/// A request that waits for a retry.
 #[derive(Clone, Debug)]
 pub struct Retry {
-    /// The request.
+    /// The request to retry.
     pub request: Request,
-    /// What is to be tried.
+    /// The plan of the next attempt.
     pub plan: AttemptPlan,
-    /// The server that failed it last, if one did.
-    pub failed: Option<ServerId>,
-    /// How long it waits at most.
-    pub until: Timestamp,
+    /// The server that failed the last attempt, if any.
+    pub failed_server: Option<ServerId>,
+    /// The time after which the request is given up.
+    pub expires: Timestamp,
 }
 
-/// How long a stream that has begun waits for a server that resumes it.
-const RESUME_PATIENCE: Duration = Duration::from_secs(10);
+/// The maximum time that a stream that has begun waits for a server to resume it.
+const RESUME_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Retry {
     /// Creates the retry that follows from a failure of `flight`.
@@ -29,38 +29,38 @@
         let plan = AttemptPlan {
             attempt: Attempt::new(id, flight.attempt.number + 1),
             position: failure.position,
-            untouched: flight.untouched && failure.sent.is_not_run(),
-            bounced: flight.bounced,
+            not_run: flight.not_run && failure.sent.is_not_run(),
+            rejections: flight.rejections,
         };
         let begun = plan.position > StreamPosition::ZERO;
-        // The deadline is for the first token; a stream that has begun has met it.
+        // The deadline applies to the first token, which a stream that has begun has delivered.
         let deadline = flight.request.deadline.timestamp();
-        let until = if begun {
-            now + RESUME_PATIENCE
+        let expires = if begun {
+            now + RESUME_TIMEOUT
         } else {
             deadline
         };
         Self {
             request: flight.request,
             plan,
-            failed: Some(flight.server),
-            until,
+            failed_server: Some(flight.server),
+            expires,
         }
     }
 
-    /// Creates the retry of a suspect that has to wait for a server of its own.
-    pub fn held(request: Request, plan: AttemptPlan) -> Self {
+    /// Creates the retry of a suspect request, which waits for a server without other suspects.
+    pub fn for_suspect(request: Request, plan: AttemptPlan) -> Self {
         Self {
-            until: request.deadline.timestamp(),
+            expires: request.deadline.timestamp(),
             request,
             plan,
-            failed: None,
+            failed_server: None,
         }
     }
 
-    /// Returns the refusal of the request if it is not tried again.
+    /// Returns the refusal of the request if it is not retried.
     pub fn give_up(&self) -> Refusal {
         let begun = self.plan.position > StreamPosition::ZERO;
-        super::Verdict::give_up(begun, self.plan.untouched)
+        super::RetryDecision::give_up(begun, self.plan.not_run)
     }
 }
--- a/azureway-core/src/router/verdict.rs
+++ b/azureway-core/src/router/retry_decision.rs
@@ -1,59 +1,61 @@
-//! What follows from a failed try.
+//! The decision about a request after a failed attempt.
 
 use super::InFlight;
 use crate::domain::{Refusal, RefusalReason, RequestKind, StreamPosition, Timestamp};
 use crate::event::Failure;
 
-/// What follows from a failed try.
+/// The decision about a request after a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Try again.
+pub enum RetryDecision {
+    /// Retry the request.
     Retry,
-    /// Wait again for a server with room.
-    Wait,
+    /// Return the request to its queue until a server has capacity.
+    Requeue,
     /// Refuse the request or end its stream.
     Refuse(Refusal),
 }
 
-/// The tries of a request that servers may refuse for lack of room before it is given up.
-const BOUNCES: u32 = 8;
+/// The maximum number of capacity rejections of a request before it is given up.
+const MAX_REJECTIONS: u32 = 8;
 
-impl Verdict {
-    /// Judges a failure of `flight`. `tries` bounds the tries of a request.
-    pub fn new(flight: &InFlight, failure: &Failure, tries: u32, now: Timestamp) -> Self {
+impl RetryDecision {
+    /// Decides about `flight` after a failure. `max_attempts` bounds its attempts, apart from
+    /// capacity rejections.
+    pub fn new(flight: &InFlight, failure: &Failure, max_attempts: u32, now: Timestamp) -> Self {
         let not_run = failure.sent.is_not_run();
         if !not_run && flight.request.kind == RequestKind::AtMostOnce {
             let detail = "the backend server failed after it may have run the request";
             return Self::Refuse(Refusal::maybe_run(RefusalReason::ServerFailed, detail));
         }
-        if failure.is_capacity_rejection() && flight.untouched {
-            return if flight.bounced < BOUNCES {
-                Self::Wait
+        if failure.is_capacity_rejection() && flight.not_run {
+            return if flight.rejections < MAX_REJECTIONS {
+                Self::Requeue
             } else {
                 Self::Refuse(Self::give_up(false, true))
             };
         }
-        // The deadline is for the first token: a stream that has begun is finished.
+        // The deadline applies to the first token, so a stream that has begun is still completed.
         let begun = failure.position > StreamPosition::ZERO;
         let late = !begun && flight.request.deadline.is_past(now);
-        let tries = flight
+        let max_attempts = flight
             .request
             .max_attempts
-            .map_or(tries, |own| own.min(tries));
-        if !late && flight.attempt.number - flight.bounced < tries {
+            .map_or(max_attempts, |own| own.min(max_attempts));
+        if !late && flight.attempt.number - flight.rejections < max_attempts {
             return Self::Retry;
         }
-        Self::Refuse(Self::give_up(begun, not_run && flight.untouched))
+        Self::Refuse(Self::give_up(begun, not_run && flight.not_run))
     }
 
-    /// Returns the refusal of a request that waited past its deadline.
-    pub fn late() -> Refusal {
+    /// Returns the refusal of a request whose deadline passed in the queue.
+    pub fn deadline_passed() -> Refusal {
         let detail = "the deadline passed in the queue";
         Refusal::not_run(RefusalReason::Deadline, detail)
     }
 
-    /// Returns the refusal of a request under which backend servers broke.
-    pub fn barred(not_run: bool) -> Refusal {
+    /// Returns the refusal of a request that is quarantined because backend servers crashed
+    /// while they ran it.
+    pub fn quarantined(not_run: bool) -> Refusal {
         let detail = "backend servers crashed while they ran this request";
         if not_run {
             Refusal::not_run(RefusalReason::Quarantined, detail)
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Returns the refusal of a request that is not tried again.
+    /// Returns the refusal of a request that is not retried.
     pub fn give_up(begun: bool, not_run: bool) -> Refusal {
         match (begun, not_run) {
             (true, _) => Refusal::maybe_run(
--- a/azureway-core/src/router/route_option.rs
+++ b/azureway-core/src/router/route_option.rs
@@ -1,22 +1,22 @@
-//! One backend server in an explanation.
+//! The explanation of a placement decision for one backend server.
 
 use super::Obstacle;
 use crate::domain::{ServerId, TokenCount, ZoneId};
 use crate::route::Estimate;
 
-/// One backend server in an explanation.
+/// The explanation of a placement decision for one backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteOption {
-    /// The server.
+    /// The backend server.
     pub server: ServerId,
-    /// The availability zone that it stands in.
+    /// The availability zone of the server.
     pub zone: ZoneId,
-    /// The tokens of the prompt that it is believed to hold.
+    /// The prompt tokens that the server is believed to have cached.
     pub cached: TokenCount,
-    /// The parts of the estimated time to first token.
+    /// The components of the estimated time to first token.
     pub estimate: Estimate,
-    /// Whether the prefix is kept on this server.
+    /// Whether the server is a replica of the prefix.
     pub replica: bool,
-    /// Why it does not get the request; the chosen server has no obstacle.
+    /// The reason why the server is not chosen, or `None` for the chosen one.
     pub obstacle: Option<Obstacle>,
 }
--- a/azureway-core/src/router/sharing.rs
+++ b/azureway-core/src/router/sharing.rs
@@ -1,4 +1,4 @@
-//! Where entries share servers: what a placement does about prefixes that servers can fetch.
+//! Placement of prefixes that backend servers can fetch from one another.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,10 +11,11 @@
 use crate::route::{Candidate, Rendezvous};
 
 impl<'a> Placement<'a> {
-    /// Returns the address of a server that is believed to hold more of the prompt than the
-    /// chosen one. Where no server is known to, it is the one that the prefix is kept on first:
-    /// a fetch that finds nothing costs far less than computing the prefix again.
-    pub fn source(
+    /// Returns the address of a server to fetch cached blocks from: the one that holds the most
+    /// of the prompt, if that is more than the chosen server holds. If no server is known to, it
+    /// is the one with the highest rendezvous weight, since a fetch that finds nothing costs far
+    /// less than recomputing the prefix.
+    pub fn fetch_source(
         &mut self,
         request: &Request,
         service: &'a ModelService,
@@ -24,41 +25,52 @@
         if !service.peer_fetch || request.chain.blocks().is_empty() {
             return None;
         }
-        let own = best.state;
-        let same = |s: &&ServerState| s.server.id != own.server.id && s.weights == own.weights;
+        let chosen = best.state;
+        let is_source =
+            |s: &&ServerState| s.server.id != chosen.server.id && s.weights == chosen.weights;
         let others = self.servers.in_pool(&service.pool);
-        let others: SmallVec<[&ServerState; 16]> =
-            others.filter(same).filter(|s| s.accepts(now)).collect();
-        let order = Rendezvous::new(request.chain.prefix());
+        let others: SmallVec<[&ServerState; 16]> = others
+            .filter(is_source)
+            .filter(|s| s.accepts(now))
+            .collect();
+        let rendezvous = Rendezvous::new(request.chain.prefix());
         let blocks = request.chain.blocks();
-        let known = self
+        let cached = self
             .index
-            .cached_tokens(&own.server.id, own.incarnation, blocks);
-        // A server that was only sent the prompt may not have computed it yet.
+            .cached_tokens(&chosen.server.id, chosen.incarnation, blocks);
+        // Only confirmed blocks count: a server that was sent the prompt may not have computed
+        // it yet.
         let mut confirmed = |s: &ServerState| {
             self.index
                 .confirmed_tokens(&s.server.id, s.incarnation, blocks)
         };
-        let most = others
+        let fullest = others
             .into_iter()
-            .map(|s| (confirmed(s), order.weight(&s.server.id), s.server.address))
+            .map(|s| {
+                (
+                    confirmed(s),
+                    rendezvous.weight(&s.server.id),
+                    s.server.address,
+                )
+            })
             .max_by_key(|(tokens, weight, _)| (*tokens, *weight))?;
-        let more = most.0 > known || known < request.chain.prefix_tokens();
-        more.then_some(most.2)
+        let worthwhile = fullest.0 > cached || cached < request.chain.prefix_tokens();
+        worthwhile.then_some(fullest.2)
     }
 
-    /// Tells whether a prompt is kept in one place for all regions: where entries share the
-    /// servers, and computing the shared prefix once more takes longer than the way there.
-    pub(super) fn is_wide(&self, request: &Request, service: &ModelService) -> bool {
+    /// Returns whether the prefix has one set of replicas for all regions. That is so if entries
+    /// share the servers and recomputing the prefix takes longer than a round trip to another
+    /// region plus the traffic cost.
+    pub(super) fn is_global(&self, request: &Request, service: &ModelService) -> bool {
         let shared = request.chain.prefix_tokens();
-        let first = self.servers.in_pool(&service.pool).next();
-        let prefill = first.map_or(Duration::ZERO, |s| s.server.prefill.time_for(shared));
-        let way = self.config.remote_latency * 2 + self.toll(request);
-        self.config.shared_servers && prefill > way
+        let server = self.servers.in_pool(&service.pool).next();
+        let prefill = server.map_or(Duration::ZERO, |s| s.server.prefill.time_for(shared));
+        let remote_cost = self.config.remote_latency * 2 + self.traffic_cost(request);
+        self.config.shared_servers && prefill > remote_cost
     }
 
-    /// Returns what sending a request to another region costs, as time.
-    pub(super) fn toll(&self, request: &Request) -> Duration {
+    /// Returns the cost of sending a request to another region, as time.
+    pub(super) fn traffic_cost(&self, request: &Request) -> Duration {
         self.config.traffic_rate.time_for(request.chain.tokens())
     }
 }
--- a/azureway-core/src/router/suspects.rs
+++ b/azureway-core/src/router/suspects.rs
@@ -1,6 +1,6 @@
-//! What a router does about requests under which backend servers broke.
+//! Handling of requests that were running when backend servers failed.
 
-use super::{InFlight, Retry, Router, Verdict};
+use super::{InFlight, Retry, RetryDecision, Router};
 use crate::admit::{BlockedClasses, QueuedRequest};
 use crate::domain::{Fingerprint, StreamPosition, Timestamp};
 use crate::event::{Action, Failure};
@@ -8,52 +8,53 @@
 use crate::route::Policy;
 
 impl<P: Policy> Router<P> {
-    /// Returns how a request stands after what its earlier sendings did.
+    /// Returns the suspect status of a request from the earlier attempts with its fingerprint.
     pub fn suspect_status(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
-        self.sender.guard().status(fingerprint, now)
+        self.dispatcher.guard().status(fingerprint, now)
     }
 
-    /// Judges a failed try. A request that is quarantined by now is not tried again, unless it
-    /// is a stream that the failed try brought forward.
-    pub(super) fn judge(
+    /// Decides about a request after a failed attempt. A request that is quarantined by now is
+    /// not retried unless the failed attempt advanced its stream.
+    pub(super) fn decide_retry(
         &mut self,
         flight: &InFlight,
         failure: &Failure,
         now: Timestamp,
         out: &mut Vec<Action>,
-    ) -> Verdict {
+    ) -> RetryDecision {
         let fingerprint = &flight.request.fingerprint;
-        if self.sender.guard().is_quarantined(fingerprint, now) {
-            self.banish(fingerprint, out);
+        if self.dispatcher.guard().is_quarantined(fingerprint, now) {
+            self.refuse_quarantined(fingerprint, out);
             if failure.position <= flight.position {
-                let untouched = flight.untouched && failure.sent.is_not_run();
+                let not_run = flight.not_run && failure.sent.is_not_run();
                 let begun = failure.position > StreamPosition::ZERO;
-                return Verdict::Refuse(Verdict::give_up(begun, untouched));
+                return RetryDecision::Refuse(RetryDecision::give_up(begun, not_run));
             }
         }
-        Verdict::new(flight, failure, self.config.max_attempts, now)
+        RetryDecision::new(flight, failure, self.config.max_attempts, now)
     }
 
-    /// Takes in a strike of another entry.
-    pub(super) fn struck(&mut self, strike: &Strike, now: Timestamp, out: &mut Vec<Action>) {
-        if self.sender.guard_mut().merge(strike, now) {
-            self.banish(&strike.fingerprint, out);
+    /// Applies a strike from another entry.
+    pub(super) fn apply_strike(&mut self, strike: &Strike, now: Timestamp, out: &mut Vec<Action>) {
+        if self.dispatcher.guard_mut().merge(strike, now) {
+            self.refuse_quarantined(&strike.fingerprint, out);
         }
     }
 
-    /// Refuses every sending of a quarantined request that waits to be tried again and has not
-    /// begun its stream. Those in a queue are refused when it is their turn. Those that run go on: one of them may be the
-    /// innocent that the strikes do not tell from a culprit.
-    fn banish(&mut self, fingerprint: &Fingerprint, out: &mut Vec<Action>) {
-        for retry in self.retries.banish(fingerprint) {
-            let refusal = Verdict::barred(retry.plan.untouched);
+    /// Refuses every waiting retry of a quarantined request whose stream has not begun. Queued
+    /// requests are refused when they reach the head of their queue. Requests in flight go on,
+    /// since strikes cannot tell the cause of a crash from a request that merely ran beside it.
+    fn refuse_quarantined(&mut self, fingerprint: &Fingerprint, out: &mut Vec<Action>) {
+        for retry in self.retries.remove_quarantined(fingerprint) {
+            let refusal = RetryDecision::quarantined(retry.plan.not_run);
             out.push(Action::Refuse(retry.request.id, refusal));
         }
     }
 
-    /// Takes out of its queue what is suspected, so that it waits for a server of its own
-    /// without holding up others, and what is quarantined. Anything else blocks its class.
-    pub(super) fn set_aside(
+    /// Handles a queued request that found no server. A suspect moves to the retries, where it
+    /// waits for a server without other suspects and does not delay other requests. A quarantined
+    /// request is refused. Any other request blocks its class.
+    pub(super) fn defer(
         &mut self,
         queued: &QueuedRequest,
         blocked: &mut BlockedClasses,
@@ -61,22 +62,23 @@
         out: &mut Vec<Action>,
     ) {
         let request = &queued.request;
-        let standing = self.suspect_status(&request.fingerprint, now);
-        if standing == SuspectStatus::Clear {
+        let status = self.suspect_status(&request.fingerprint, now);
+        if status == SuspectStatus::Clear {
             return blocked.add(queued);
         }
         self.queues.take(request.id, now);
-        if standing == SuspectStatus::Suspect {
-            self.retries.push(Retry::held(request.clone(), queued.plan));
+        if status == SuspectStatus::Suspect {
+            self.retries
+                .push(Retry::for_suspect(request.clone(), queued.plan));
         } else {
-            let refusal = Verdict::barred(queued.plan.untouched);
+            let refusal = RetryDecision::quarantined(queued.plan.not_run);
             out.push(Action::Refuse(request.id, refusal));
         }
     }
 
-    /// Appends what peers have to hear of strikes.
-    pub(super) fn tell_strikes(&mut self, out: &mut Vec<Action>) {
-        let news = self.sender.guard_mut().take_updates();
+    /// Appends the strikes to send to the other entries.
+    pub(super) fn broadcast_strikes(&mut self, out: &mut Vec<Action>) {
+        let news = self.dispatcher.guard_mut().take_updates();
         out.extend(news.into_iter().map(Action::BroadcastStrike));
     }
 }
--- a/azureway-core/src/router/views.rs
+++ b/azureway-core/src/router/views.rs
@@ -1,4 +1,4 @@
-//! What a router shows of itself.
+//! Read access to the state of a router.
 
 use super::{AttemptPlan, Overview, PlacementRequest, RouteOption, Router};
 use crate::admit::Demand;
@@ -9,25 +9,31 @@
 use crate::tally::{Outcome, OutcomeCount, OutcomeTally};
 
 impl<P: Policy> Router<P> {
-    /// Returns when the router wants to be told of the time at the latest.
+    /// Returns the latest time at which the router must receive the next event, if any.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
-        let limits = [self.queues.earliest(), self.retries.earliest()];
+        let limits = [self.queues.next_deadline(), self.retries.next_expiry()];
         let limit = limits.into_iter().flatten().min();
-        // A server that is tried again, one abroad, or a refilled budget can help what waits.
-        let abroad = self.queues.oldest().map(|t| t + self.config.remote_delay);
-        let abroad = abroad.filter(|t| *t > self.seen && self.fleet.has_regions());
-        let trial = limit.and_then(|_| self.sender.servers().next_retry(self.seen));
+        // Waiting requests can become dispatchable when a suspect server may be retried, when
+        // they have waited long enough for another region, or when the retry budget refills.
+        let remote = self
+            .queues
+            .earliest_arrival()
+            .map(|t| t + self.config.remote_delay);
+        let remote = remote.filter(|t| *t > self.last_event && self.fleet.has_regions());
+        let server_retry =
+            limit.and_then(|_| self.dispatcher.servers().next_retry(self.last_event));
         let claims = self.claims.next_timeout();
         let refill = self.budgets.next_refill();
         let refill = refill.filter(|_| !self.retries.is_empty());
-        let times = [limit, trial, abroad, refill, claims];
+        let times = [limit, server_retry, remote, refill, claims];
         times.into_iter().flatten().min()
     }
 
-    /// Returns the number of requests that wait, are in flight or have a claim to settle.
+    /// Returns the number of requests that are queued, wait for a retry, are in flight or have an
+    /// open claim.
     pub fn active(&self) -> usize {
         let claims = self.claims.pending();
-        self.queues.len() + self.retries.len() + self.sender.flights().len() + claims
+        self.queues.len() + self.retries.len() + self.dispatcher.in_flight().len() + claims
     }
 
     /// Returns the configuration in force.
@@ -35,52 +41,53 @@
         &self.fleet
     }
 
-    /// Returns what is known of the backend servers.
+    /// Returns the state of the backend servers.
     pub const fn servers(&self) -> &ServerTable {
-        self.sender.servers()
+        self.dispatcher.servers()
     }
 
-    /// Returns the state at a glance.
+    /// Returns a summary of the state.
     pub fn overview(&self) -> Overview {
         Overview {
             version: self.fleet.version,
             draining: self.draining,
             entries: self.zone_entries(),
             queued: Rank::ALL.map(|rank| self.queues.depth(rank)),
-            in_flight: self.sender.flights().len(),
+            in_flight: self.dispatcher.in_flight().len(),
             retries: self.retries.len(),
             retry_budget: self.budgets.available(),
             claims: self.claims.pending(),
-            suspects: self.guarded(SuspectStatus::Suspect),
-            quarantined: self.guarded(SuspectStatus::Quarantined),
+            suspects: self.count_with_status(SuspectStatus::Suspect),
+            quarantined: self.count_with_status(SuspectStatus::Quarantined),
             counts: self.counts(),
         }
     }
 
-    /// Tells where `request` would go now and why, without sending it: every server of the
-    /// service's pool, in the order of their names. Returns `None` for an unknown service.
+    /// Explains where `request` would go now, without dispatching it: for every server of the
+    /// service's pool, in name order. Returns `None` for an unknown service.
     pub fn explain(&mut self, request: &Request, now: Timestamp) -> Option<Vec<RouteOption>> {
-        let want = PlacementRequest::new(request, AttemptPlan::first(request.id), false);
-        self.sender.explain(want, &self.config, &self.fleet, now)
+        let query = PlacementRequest::new(request, AttemptPlan::first(request.id), false);
+        self.dispatcher
+            .explain(query, &self.config, &self.fleet, now)
     }
 
-    /// Returns the number of live entry instances of the zone, with this one.
+    /// Returns the number of entry instances that share the servers, including this one.
     pub const fn zone_entries(&self) -> u32 {
-        self.sender.servers().entries()
+        self.dispatcher.servers().entries()
     }
 
-    /// Returns how the requests ended.
+    /// Returns the counts of requests by outcome.
     pub const fn tally(&self) -> &OutcomeTally {
         &self.tally
     }
 
-    /// Returns what the accounts ask for here, as `instance` tells it to the other entries.
+    /// Returns the demand of the client accounts here, as `instance` sends it to other entries.
     pub fn demand(&self, instance: InstanceId, now: Timestamp) -> Demand {
         self.limits.demand(instance, now)
     }
 
-    fn guarded(&self, standing: SuspectStatus) -> usize {
-        self.sender.guard().count(standing, self.seen)
+    fn count_with_status(&self, status: SuspectStatus) -> usize {
+        self.dispatcher.guard().count(status, self.last_event)
     }
 
     fn counts(&self) -> Vec<(Rank, RequestKind, Outcome, OutcomeCount)> {
