--- a/azureway-core/tests/leaving.rs
+++ b/azureway-core/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Backend servers that leave, by what other entries say.
+//! Placement around backend servers that leave the fleet, by the reports of the servers, of other
+//! entries and of the platform.
 
 mod support;
 
@@ -6,10 +7,10 @@
 use googletest::prelude::*;
 use support::{Bench, orders};
 
-fn report(life: u64, leaving: bool) -> LoadReport {
+fn report(incarnation: u64, leaving: bool) -> LoadReport {
     LoadReport {
         server: ServerId::new("engine-1"),
-        incarnation: Incarnation::new(life),
+        incarnation: Incarnation::new(incarnation),
         weights: WeightsVersion::new(1),
         running: 0,
         queued: 0,
@@ -18,18 +19,18 @@
     }
 }
 
-fn news(life: u64) -> ServerUpdate {
+fn leaving_update(incarnation: u64) -> ServerUpdate {
     ServerUpdate {
         server: ServerId::new("engine-1"),
-        incarnation: Incarnation::new(life),
+        incarnation: Incarnation::new(incarnation),
         status: ServerStatus::Leaving,
     }
 }
 
-/// Each row: the incarnation that is known here, the one that is told of, and whether the
-/// server's own later word follows; then whether it gets work.
+/// Each row: the incarnation known here, the incarnation in the peer's update, the incarnation of
+/// a later report by the server itself, if any, and whether the server then receives requests.
 #[gtest]
-fn a_peer_s_word_holds_until_the_server_s_own() {
+fn a_peer_s_leaving_update_holds_until_the_server_reports() {
     let rows = [
         (2, 2, None, false),
         (2, 1, None, true),
@@ -37,35 +38,38 @@
         (2, 2, Some(2), true),
         (2, 2, Some(3), true),
     ];
-    for (known, told, later, serves) in rows {
+    for (known, updated, later, serves) in rows {
         let mut bench = Bench::new(1, 4);
         bench.tell(Event::Load(&report(known, false)));
-        bench.tell(Event::Server(&news(told)));
-        if let Some(life) = later {
-            bench.tell(Event::Load(&report(life, false)));
+        bench.tell(Event::Server(&leaving_update(updated)));
+        if let Some(incarnation) = later {
+            bench.tell(Event::Load(&report(incarnation, false)));
         }
         let request = bench.request("small", &["house"]);
         let sent = bench.tell(Event::Arrived(&request));
         expect_that!(
             orders(&sent).len(),
             eq(usize::from(serves)),
-            "{known} {told} {later:?}"
+            "{known} {updated} {later:?}"
         );
     }
 }
 
 #[gtest]
-fn a_leaving_server_is_told_of_once() {
+fn a_leaving_server_is_broadcast_once() {
     let mut bench = Bench::new(1, 4);
     bench.tell(Event::Load(&report(2, false)));
-    let told = bench.tell(Event::Load(&report(2, true)));
-    expect_that!(told, elements_are![eq(&Action::BroadcastServer(news(2)))]);
+    let actions = bench.tell(Event::Load(&report(2, true)));
+    expect_that!(
+        actions,
+        elements_are![eq(&Action::BroadcastServer(leaving_update(2)))]
+    );
     expect_that!(bench.tell(Event::Load(&report(2, true))), is_empty());
 }
 
-/// The platform's list lags: it adds to what others say and takes back only what it said.
+/// The platform's list lags behind, so it can add a leaving mark but clears only its own.
 #[gtest]
-fn the_list_keeps_work_away_for_as_long_as_it_names_a_server() {
+fn the_platform_list_clears_only_its_own_leaving_marks() {
     let listed = [ServerId::new("engine-1")];
     let serves = |bench: &mut Bench| {
         let request = bench.request("small", &["house"]);
@@ -85,7 +89,7 @@
 }
 
 #[gtest]
-fn what_waits_is_sent_once_the_list_no_longer_names_the_server() {
+fn a_queued_request_is_dispatched_once_the_list_drops_its_server() {
     let mut bench = Bench::new(1, 4);
     bench.tell(Event::Leaving(&[ServerId::new("engine-1")]));
     let request = bench.request("small", &["house"]);
--- a/azureway-core/tests/precedence.rs
+++ b/azureway-core/tests/precedence.rs
@@ -1,4 +1,4 @@
-//! The priority of a request, by those of its account and its route.
+//! The precedence of a request from the priorities of its account and its route.
 
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
 }
 
 #[gtest]
-fn the_account_goes_first_and_then_the_route() {
-    // From the most urgent to the least.
+fn precedence_orders_by_account_priority_then_by_route_priority() {
+    // Account and route priority, from the highest precedence to the lowest.
     let order = [
         (0, 0),
         (0, 1),
@@ -46,13 +46,13 @@
 }
 
 #[gtest]
-fn without_a_priority_of_the_account_the_route_decides() {
+fn without_an_account_priority_the_route_priority_decides() {
     let all = [0, 1, 2].map(|r| route(r).precedence(&account(None)));
     expect_that!(all.is_sorted_by(|a, b| a < b), eq(true), "{all:?}");
 }
 
 #[gtest]
-fn any_priority_is_taken() {
+fn extreme_priorities_do_not_overflow() {
     for (a, r) in [(u8::MAX, u8::MAX), (0, u8::MAX), (u8::MAX, 0)] {
         let priority = route(r).precedence(&account(Some(a)));
         expect_that!(priority, ge(route(0).precedence(&account(Some(a)))));
--- a/azureway-core/tests/promises.rs
+++ b/azureway-core/tests/promises.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked after every event of drawn runs.
+//! Invariants of the router, checked after every event of randomized runs.
 
 mod support;
 
@@ -10,18 +10,18 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 use support::{Bench, fleet};
 
-/// The seed of the drawn runs.
+/// The seed of the randomized runs.
 const SEED: [u8; 32] = *b"azureway promises, first seed   ";
-/// The drawn runs.
-const RUNS: u32 = 400;
-/// The events of a run at most.
-const STEPS: usize = 120;
-/// The servers of the pool.
+/// The number of randomized runs.
+const RUN_COUNT: u32 = 400;
+/// The exclusive upper bound on the events of a run.
+const STEP_LIMIT: usize = 120;
+/// The number of servers in the pool.
 const SERVERS: usize = 3;
-/// The slots of a server.
+/// The number of slots of each server.
 const SLOTS: u32 = 2;
 
-/// What happens next in a drawn run. Numbers choose among what there is.
+/// One step of a randomized run. A number selects among the existing items, modulo their count.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive {
@@ -37,8 +37,8 @@
         sent: usize,
         gained: u64,
     },
-    Repeat(usize),
-    HangUp(usize),
+    RepeatFailure(usize),
+    Disconnect(usize),
     Restart(usize),
     Leave(usize),
     Pass(u64),
@@ -46,28 +46,28 @@
     Drain,
 }
 
-/// What the run knows of a request.
+/// The expected state of a request.
 #[derive(Debug, Default)]
 struct Record {
     once: bool,
     maybe_run: bool,
     ended: bool,
-    tries: u32,
+    attempts: u32,
     position: u64,
 }
 
-/// A run and what it must never see.
+/// A run of the router with the model that its actions are checked against.
 struct Run {
     bench: Bench,
     records: BTreeMap<RequestId, Record>,
-    open: Vec<Dispatch>,
-    spent: Vec<Failure>,
-    lives: [u64; SERVERS],
+    in_flight: Vec<Dispatch>,
+    failures: Vec<Failure>,
+    incarnations: [u64; SERVERS],
     leaving: BTreeSet<ServerId>,
     draining: bool,
 }
 
-const KINDS: [FailureKind; 6] = [
+const FAILURE_KINDS: [FailureKind; 6] = [
     FailureKind::Unreachable,
     FailureKind::Mismatch,
     FailureKind::Busy,
@@ -75,9 +75,9 @@
     FailureKind::Silent,
     FailureKind::Faulty,
 ];
-const SENT: [SendState; 3] = [SendState::Unsent, SendState::Rejected, SendState::MaybeRun];
+const SEND_STATES: [SendState; 3] = [SendState::Unsent, SendState::Rejected, SendState::MaybeRun];
 
-fn server(number: usize) -> ServerId {
+fn server_id(number: usize) -> ServerId {
     ServerId::new(&format!("engine-{}", number % SERVERS + 1))
 }
 
@@ -86,9 +86,9 @@
         Self {
             bench: Bench::new(SERVERS, SLOTS),
             records: BTreeMap::new(),
-            open: Vec::new(),
-            spent: Vec::new(),
-            lives: [1; SERVERS],
+            in_flight: Vec::new(),
+            failures: Vec::new(),
+            incarnations: [1; SERVERS],
             leaving: BTreeSet::new(),
             draining: false,
         }
@@ -109,8 +109,8 @@
                 sent,
                 gained,
             } => self.fail(which, kind, sent, gained),
-            Step::Repeat(which) => self.repeat(which),
-            Step::HangUp(which) => self.hang_up(which),
+            Step::RepeatFailure(which) => self.repeat_failure(which),
+            Step::Disconnect(which) => self.disconnect(which),
             Step::Restart(number) => self.report(number, true, false),
             Step::Leave(number) => self.report(number, false, true),
             Step::Pass(millis) => self.bench.pass(Duration::from_millis(millis)),
@@ -144,91 +144,91 @@
     }
 
     fn pick(&mut self, which: usize) -> Option<Dispatch> {
-        let place = which.checked_rem(self.open.len())?;
-        Some(self.open.remove(place))
+        let index = which.checked_rem(self.in_flight.len())?;
+        Some(self.in_flight.remove(index))
     }
 
     fn finish(&mut self, which: usize) -> Vec<Action> {
-        let Some(order) = self.pick(which) else {
+        let Some(dispatch) = self.pick(which) else {
             return Vec::new();
         };
-        self.end(order.attempt.id);
+        self.end(dispatch.attempt.id);
         let (cached, output) = (TokenCount::ZERO, TokenCount::new(3));
         self.bench.tell(Event::Finished(&Finish {
-            attempt: order.attempt,
+            attempt: dispatch.attempt,
             cached,
             output,
         }))
     }
 
     fn start(&mut self, which: usize) -> Vec<Action> {
-        let Some(place) = which.checked_rem(self.open.len()) else {
+        let Some(index) = which.checked_rem(self.in_flight.len()) else {
             return Vec::new();
         };
-        let attempt = self.open[place].attempt;
+        let attempt = self.in_flight[index].attempt;
         self.bench.tell(Event::Started(attempt))
     }
 
     fn fail(&mut self, which: usize, kind: usize, sent: usize, gained: u64) -> Vec<Action> {
-        let Some(order) = self.pick(which) else {
+        let Some(dispatch) = self.pick(which) else {
             return Vec::new();
         };
-        let sent = SENT[sent % SENT.len()];
-        let record = self.records.entry(order.attempt.id).or_default();
+        let sent = SEND_STATES[sent % SEND_STATES.len()];
+        let record = self.records.entry(dispatch.attempt.id).or_default();
         record.maybe_run |= sent == SendState::MaybeRun;
-        // Only a server that ran the request can have passed events on.
+        // Only a server that ran the request can have streamed events.
         record.position += if sent == SendState::MaybeRun {
             gained
         } else {
             0
         };
         let position = StreamPosition::new(record.position);
-        let kind = KINDS[kind % KINDS.len()];
+        let kind = FAILURE_KINDS[kind % FAILURE_KINDS.len()];
         let failure = Failure {
-            attempt: order.attempt,
+            attempt: dispatch.attempt,
             kind,
             sent,
             position,
         };
-        self.spent.push(failure);
+        self.failures.push(failure);
         self.bench.tell(Event::Failed(&failure))
     }
 
-    /// Tells news that was told before: nothing may come of it.
-    fn repeat(&mut self, which: usize) -> Vec<Action> {
-        let Some(place) = which.checked_rem(self.spent.len()) else {
+    /// Repeats an earlier failure event, which must have no effect.
+    fn repeat_failure(&mut self, which: usize) -> Vec<Action> {
+        let Some(index) = which.checked_rem(self.failures.len()) else {
             return Vec::new();
         };
-        let failure = self.spent[place];
+        let failure = self.failures[index];
         self.bench.tell(Event::Failed(&failure))
     }
 
-    fn hang_up(&mut self, which: usize) -> Vec<Action> {
+    fn disconnect(&mut self, which: usize) -> Vec<Action> {
         let live: Vec<_> = self
             .records
             .iter()
             .filter(|(_, r)| !r.ended)
             .map(|(i, _)| *i)
             .collect();
-        let Some(place) = which.checked_rem(live.len()) else {
+        let Some(index) = which.checked_rem(live.len()) else {
             return Vec::new();
         };
-        self.end(live[place]);
-        self.open.retain(|o| o.attempt.id != live[place]);
-        self.bench.tell(Event::CallerDisconnected(live[place]))
+        self.end(live[index]);
+        self.in_flight.retain(|d| d.attempt.id != live[index]);
+        self.bench.tell(Event::CallerDisconnected(live[index]))
     }
 
     fn report(&mut self, number: usize, restart: bool, leaving: bool) -> Vec<Action> {
         let number = number % SERVERS;
-        self.lives[number] += u64::from(restart);
-        let id = server(number);
+        self.incarnations[number] += u64::from(restart);
+        let id = server_id(number);
         if leaving {
             self.leaving.insert(id.clone());
         }
         let report = LoadReport {
             leaving: self.leaving.contains(&id),
             server: id,
-            incarnation: Incarnation::new(self.lives[number]),
+            incarnation: Incarnation::new(self.incarnations[number]),
             weights: WeightsVersion::new(1),
             running: 0,
             queued: 0,
@@ -248,7 +248,7 @@
         let actions = self.bench.tell(Event::Configured(&fleet));
         assert!(
             self.bench.router.fleet().version.get() >= version,
-            "the version went back"
+            "the configuration version decreased"
         );
         actions
     }
@@ -260,44 +260,58 @@
     fn check(&mut self, actions: &[Action]) -> Result<(), TestCaseError> {
         for action in actions {
             match action {
-                Action::Dispatch(order) => self.check_order(order)?,
+                Action::Dispatch(dispatch) => self.check_dispatch(dispatch)?,
                 Action::Refuse(id, refusal) => self.check_refusal(*id, refusal)?,
                 _ => {}
             }
         }
         for state in self.bench.router.servers().iter() {
-            let open = self
-                .open
+            let in_flight = self
+                .in_flight
                 .iter()
-                .filter(|o| o.server == state.server.id)
+                .filter(|d| d.server == state.server.id)
                 .count();
-            prop_assert_eq!(state.in_flight() as usize, open, "flights are counted");
-            prop_assert!(open <= SLOTS as usize, "no more work than slots");
+            prop_assert_eq!(
+                state.in_flight() as usize,
+                in_flight,
+                "requests in flight are counted"
+            );
+            prop_assert!(
+                in_flight <= SLOTS as usize,
+                "no more requests in flight than slots"
+            );
         }
         Ok(())
     }
 
-    fn check_order(&mut self, order: &Dispatch) -> Result<(), TestCaseError> {
-        let record = self.records.entry(order.attempt.id).or_default();
-        prop_assert!(!record.ended, "an ended request is not sent");
+    fn check_dispatch(&mut self, dispatch: &Dispatch) -> Result<(), TestCaseError> {
+        let record = self.records.entry(dispatch.attempt.id).or_default();
+        prop_assert!(!record.ended, "an ended request is not dispatched");
         prop_assert!(
             !(record.once && record.maybe_run),
-            "what may have run is not sent again"
+            "an at-most-once request that may have run is not dispatched again"
         );
-        prop_assert_eq!(order.attempt.number, record.tries + 1, "tries are numbered");
         prop_assert_eq!(
-            order.position.get(),
+            dispatch.attempt.number,
+            record.attempts + 1,
+            "attempts are numbered consecutively"
+        );
+        prop_assert_eq!(
+            dispatch.position.get(),
             record.position,
             "a stream resumes where it stopped"
         );
         prop_assert!(
-            !self.leaving.contains(&order.server),
-            "a leaving server gets no new work"
+            !self.leaving.contains(&dispatch.server),
+            "a leaving server receives no new requests"
         );
-        let running = self.open.iter().any(|o| o.attempt.id == order.attempt.id);
-        prop_assert!(!running, "a request has one try at a time");
-        record.tries += 1;
-        self.open.push(order.clone());
+        let running = self
+            .in_flight
+            .iter()
+            .any(|d| d.attempt.id == dispatch.attempt.id);
+        prop_assert!(!running, "a request has one attempt at a time");
+        record.attempts += 1;
+        self.in_flight.push(dispatch.clone());
         Ok(())
     }
 
@@ -309,27 +323,27 @@
             "a refusal that says not run is true"
         );
         record.ended = true;
-        let running = self.open.iter().any(|o| o.attempt.id == id);
+        let running = self.in_flight.iter().any(|d| d.attempt.id == id);
         prop_assert!(!running, "a request in flight is not refused");
         Ok(())
     }
 
-    /// Lets everything end: what runs finishes and what waits meets its deadline.
+    /// Ends every request: those in flight finish and queued ones pass their deadlines.
     fn settle(&mut self) -> Result<(), TestCaseError> {
-        while !self.open.is_empty() {
+        while !self.in_flight.is_empty() {
             self.step(&Step::Finish(0))?;
         }
         self.step(&Step::Drain)?;
         for _ in 0..20 {
             self.step(&Step::Pass(10_001))?;
-            while !self.open.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.step(&Step::Finish(0))?;
             }
         }
-        prop_assert_eq!(self.bench.router.active(), 0, "nothing is left");
+        prop_assert_eq!(self.bench.router.active(), 0, "no request is left active");
         prop_assert!(
             self.records.values().all(|r| r.ended),
-            "every request has an end"
+            "every request has ended"
         );
         Ok(())
     }
@@ -344,20 +358,20 @@
         2 => which().prop_map(Step::Start),
         4 => (which(), which(), which(), 0..5u64)
             .prop_map(|(which, kind, sent, gained)| Step::Fail { which, kind, sent, gained }),
-        1 => which().prop_map(Step::Repeat),
-        1 => which().prop_map(Step::HangUp),
+        1 => which().prop_map(Step::RepeatFailure),
+        1 => which().prop_map(Step::Disconnect),
         1 => which().prop_map(Step::Restart),
         1 => which().prop_map(Step::Leave),
         3 => (0..3_000u64).prop_map(Step::Pass),
         1 => any::<bool>().prop_map(Step::Configure),
     ];
-    prop::collection::vec(step, 1..STEPS)
+    prop::collection::vec(step, 1..STEP_LIMIT)
 }
 
 #[test]
-fn the_promises_hold_after_every_event() {
+fn the_invariants_hold_after_every_event() {
     let config = Config {
-        cases: RUNS,
+        cases: RUN_COUNT,
         failure_persistence: None,
         ..Config::default()
     };
--- a/azureway-core/tests/router.rs
+++ b/azureway-core/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router as a whole: what goes out for what came in.
+//! The actions that the router returns for sequences of events.
 
 mod support;
 
@@ -15,15 +15,15 @@
     let sent = bench.tell(Event::Arrived(&request));
     let first = orders(&sent)[0].clone();
     let broken = failure(&first, FailureKind::Broken, SendState::MaybeRun, 7);
-    let again = bench.tell(Event::Failed(&broken));
-    let second = orders(&again)[0];
+    let retried = bench.tell(Event::Failed(&broken));
+    let second = orders(&retried)[0];
     expect_that!(second.position, eq(StreamPosition::new(7)));
     expect_that!(second.server, not(eq(&first.server)));
     expect_that!(second.attempt.number, eq(2));
 }
 
 #[gtest]
-fn a_request_that_may_have_run_is_not_sent_twice_if_it_may_not_repeat() {
+fn an_at_most_once_request_that_may_have_run_is_not_retried() {
     let mut bench = Bench::new(2, 4);
     let mut request = bench.request("small", &["order"]);
     request.kind = RequestKind::AtMostOnce;
@@ -36,14 +36,14 @@
 }
 
 #[gtest]
-fn a_refusal_after_an_earlier_try_may_have_run_does_not_say_not_run() {
+fn a_refusal_does_not_say_not_run_if_an_earlier_attempt_may_have_run() {
     let mut bench = Bench::new(2, 4);
     let request = bench.request("small", &["house"]);
     let sent = bench.tell(Event::Arrived(&request));
     let first = orders(&sent)[0].clone();
     let broken = failure(&first, FailureKind::Broken, SendState::MaybeRun, 0);
-    let again = bench.tell(Event::Failed(&broken));
-    let second = orders(&again)[0].clone();
+    let retried = bench.tell(Event::Failed(&broken));
+    let second = orders(&retried)[0].clone();
     let unreachable = failure(&second, FailureKind::Unreachable, SendState::Unsent, 0);
     expect_that!(bench.tell(Event::Failed(&unreachable)), is_empty());
     let after = bench.pass(Duration::from_secs(11));
@@ -51,7 +51,7 @@
 }
 
 #[gtest]
-fn streams_that_find_no_server_at_once_wait_for_one() {
+fn broken_streams_wait_for_a_free_slot_to_resume() {
     let mut bench = Bench::new(2, 2);
     let requests: Vec<_> = (0..4).map(|_| bench.request("small", &["house"])).collect();
     let sent: Vec<_> = requests
@@ -59,16 +59,16 @@
         .flat_map(|r| bench.tell(Event::Arrived(r)))
         .collect();
     let sent: Vec<Dispatch> = orders(&sent).into_iter().cloned().collect();
-    let lost: Vec<_> = sent.iter().filter(|o| o.server == sent[0].server).collect();
-    for order in &lost {
-        let broken = failure(order, FailureKind::Broken, SendState::MaybeRun, 5);
-        // Peers hear of the break; nothing is sent or refused.
-        let told = bench.tell(Event::Failed(&broken));
-        expect_that!(told, each(pat!(Action::BroadcastStrike(_))));
+    let lost: Vec<_> = sent.iter().filter(|d| d.server == sent[0].server).collect();
+    for dispatch in &lost {
+        let broken = failure(dispatch, FailureKind::Broken, SendState::MaybeRun, 5);
+        // The strike is broadcast to peers, and nothing is dispatched or refused.
+        let actions = bench.tell(Event::Failed(&broken));
+        expect_that!(actions, each(pat!(Action::BroadcastStrike(_))));
     }
     let rest = sent
         .iter()
-        .find(|o| o.server != sent[0].server)
+        .find(|d| d.server != sent[0].server)
         .expect("another server");
     let finish = Finish {
         attempt: rest.attempt,
@@ -78,8 +78,8 @@
     let after = bench.tell(Event::Finished(&finish));
     expect_that!(orders(&after)[0].position, eq(StreamPosition::new(5)));
     expect_that!(orders(&after)[0].server, eq(&rest.server));
-    let trial = bench.pass(Duration::from_millis(2_001));
-    expect_that!(orders(&trial).len(), eq(1));
+    let after_suspicion = bench.pass(Duration::from_millis(2_001));
+    expect_that!(orders(&after_suspicion).len(), eq(1));
 }
 
 #[gtest]
@@ -92,14 +92,15 @@
         .iter()
         .flat_map(|r| bench.tell(Event::Arrived(r)))
         .collect();
-    let busy: Vec<_> = orders(&sent).into_iter().cloned().collect();
-    let mut again = 0;
-    for order in &busy {
-        let failed = failure(order, FailureKind::Mismatch, SendState::Rejected, 0);
-        again += orders(&bench.tell(Event::Failed(&failed))).len();
+    let dispatches: Vec<_> = orders(&sent).into_iter().cloned().collect();
+    let mut retried = 0;
+    for dispatch in &dispatches {
+        let failed = failure(dispatch, FailureKind::Mismatch, SendState::Rejected, 0);
+        retried += orders(&bench.tell(Event::Failed(&failed))).len();
     }
-    // Ten were saved up, and thirty requests earn a fifth each; the cap loses the latter.
-    expect_that!(again, eq(10));
+    // The budget starts full with ten retries, so its cap discards what the thirty requests earn
+    // at a fifth of a retry each.
+    expect_that!(retried, eq(10));
     expect_that!(
         orders(&bench.pass(Duration::from_millis(1_001))).len(),
         eq(1)
@@ -107,7 +108,7 @@
 }
 
 #[gtest]
-fn a_silent_connection_is_not_held_against_its_server() {
+fn a_silent_connection_does_not_make_its_server_suspect() {
     let mut bench = Bench::new(1, 4);
     let request = bench.request("small", &["house"]);
     let sent = bench.tell(Event::Arrived(&request));
@@ -117,12 +118,12 @@
         SendState::MaybeRun,
         3,
     );
-    let again = bench.tell(Event::Failed(&silent));
-    expect_that!(orders(&again)[0].position, eq(StreamPosition::new(3)));
+    let retried = bench.tell(Event::Failed(&silent));
+    expect_that!(orders(&retried)[0].position, eq(StreamPosition::new(3)));
 }
 
 #[gtest]
-fn news_of_an_earlier_try_changes_nothing() {
+fn events_of_a_stale_attempt_are_ignored() {
     let mut bench = Bench::new(2, 4);
     let request = bench.request("small", &["house"]);
     let sent = bench.tell(Event::Arrived(&request));
@@ -140,7 +141,7 @@
 }
 
 #[gtest]
-fn what_waits_past_its_deadline_is_refused_as_not_run() {
+fn a_queued_request_past_its_deadline_is_refused_as_not_run() {
     let mut bench = Bench::new(1, 1);
     let (running, waiting) = (
         bench.request("small", &["a"]),
@@ -154,13 +155,13 @@
 }
 
 #[gtest]
-fn a_draining_router_refuses_new_work_and_finishes_the_old() {
+fn a_draining_router_refuses_new_requests_and_completes_those_in_flight() {
     let mut bench = Bench::new(1, 1);
-    let (old, new) = (
+    let (running, new) = (
         bench.request("small", &["a"]),
         bench.request("small", &["b"]),
     );
-    let sent = bench.tell(Event::Arrived(&old));
+    let sent = bench.tell(Event::Arrived(&running));
     bench.tell(Event::Draining);
     let refused = bench.tell(Event::Arrived(&new));
     expect_that!(refusals(&refused)[0].reason, eq(RefusalReason::Draining));
@@ -176,7 +177,7 @@
 }
 
 #[gtest]
-fn an_older_configuration_never_comes_back() {
+fn an_older_configuration_is_ignored() {
     let mut bench = Bench::new(1, 1);
     let newer = support::fleet(2, 1).with_version(ConfigVersion::new(5));
     bench.tell(Event::Configured(&newer));
@@ -187,7 +188,7 @@
 }
 
 #[gtest]
-fn a_router_that_waits_for_a_suspected_server_does_not_spin() {
+fn a_router_that_waits_for_a_suspect_server_does_not_spin() {
     let mut bench = Bench::new(1, 1);
     let request = bench.request("small", &["a"]);
     let sent = bench.tell(Event::Arrived(&request));
@@ -200,7 +201,7 @@
     bench.tell(Event::Failed(&broken));
     let waiting = bench.request("small", &["b"]);
     bench.tell(Event::Arrived(&waiting));
-    let wakeup = bench.router.next_wakeup().expect("something waits");
+    let wakeup = bench.router.next_wakeup().expect("a request is queued");
     expect_that!(wakeup, gt(bench.now));
     bench.now = wakeup + Duration::from_micros(1);
     let sent = bench.tell(Event::Tick);
