--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -58,7 +58,7 @@
             Event::Started(attempt) => self.start(attempt, now),
             Event::Finished(finish) => self.finish(finish, now, out),
             Event::Failed(failure) => self.fail(failure, now, out),
-            Event::Claim(news) => self.handle_claim(news, now, out),
+            Event::Claim(outcome) => self.handle_claim(outcome, now, out),
             Event::Cache(update) => self.update_cache(update, out),
             Event::Load(report) => self.apply_report(report, now, out),
             Event::LoadSample(sample) => self.apply_sample(sample, now),
@@ -67,9 +67,9 @@
             Event::ZoneEntries(count) => self.dispatcher.servers_mut().set_entries(count),
             Event::ListedEntries(count) => self.set_listed_entries(count),
             Event::Demand(demand) => self.limits.share_mut().record(demand, now),
-            Event::Server(news) => self.dispatcher.servers_mut().apply_update(news),
-            Event::Loading(loading) => {
-                self.dispatcher.apply_loading(loading, now);
+            Event::Server(update) => self.dispatcher.servers_mut().apply_update(update),
+            Event::Loading(notice) => {
+                self.dispatcher.apply_loading(notice, now);
                 self.queues.mark_all_dirty();
             }
             Event::Strike(strike) => self.apply_strike(strike, now, out),
@@ -124,13 +124,13 @@
         }
     }
 
-    fn handle_claim(&mut self, news: &ClaimOutcome, now: Timestamp, out: &mut Vec<Action>) {
-        match self.claims.handle_outcome(news, now, out) {
+    fn handle_claim(&mut self, outcome: &ClaimOutcome, now: Timestamp, out: &mut Vec<Action>) {
+        match self.claims.handle_outcome(outcome, now, out) {
             ClaimDecision::Proceed(request) => self.enqueue(&request, now, out),
             ClaimDecision::ReplayAnswer(answer) => {
-                out.push(Action::ReplayAnswer(news.id(), answer))
+                out.push(Action::ReplayAnswer(outcome.id(), answer))
             }
-            ClaimDecision::Refuse(refusal) => out.push(Action::Refuse(news.id(), refusal)),
+            ClaimDecision::Refuse(refusal) => out.push(Action::Refuse(outcome.id(), refusal)),
             ClaimDecision::Nothing => {}
         }
     }
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -100,9 +100,9 @@
     }
 
     /// Applies the notice that a server is about to load weights or has loaded them.
-    pub fn apply_loading(&mut self, loading: &LoadNotice, now: Timestamp) {
-        if self.servers.apply_loading(loading, now) {
-            self.index.invalidate(&loading.server);
+    pub fn apply_loading(&mut self, notice: &LoadNotice, now: Timestamp) {
+        if self.servers.apply_loading(notice, now) {
+            self.index.invalidate(&notice.server);
         }
     }
 
--- a/azureway-core/src/router/suspects.rs
+++ b/azureway-core/src/router/suspects.rs
@@ -78,7 +78,7 @@
 
     /// Appends the strikes to send to the other entries.
     pub(super) fn broadcast_strikes(&mut self, out: &mut Vec<Action>) {
-        let news = self.dispatcher.guard_mut().take_updates();
-        out.extend(news.into_iter().map(Action::BroadcastStrike));
+        let updates = self.dispatcher.guard_mut().take_updates();
+        out.extend(updates.into_iter().map(Action::BroadcastStrike));
     }
 }
