--- a/azureway-core/src/route/prefix_load.rs
+++ b/azureway-core/src/route/prefix_load.rs
@@ -1,4 +1,4 @@
-//! The default policy: the least estimated cost, with prefix affinity among equals.
+//! The production policy: the least estimated cost, with prefix affinity among equals.
 
 use std::time::Duration;
 
