--- a/azureway-core/src/admit/account_limits.rs
+++ b/azureway-core/src/admit/account_limits.rs
@@ -16,7 +16,7 @@
 }
 
 impl AccountLimits {
-    /// Creates limits without accounts, for an entry that has heard of no other entry.
+    /// Creates limits without accounts, for an entry that knows of no other entry.
     pub fn new() -> Self {
         Self {
             accounts: HashMap::new(),
--- a/azureway-core/tests/claims/main.rs
+++ b/azureway-core/tests/claims/main.rs
@@ -1,4 +1,4 @@
-//! At most once, over two entries: the table of faults, and faults in pairs.
+//! At-most-once execution over two entries, under single faults and pairs of faults.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use world::{Fate, World};
+use world::{CallerResult, World};
 
 fn apply(world: &mut World, step: &str) {
     let words: Vec<&str> = step.split_whitespace().collect();
@@ -16,51 +16,61 @@
     match words[0] {
         "send" => world.send(at(1), words[2], "body"),
         "other" => world.send(at(1), words[2], "another body"),
-        "calls" => world.calls(at(1)),
-        "call" => drop(world.call(at(1))),
-        "lose" => world.lose(at(1)),
-        "late" => world.late(at(1)),
-        "land" => world.land(),
-        "cut" => world.cut(at(1), true),
-        "heal" => world.cut(at(1), false),
-        "finish" => world.end(at(1), None),
-        "unsent" => world.end(at(1), Some(SendState::Unsent)),
-        "maybe" => world.end(at(1), Some(SendState::MaybeRun)),
-        "hang" => world.hang(at(1)),
-        "die" => world.die(at(1)),
-        "wait" => world.wait(words[1].parse().expect("milliseconds")),
+        "calls" => world.serve_calls(at(1)),
+        "call" => drop(world.serve_call(at(1))),
+        "lose" => world.lose_answer(at(1)),
+        "late" => world.delay_write(at(1)),
+        "land" => world.apply_delayed(),
+        "cut" => world.set_cut_off(at(1), true),
+        "heal" => world.set_cut_off(at(1), false),
+        "finish" => world.end_attempt(at(1), None),
+        "unsent" => world.end_attempt(at(1), Some(SendState::Unsent)),
+        "maybe" => world.end_attempt(at(1), Some(SendState::MaybeRun)),
+        "hang" => world.disconnect_caller(at(1)),
+        "die" => world.crash(at(1)),
+        "wait" => world.advance(words[1].parse().expect("milliseconds")),
         word => panic!("unknown step {word}"),
     }
 }
 
-fn describe(fate: &Fate) -> String {
-    match fate {
-        Fate::None => "none".to_owned(),
-        Fate::Answer => "answer".to_owned(),
-        Fate::Left => "left".to_owned(),
-        Fate::Repeat => "repeat".to_owned(),
-        Fate::Refused(refusal) => {
+fn describe(result: &CallerResult) -> String {
+    match result {
+        CallerResult::None => "none".to_owned(),
+        CallerResult::Answer => "answer".to_owned(),
+        CallerResult::Disconnected => "left".to_owned(),
+        CallerResult::ReplayedAnswer => "repeat".to_owned(),
+        CallerResult::Refused(refusal) => {
             let mark = if refusal.not_run { "+" } else { "" };
             format!("{}{mark}", refusal.reason.code())
         }
     }
 }
 
-/// What must hold after every event.
+/// Checks the invariants that must hold after every event.
 fn check(world: &World) {
-    for sending in world.sendings.values() {
+    for submission in world.submissions.values() {
         assert!(
-            world.runs(&sending.key) <= 1,
+            world.count_runs(&submission.key) <= 1,
             "key {} ran twice",
-            sending.key
+            submission.key
         );
-        if let Fate::Refused(refusal) = &sending.fate {
-            assert!(!(refusal.not_run && sending.ran), "a false not run");
-            let known = refusal.reason == RefusalReason::Duplicate;
-            assert!(!(known && refusal.not_run), "a duplicate that says not run");
+        if let CallerResult::Refused(refusal) = &submission.result {
+            assert!(
+                !(refusal.not_run && submission.ran),
+                "refused as not run, but it ran"
+            );
+            let duplicate = refusal.reason == RefusalReason::Duplicate;
+            assert!(
+                !(duplicate && refusal.not_run),
+                "a duplicate refused as not run"
+            );
         }
-        if sending.fate == Fate::Repeat {
-            assert_eq!(world.runs(&sending.key), 1, "an answer without a run");
+        if submission.result == CallerResult::ReplayedAnswer {
+            assert_eq!(
+                world.count_runs(&submission.key),
+                1,
+                "a replayed answer without a run"
+            );
         }
     }
 }
@@ -77,44 +87,47 @@
             apply(&mut world, step);
             check(&world);
         }
-        let mut sendings: Vec<_> = world.sendings.iter().collect();
-        sendings.sort_by_key(|(id, _)| id.sequence());
-        let fates: Vec<_> = sendings.iter().map(|(_, s)| describe(&s.fate)).collect();
-        expect_that!(world.runs("k").to_string(), eq(columns[3]), "{row}");
-        expect_that!(fates.join(" "), eq(columns[4]), "{row}");
+        let mut submissions: Vec<_> = world.submissions.iter().collect();
+        submissions.sort_by_key(|(id, _)| id.sequence());
+        let results: Vec<_> = submissions
+            .iter()
+            .map(|(_, s)| describe(&s.result))
+            .collect();
+        expect_that!(world.count_runs("k").to_string(), eq(columns[3]), "{row}");
+        expect_that!(results.join(" "), eq(columns[4]), "{row}");
     }
 }
 
 #[gtest]
-fn an_outage_is_not_met_with_a_call_for_every_request() {
+fn an_outage_opens_the_circuit_breaker() {
     let mut world = World::new();
     apply(&mut world, "cut a");
     for second in 0..600 {
         for part in 0..5 {
             world.send(0, &format!("key-{second}-{part}"), "body");
-            world.calls(0);
-            world.wait(200);
+            world.serve_calls(0);
+            world.advance(200);
         }
     }
-    // Three failures close the gate; then a claim each 2.5 s at most, of 4 calls each.
-    expect_that!(world.calls, le((3 + 600 * 10 / 25 + 10) * 4));
+    // Three failures open the breaker. Then there is at most one claim per 2.5 s, of 4 calls each.
+    expect_that!(world.call_count, le((3 + 600 * 10 / 25 + 10) * 4));
     expect_that!(
         world
-            .sendings
+            .submissions
             .values()
-            .all(|s| describe(&s.fate) == "claim_unavailable+"),
+            .all(|s| describe(&s.result) == "claim_unavailable+"),
         eq(true)
     );
     apply(&mut world, "heal a");
-    world.wait(5_000);
+    world.advance(5_000);
     world.send(0, "after", "body");
-    world.calls(0);
-    world.end(0, None);
-    let after = world.sendings.values().find(|s| s.key == "after");
-    expect_that!(after.map(|s| describe(&s.fate)), some(eq("answer")));
+    world.serve_calls(0);
+    world.end_attempt(0, None);
+    let after = world.submissions.values().find(|s| s.key == "after");
+    expect_that!(after.map(|s| describe(&s.result)), some(eq("answer")));
 }
 
-/// The steps that are drawn; calls are served one by one, so that entries interleave.
+/// The steps to choose from at random. Calls are served one by one, so that entries interleave.
 const STEPS: [&str; 23] = [
     "send a k",
     "send b k",
@@ -140,15 +153,15 @@
     "wait 3001",
     "land",
 ];
-/// The faults that are drawn in pairs.
+/// The faults to choose pairs from at random.
 const FAULTS: [&str; 10] = [
     "cut a", "cut b", "heal a", "heal b", "late a", "late b", "die a", "lose a", "lose b", "land",
 ];
-/// The seed of the drawn cases.
+/// The seed of the random cases.
 const SEED: [u8; 32] = [17; 32];
 
 #[gtest]
-fn no_key_runs_twice_whatever_two_faults_come_together() {
+fn no_key_runs_twice_under_any_pair_of_faults() {
     let config = Config {
         cases: 4_000,
         failure_persistence: None,
@@ -160,8 +173,8 @@
     let result = TestRunner::new_with_rng(config, rng).run(
         &(steps, fault(), fault()),
         |(mut steps, first, second)| {
-            for (place, fault) in [first, second] {
-                steps.insert(place.min(steps.len()), fault);
+            for (index, fault) in [first, second] {
+                steps.insert(index.min(steps.len()), fault);
             }
             let mut world = World::new();
             for step in steps {
--- a/azureway-core/tests/claims/world.rs
+++ b/azureway-core/tests/claims/world.rs
@@ -1,4 +1,4 @@
-//! Entries, a platform and a backend server, all in memory, with faults on demand.
+//! An in-memory simulation of entries, a platform and a backend server, with injected faults.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
 
 use std::collections::{BTreeMap, VecDeque};
@@ -7,128 +7,128 @@
 
 use crate::support::{Bench, fleet};
 
-/// What became of a sending.
+/// The result of a submission, as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// Nothing yet, or nothing any more.
+pub enum CallerResult {
+    /// No result, or none yet.
     None,
-    /// The server's answer.
+    /// The answer of the backend server.
     Answer,
-    /// The kept answer of an earlier sending.
-    Repeat,
-    /// The caller hung up before.
-    Left,
+    /// The stored answer of an earlier submission.
+    ReplayedAnswer,
+    /// The caller disconnected before it got a result.
+    Disconnected,
     /// A refusal.
     Refused(Refusal),
 }
 
-/// A sending of a request.
-pub struct Sending {
+/// A submission of a request by its caller.
+pub struct Submission {
     pub entry: usize,
     pub key: String,
-    pub fate: Fate,
+    pub result: CallerResult,
     pub ran: bool,
 }
 
-/// An entry with its calls to the platform and its tries at the server.
+/// An entry with its pending platform calls and its attempts at the backend server.
 struct Entry {
     bench: Bench,
     calls: VecDeque<(ClaimOperation, ClaimCommand, ClaimStep)>,
-    tries: VecDeque<Attempt>,
-    cut: bool,
-    lose: bool,
-    late: bool,
-    dead: bool,
+    attempts: VecDeque<Attempt>,
+    cut_off: bool,
+    lose_answer: bool,
+    delay_write: bool,
+    crashed: bool,
 }
 
-/// Everything that a claim meets.
+/// The simulated entries, platform and backend server.
 pub struct World {
     entries: Vec<Entry>,
     objects: BTreeMap<ClaimName, (u64, ClaimRecord)>,
     version: u64,
-    late: Vec<(ClaimName, ClaimRecord)>,
-    /// The calls to the platform.
-    pub calls: u32,
-    pub sendings: BTreeMap<RequestId, Sending>,
+    delayed: Vec<(ClaimName, ClaimRecord)>,
+    /// The number of calls to the platform.
+    pub call_count: u32,
+    pub submissions: BTreeMap<RequestId, Submission>,
 }
 
 impl World {
-    /// Creates a world of two entries, each with one slot at the server.
+    /// Creates a simulation of two entries, each with one slot at the backend server.
     pub fn new() -> Self {
         let entry = |_| Entry {
             bench: bench(),
             calls: VecDeque::new(),
-            tries: VecDeque::new(),
-            cut: false,
-            lose: false,
-            late: false,
-            dead: false,
+            attempts: VecDeque::new(),
+            cut_off: false,
+            lose_answer: false,
+            delay_write: false,
+            crashed: false,
         };
         Self {
             entries: (0..2).map(entry).collect(),
             objects: BTreeMap::new(),
             version: 0,
-            late: Vec::new(),
-            calls: 0,
-            sendings: BTreeMap::new(),
+            delayed: Vec::new(),
+            call_count: 0,
+            submissions: BTreeMap::new(),
         }
     }
 
-    /// Sends a key with a body through an entry.
+    /// Submits a request with a key and a body through an entry.
     pub fn send(&mut self, at: usize, key: &str, body: &str) {
-        if self.entries[at].dead {
+        if self.entries[at].crashed {
             return;
         }
-        let sequence = self.sendings.len() as u64 + 1;
+        let sequence = self.submissions.len() as u64 + 1;
         let mut request = self.entries[at].bench.request("small", &[body]);
         request.id = RequestId::new(at as u64 + 1, sequence);
         request.kind = RequestKind::AtMostOnce;
         request.idempotency_key = Some(IdempotencyKey::new(key));
-        let sending = Sending {
+        let submission = Submission {
             entry: at,
             key: key.to_owned(),
-            fate: Fate::None,
+            result: CallerResult::None,
             ran: false,
         };
-        self.sendings.insert(request.id, sending);
+        self.submissions.insert(request.id, submission);
         self.tell(at, Event::Arrived(&request));
     }
 
-    /// Serves every call that an entry waits for.
-    pub fn calls(&mut self, at: usize) {
-        while self.call(at) {}
+    /// Serves every pending platform call of an entry.
+    pub fn serve_calls(&mut self, at: usize) {
+        while self.serve_call(at) {}
     }
 
-    /// Serves one call. Returns whether there was one.
-    pub fn call(&mut self, at: usize) -> bool {
-        let Some((mut run, call, step)) = self.entries[at].calls.pop_front() else {
+    /// Serves the next platform call of an entry. Returns whether there was one.
+    pub fn serve_call(&mut self, at: usize) -> bool {
+        let Some((mut operation, call, step)) = self.entries[at].calls.pop_front() else {
             return false;
         };
-        let reply = self.serve(at, &call, &step);
-        match run.next(reply) {
-            ClaimStep::Done(news) => self.tell(at, Event::Claim(&news)),
-            next => self.entries[at].calls.push_front((run, call, next)),
+        let reply = self.serve_step(at, &call, &step);
+        match operation.next(reply) {
+            ClaimStep::Done(outcome) => self.tell(at, Event::Claim(&outcome)),
+            next => self.entries[at].calls.push_front((operation, call, next)),
         }
         true
     }
 
-    /// Lets everything take effect that is late.
-    pub fn land(&mut self) {
-        for (name, record) in std::mem::take(&mut self.late) {
+    /// Applies the delayed writes.
+    pub fn apply_delayed(&mut self) {
+        for (name, record) in std::mem::take(&mut self.delayed) {
             self.write(name, 0, record);
         }
     }
 
-    /// Ends the oldest try of an entry.
-    pub fn end(&mut self, at: usize, sent: Option<SendState>) {
-        let Some(attempt) = self.entries[at].tries.pop_front() else {
+    /// Ends the oldest attempt of an entry: with success, or with a failure in the given state.
+    pub fn end_attempt(&mut self, at: usize, sent: Option<SendState>) {
+        let Some(attempt) = self.entries[at].attempts.pop_front() else {
             return;
         };
-        let sending = self.sendings.get_mut(&attempt.id).expect("a sending");
-        sending.ran |= sent.is_none_or(|s| !s.is_not_run());
+        let submission = self.submissions.get_mut(&attempt.id).expect("a submission");
+        submission.ran |= sent.is_none_or(|s| !s.is_not_run());
         let Some(sent) = sent else {
-            if sending.fate == Fate::None {
-                sending.fate = Fate::Answer;
+            if submission.result == CallerResult::None {
+                submission.result = CallerResult::Answer;
             }
             let finish = Finish {
                 attempt,
@@ -151,46 +151,46 @@
         self.tell(at, Event::Failed(&failure));
     }
 
-    /// Lets the caller of an entry's last request hang up.
-    pub fn hang(&mut self, at: usize) {
-        let last = self.sendings.iter().rev().find(|(_, s)| s.entry == at);
+    /// Disconnects the caller of an entry's last request.
+    pub fn disconnect_caller(&mut self, at: usize) {
+        let last = self.submissions.iter().rev().find(|(_, s)| s.entry == at);
         if let Some(id) = last.map(|(id, _)| *id) {
-            let sending = self.sendings.get_mut(&id).expect("a sending");
-            if sending.fate == Fate::None {
-                sending.fate = Fate::Left;
+            let submission = self.submissions.get_mut(&id).expect("a submission");
+            if submission.result == CallerResult::None {
+                submission.result = CallerResult::Disconnected;
             }
             self.tell(at, Event::CallerDisconnected(id));
         }
     }
 
-    /// Lets an entry die. Its server runs what it was sent to the end.
-    pub fn die(&mut self, at: usize) {
-        for attempt in &self.entries[at].tries {
-            let sending = self.sendings.get_mut(&attempt.id).expect("a sending");
-            sending.ran = true;
+    /// Crashes an entry. The backend server completes the attempts that it was sent.
+    pub fn crash(&mut self, at: usize) {
+        for attempt in &self.entries[at].attempts {
+            let submission = self.submissions.get_mut(&attempt.id).expect("a submission");
+            submission.ran = true;
         }
-        self.entries[at].dead = true;
+        self.entries[at].crashed = true;
         self.entries[at].calls.clear();
-        self.entries[at].tries.clear();
+        self.entries[at].attempts.clear();
     }
 
     /// Sets whether an entry is cut off from the platform.
-    pub fn cut(&mut self, at: usize, cut: bool) {
-        self.entries[at].cut = cut;
+    pub fn set_cut_off(&mut self, at: usize, cut_off: bool) {
+        self.entries[at].cut_off = cut_off;
     }
 
-    /// Loses the next answer to an entry after its write took effect.
-    pub fn lose(&mut self, at: usize) {
-        self.entries[at].lose = true;
+    /// Loses the next platform answer to an entry. A write takes effect nevertheless.
+    pub fn lose_answer(&mut self, at: usize) {
+        self.entries[at].lose_answer = true;
     }
 
-    /// Lets the next write of an entry be late.
-    pub fn late(&mut self, at: usize) {
-        self.entries[at].late = true;
+    /// Delays the next claim creation of an entry until [`World::apply_delayed`].
+    pub fn delay_write(&mut self, at: usize) {
+        self.entries[at].delay_write = true;
     }
 
-    /// Lets time pass.
-    pub fn wait(&mut self, millis: u64) {
+    /// Advances the time of every entry.
+    pub fn advance(&mut self, millis: u64) {
         for at in 0..self.entries.len() {
             let bench = &mut self.entries[at].bench;
             bench.now = bench.now + std::time::Duration::from_millis(millis);
@@ -198,56 +198,60 @@
         }
     }
 
-    /// Returns the sendings of a key that ran.
-    pub fn runs(&self, key: &str) -> usize {
-        let ran = self.sendings.values().filter(|s| s.key == key && s.ran);
+    /// Returns the number of submissions of a key that ran.
+    pub fn count_runs(&self, key: &str) -> usize {
+        let ran = self.submissions.values().filter(|s| s.key == key && s.ran);
         ran.count()
     }
 
     fn tell(&mut self, at: usize, event: Event<'_>) {
-        if self.entries[at].dead {
+        if self.entries[at].crashed {
             return;
         }
         for action in self.entries[at].bench.tell(event) {
-            self.carry_out(at, action);
+            self.perform(at, action);
         }
     }
 
-    fn carry_out(&mut self, at: usize, action: Action) {
+    fn perform(&mut self, at: usize, action: Action) {
         let entry = &mut self.entries[at];
         match action {
             Action::Claim(call) => {
-                let run = ClaimOperation::new(&call);
-                let step = run.first();
-                entry.calls.push_back((run, call, step));
+                let operation = ClaimOperation::new(&call);
+                let step = operation.first();
+                entry.calls.push_back((operation, call, step));
             }
-            Action::Dispatch(order) => entry.tries.push_back(order.attempt),
-            Action::Refuse(id, refusal) => self.settle(id, Fate::Refused(refusal)),
-            Action::ReplayAnswer(id, _) => self.settle(id, Fate::Repeat),
+            Action::Dispatch(dispatch) => entry.attempts.push_back(dispatch.attempt),
+            Action::Refuse(id, refusal) => self.set_result(id, CallerResult::Refused(refusal)),
+            Action::ReplayAnswer(id, _) => self.set_result(id, CallerResult::ReplayedAnswer),
             _ => {}
         }
     }
 
-    fn settle(&mut self, id: RequestId, fate: Fate) {
-        let sending = self.sendings.get_mut(&id).expect("a sending");
-        assert_eq!(sending.fate, Fate::None, "a second outcome: {fate:?}");
-        sending.fate = fate;
+    fn set_result(&mut self, id: RequestId, result: CallerResult) {
+        let submission = self.submissions.get_mut(&id).expect("a submission");
+        assert_eq!(
+            submission.result,
+            CallerResult::None,
+            "a second result: {result:?}"
+        );
+        submission.result = result;
     }
 
-    fn serve(&mut self, at: usize, call: &ClaimCommand, step: &ClaimStep) -> ClaimReply {
-        self.calls += 1;
-        let (name, record) = parts(call);
+    fn serve_step(&mut self, at: usize, call: &ClaimCommand, step: &ClaimStep) -> ClaimReply {
+        self.call_count += 1;
+        let (name, record) = write_of(call);
         let entry = &mut self.entries[at];
-        let (late, lose) = (entry.late, entry.lose);
-        if late && *step == ClaimStep::Write(0) {
-            entry.late = false;
-            self.late.push((name, record));
+        let (delay_write, lose_answer) = (entry.delay_write, entry.lose_answer);
+        if delay_write && *step == ClaimStep::Write(0) {
+            entry.delay_write = false;
+            self.delayed.push((name, record));
             return ClaimReply::Lost;
         }
-        if entry.cut {
+        if entry.cut_off {
             return ClaimReply::Lost;
         }
-        entry.lose = false;
+        entry.lose_answer = false;
         let reply = match step {
             ClaimStep::Write(expected) => self.write(name, *expected, record),
             ClaimStep::Delete(expected) => self.delete(name, *expected),
@@ -256,7 +260,7 @@
                 None => ClaimReply::Absent,
             },
         };
-        if lose { ClaimReply::Lost } else { reply }
+        if lose_answer { ClaimReply::Lost } else { reply }
     }
 
     fn write(&mut self, name: ClaimName, expected: u64, record: ClaimRecord) -> ClaimReply {
@@ -277,7 +281,7 @@
     }
 }
 
-/// Returns a router before a plain service.
+/// Creates a router for a service of kind [`ServiceKind::Plain`].
 fn bench() -> Bench {
     let mut bench = Bench::new(1, 1);
     let (id, pool) = (ServiceId::new("advice"), PoolId::new("engines"));
@@ -289,7 +293,7 @@
     bench
 }
 
-fn parts(call: &ClaimCommand) -> (ClaimName, ClaimRecord) {
+fn write_of(call: &ClaimCommand) -> (ClaimName, ClaimRecord) {
     let answer = ShortAnswer::new(200, "text/plain", b"done");
     match call {
         ClaimCommand::Create(ask) => (ask.name, ask.record()),
--- a/azureway-core/tests/floods.rs
+++ b/azureway-core/tests/floods.rs
@@ -1,4 +1,4 @@
-//! Floods of each rank and of one account: the table, and what is refused early.
+//! Floods of each rank and of one account, and early refusals.
 
 mod support;
 
@@ -9,52 +9,52 @@
 use googletest::prelude::*;
 use support::{Bench, fleet, orders, refusals};
 
-/// The table of floods.
+/// The table of floods and of the bounds that must hold.
 const TABLE: &str = include_str!("../testdata/floods.txt");
-/// The slots of the engine.
+/// The number of slots of the backend server.
 const SLOTS: u32 = 4;
-/// The milliseconds that a request takes.
-const SERVICE: u64 = 100;
-/// The tokens that a request costs.
+/// The service time of a request, in milliseconds.
+const SERVICE_MS: u64 = 100;
+/// The cost of a request, in tokens.
 const COST: u64 = 200;
-/// The milliseconds of a flood.
-const FLOOD: u64 = 10_000;
-/// The seconds of a flood, with those that an allowance may save up.
-const SPAN: u64 = FLOOD / 1_000 + 2;
+/// The length of a flood, in milliseconds.
+const FLOOD_MS: u64 = 10_000;
+/// The length of a flood, in seconds, plus the two seconds of tokens that a full bucket holds.
+const SPAN_SECONDS: u64 = FLOOD_MS / 1_000 + 2;
 
-/// What was served or not, by rank and account.
+/// The tokens that were served and the requests that were refused, by rank and account.
 #[derive(Default)]
-struct Served {
+struct FloodResult {
     tokens: BTreeMap<(Rank, String), u64>,
-    late: BTreeMap<(Rank, String), u64>,
+    refused: BTreeMap<(Rank, String), u64>,
 }
 
-impl Served {
-    fn tokens(&self, chosen: impl Fn(&(Rank, String)) -> bool) -> u64 {
+impl FloodResult {
+    fn served_tokens(&self, chosen: impl Fn(&(Rank, String)) -> bool) -> u64 {
         let of = self.tokens.iter().filter(|(k, _)| chosen(k));
         of.map(|(_, t)| t).sum()
     }
 
     fn measure(&self, words: &[&str]) -> u64 {
         match words[0] {
-            // The floor holds to within one request, since none is served in part.
+            // The drafting share holds to within one request, since no request is served in part.
             "kept" => {
-                let drafting = self.tokens(|k| k.0 == Rank::Drafting) + COST;
-                drafting * 100 / self.tokens(|_| true)
+                let drafting = self.served_tokens(|k| k.0 == Rank::Drafting) + COST;
+                drafting * 100 / self.served_tokens(|_| true)
             }
             "late" => {
                 let rank = Rank::parse(words[1]).expect("a rank");
-                let late = self.late.get(&(rank, words[2].to_owned()));
-                late.copied().unwrap_or(0)
+                let refused = self.refused.get(&(rank, words[2].to_owned()));
+                refused.copied().unwrap_or(0)
             }
-            "rate" => self.tokens(|k| k.1 == words[1]) / SPAN,
+            "rate" => self.served_tokens(|k| k.1 == words[1]) / SPAN_SECONDS,
             word => panic!("unknown measure {word}"),
         }
     }
 }
 
-/// Runs a flood and returns what was served.
-fn run(sources: &[Vec<&str>]) -> Served {
+/// Runs a flood and returns its result.
+fn run_flood(sources: &[Vec<&str>]) -> FloodResult {
     let mut bench = Bench::new(1, SLOTS);
     let mut fleet = fleet(1, SLOTS).with_version(ConfigVersion::new(2));
     for source in sources.iter().filter(|s| s[0] == "limit") {
@@ -67,11 +67,11 @@
         fleet = fleet.with_account(account.unwrap_or_else(|| ClientAccount::new(name)));
     }
     bench.tell(Event::Configured(&fleet));
-    let (mut served, mut open) = (Served::default(), BTreeMap::new());
+    let (mut result, mut open) = (FloodResult::default(), BTreeMap::new());
     let mut ends: Vec<(u64, Attempt)> = Vec::new();
-    for milli in 0..FLOOD {
+    for millis in 0..FLOOD_MS {
         let mut actions = bench.pass(Duration::from_millis(1));
-        let done = ends.iter().filter(|(at, _)| *at == milli);
+        let done = ends.iter().filter(|(at, _)| *at == millis);
         for attempt in done.map(|(_, a)| *a).collect::<Vec<_>>() {
             let (cached, output) = (TokenCount::ZERO, TokenCount::new(100));
             let finish = Finish {
@@ -81,31 +81,31 @@
             };
             actions.extend(bench.tell(Event::Finished(&finish)));
         }
-        ends.retain(|(at, _)| *at > milli);
+        ends.retain(|(at, _)| *at > millis);
         for source in sources.iter().filter(|s| s[0] != "limit") {
             let rate: u64 = source[2].parse().expect("a rate");
-            if milli * rate / 1_000 != (milli + 1) * rate / 1_000 {
-                let request = ask(&mut bench, source[0], source[1]);
+            if millis * rate / 1_000 != (millis + 1) * rate / 1_000 {
+                let request = new_request(&mut bench, source[0], source[1]);
                 open.insert(request.id, (request.rank, source[1].to_owned()));
                 actions.extend(bench.tell(Event::Arrived(&request)));
             }
         }
         for order in orders(&actions) {
             let key = open.remove(&order.attempt.id).expect("sent once");
-            *served.tokens.entry(key).or_default() += COST;
-            ends.push((milli + SERVICE, order.attempt));
+            *result.tokens.entry(key).or_default() += COST;
+            ends.push((millis + SERVICE_MS, order.attempt));
         }
         for action in &actions {
             if let Action::Refuse(id, _) = action {
                 let key = open.remove(id).expect("refused once");
-                *served.late.entry(key).or_default() += 1;
+                *result.refused.entry(key).or_default() += 1;
             }
         }
     }
-    served
+    result
 }
 
-fn ask(bench: &mut Bench, rank: &str, account: &str) -> Request {
+fn new_request(bench: &mut Bench, rank: &str, account: &str) -> Request {
     let mut request = bench.request(account, &[&"p".repeat(400)]);
     request.rank = Rank::parse(rank).expect("a rank");
     let due = match request.rank {
@@ -122,11 +122,11 @@
         let columns: Vec<&str> = row.split('|').map(str::trim).collect();
         let words = |text: &'static str| text.split_whitespace().collect::<Vec<_>>();
         let sources: Vec<_> = columns[2].split(';').map(words).collect();
-        let served = run(&sources);
+        let result = run_flood(&sources);
         for bound in columns[3].split(';').map(words) {
             let (measure, relation) = bound.split_at(bound.len() - 2);
             let limit: u64 = relation[1].parse().expect("a number");
-            let value = served.measure(measure);
+            let value = result.measure(measure);
             match relation[0] {
                 "<=" => expect_that!(value, le(limit), "{row}"),
                 _ => expect_that!(value, ge(limit), "{row}"),
@@ -136,16 +136,16 @@
 }
 
 #[gtest]
-fn what_cannot_meet_its_deadline_is_refused_on_arrival() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_on_arrival() {
     let mut bench = Bench::new(1, 1);
     let requests: Vec<_> = (0..40)
-        .map(|_| ask(&mut bench, "drafting", "small"))
+        .map(|_| new_request(&mut bench, "drafting", "small"))
         .collect();
     let mut sent = Vec::new();
     for request in &requests {
         sent.extend(bench.tell(Event::Arrived(request)));
     }
-    // One request a second is served: the pace is 200 tokens a second.
+    // One request per second is served, which is a rate of 200 tokens per second.
     for _ in 0..3 {
         let attempt = orders(&sent)[0].attempt;
         bench.now = bench.now + Duration::from_secs(1);
@@ -156,20 +156,20 @@
             output,
         }));
     }
-    let hasty = ask(&mut bench, "drafting", "small");
-    let refused = bench.tell(Event::Arrived(&hasty));
+    let early_deadline = new_request(&mut bench, "drafting", "small");
+    let refused = bench.tell(Event::Arrived(&early_deadline));
     expect_that!(refusals(&refused)[0].reason, eq(RefusalReason::Deadline));
     expect_that!(refusals(&refused)[0].not_run, eq(true));
-    let mut patient = ask(&mut bench, "drafting", "small");
-    patient.deadline = Deadline::new(bench.now + Duration::from_secs(60));
-    expect_that!(bench.tell(Event::Arrived(&patient)), is_empty());
-    // Another account waits behind none of this.
-    let other = ask(&mut bench, "drafting", "large");
+    let mut late_deadline = new_request(&mut bench, "drafting", "small");
+    late_deadline.deadline = Deadline::new(bench.now + Duration::from_secs(60));
+    expect_that!(bench.tell(Event::Arrived(&late_deadline)), is_empty());
+    // A request of another account does not wait behind these.
+    let other = new_request(&mut bench, "drafting", "large");
     expect_that!(bench.tell(Event::Arrived(&other)), is_empty());
 }
 
 #[gtest]
-fn a_server_without_room_is_left_alone_for_a_moment() {
+fn a_server_without_capacity_is_avoided_for_100_ms() {
     let mut bench = Bench::new(1, 4);
     let request = bench.request("small", &["house"]);
     let sent = bench.tell(Event::Arrived(&request));
--- a/azureway-core/tests/quarantine.rs
+++ b/azureway-core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash backend servers, over several entries.
+//! Quarantine of requests that crash backend servers, over several entries.
 
 mod farm;
 
@@ -14,21 +14,21 @@
 const SERVERS: usize = 8;
 const POISON: &str = "poison";
 
-/// Each row gives the entries, how often the caller sends, whether it sends at once through
-/// all of them, whether peers hear of strikes, and the servers that may crash.
+/// Each row gives the number of entries, the number of submissions, whether they are concurrent
+/// through all entries, whether entries exchange strikes, and the crashes that are allowed.
 #[gtest]
-fn a_request_takes_a_bounded_number_of_servers() {
+fn a_poison_request_crashes_a_bounded_number_of_servers() {
     let cases = CASES
         .lines()
         .filter(|l| !l.is_empty() && !l.starts_with('#'));
     for case in cases {
         let parts: Vec<&str> = case.split('|').map(str::trim).collect();
-        let number = |place: usize| parts[place].parse::<usize>().expect("a number");
+        let number = |index: usize| parts[index].parse::<usize>().expect("a number");
         let mut farm = Farm::new(number(2), SERVERS);
-        let at_once = parts[4] == "at once";
-        for sending in 0..number(3) {
-            farm.send(sending % number(2), POISON);
-            if !at_once {
+        let concurrent = parts[4] == "at once";
+        for submission in 0..number(3) {
+            farm.send(submission % number(2), POISON);
+            if !concurrent {
                 farm.crash_all(POISON);
             }
             if parts[5] == "told" {
@@ -42,13 +42,13 @@
     }
 }
 
-/// Servers of the users' platform tell nothing of themselves: their lives stand in its list alone.
+/// Servers of the users' platform send no reports. Only its list gives their incarnations.
 #[gtest]
-fn births_in_the_list_bar_a_request_that_crashes_servers() {
+fn listed_incarnations_quarantine_a_request_that_crashes_servers() {
     let mut farm = Farm::new(3, SERVERS);
     farm.list_all();
-    for sending in 0..6 {
-        farm.send(sending % 3, POISON);
+    for submission in 0..6 {
+        farm.send(submission % 3, POISON);
         farm.crash_one(POISON);
         farm.list_all();
         farm.share();
@@ -56,12 +56,12 @@
     }
     farm.crash_all(POISON);
     expect_that!(farm.crashes, le(3));
-    let standing = [0, 1, 2].map(|entry| farm.standing(entry, POISON));
-    expect_that!(standing, each(eq(SuspectStatus::Quarantined)));
+    let statuses = [0, 1, 2].map(|entry| farm.standing(entry, POISON));
+    expect_that!(statuses, each(eq(SuspectStatus::Quarantined)));
 }
 
 #[gtest]
-fn a_broken_connection_without_a_birth_bars_nothing() {
+fn a_broken_connection_without_a_restart_does_not_quarantine() {
     let mut farm = Farm::new(1, SERVERS);
     farm.list_all();
     for _ in 0..4 {
@@ -77,7 +77,7 @@
 }
 
 #[gtest]
-fn twenty_innocents_survive_one_poison() {
+fn twenty_healthy_requests_finish_beside_one_poison_request() {
     let mut farm = Farm::new(1, SERVERS);
     for number in 0..20 {
         farm.send(0, &format!("innocent-{number}"));
@@ -99,7 +99,7 @@
 }
 
 #[gtest]
-fn suspects_run_apart_from_one_another() {
+fn suspects_run_on_separate_servers() {
     let mut farm = Farm::new(1, 3);
     for number in 0..12 {
         farm.send(0, &format!("innocent-{number}"));
@@ -115,7 +115,7 @@
 }
 
 #[gtest]
-fn a_broken_link_is_told_from_a_crash_by_the_incarnation() {
+fn an_unchanged_incarnation_clears_the_strikes_of_broken_connections() {
     let mut farm = Farm::new(1, SERVERS);
     farm.report_all();
     farm.send(0, "innocent");
@@ -127,9 +127,10 @@
     expect_that!(farm.standing(0, "innocent"), eq(SuspectStatus::Clear));
 }
 
-/// A stream that each try brought forward is finished, though its body is quarantined.
+/// A stream that advances with each attempt is resumed although its request is quarantined. It is
+/// refused once an attempt fails without progress.
 #[gtest]
-fn a_stream_that_goes_forward_is_resumed() {
+fn a_stream_that_makes_progress_is_resumed() {
     let mut farm = Farm::new(1, SERVERS);
     farm.send(0, "innocent");
     farm.break_streams("innocent", 5);
@@ -155,7 +156,7 @@
 }
 
 #[gtest]
-fn a_quarantine_ends() {
+fn a_quarantine_expires() {
     let mut farm = Farm::new(1, SERVERS);
     farm.report_all();
     farm.send(0, POISON);
@@ -168,9 +169,9 @@
     expect_that!(farm.standing(0, POISON), eq(SuspectStatus::Clear));
 }
 
-/// Pairs of faults and more: what happens is drawn, and the bound is checked after each event.
+/// Runs random sequences of events and checks the crash bound after each event.
 #[test]
-fn the_bound_holds_whatever_happens() {
+fn random_events_stay_within_the_crash_bound() {
     let config = ProptestConfig {
         cases: 64,
         failure_persistence: None,
@@ -179,7 +180,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[41; 32]);
     let mut runner = proptest::test_runner::TestRunner::new_with_rng(config, rng);
     let events = prop::collection::vec((0..7usize, any::<u8>()), 1..60);
-    let result = runner.run(&(events, any::<bool>()), |(events, told)| {
+    let result = runner.run(&(events, any::<bool>()), |(events, shared)| {
         let mut farm = Farm::new(3, SERVERS);
         let mut copies = None;
         farm.report_all();
@@ -195,14 +196,18 @@
                 _ => farm.pass(Duration::from_millis(u64::from(draw) * 10)),
             }
             farm.crash_one(POISON);
-            if told {
+            if shared {
                 farm.share();
             }
-            // Copies that ran already when the second crash was heard of go on.
+            // Copies that were running at the second crash keep running.
             if farm.crashes == 2 && copies.is_none() {
                 copies = Some(farm.copies(POISON));
             }
-            let bound = if told { 2 + copies.unwrap_or(0) } else { 2 * 3 };
+            let bound = if shared {
+                2 + copies.unwrap_or(0)
+            } else {
+                2 * 3
+            };
             assert!(farm.crashes <= bound, "{} servers crashed", farm.crashes);
             assert!(!farm.suspects_share_a_server(), "suspects share a server");
         }
--- a/azureway-core/tests/retries.rs
+++ b/azureway-core/tests/retries.rs
@@ -1,4 +1,4 @@
-//! The retry budget that all entries keep together without a common counter.
+//! The retry budget that all entries share without a common counter.
 
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
 }
 
 proptest! {
-    /// Each step lets an entry take some requests and try to retry as often as it can.
+    /// Each step adds some requests to an entry and spends as many retries as it can.
     #[test]
-    fn no_window_has_more_retries_than_share_and_slack(
+    fn retries_in_any_window_stay_within_share_and_slack(
         entries in 1u32..9,
         count in 8u32..80,
         steps in prop::collection::vec((0u64..1_500, 0usize..9, 0u32..30, 0u32..30), 1..120),
@@ -43,7 +43,7 @@
         }
         for (start, ..) in &log {
             let end = *start + Duration::from_secs(WINDOW);
-            // A window holds what was asked in it or in the one before, whichever is more.
+            // The retries of a window are earned by its own requests and those of the window before.
             let from = Timestamp::from_micros(
                 start.as_micros() - Duration::from_secs(WINDOW).as_micros() as u64,
             );
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn the_requests_of_one_pool_earn_nothing_for_another() {
+fn requests_for_one_pool_earn_no_retries_for_another() {
     let (one, other) = (PoolId::new("one"), PoolId::new("other"));
     let mut budgets = RetryBudgets::new(PERCENT, Some(slack(2)));
     let now = Timestamp::from_millis(3_600_000);
@@ -69,10 +69,10 @@
     expect_that!(spent.count(), le(2));
 }
 
-/// An entry that starts while the platform is away knows of no other one, and all of them may
-/// have started at once.
+/// An entry that starts while the platform is unavailable knows of no other entry, and all of them
+/// may have started at the same time.
 #[gtest]
-fn an_entry_that_knows_of_no_other_one_does_not_take_the_whole_slack() {
+fn an_entry_that_knows_of_no_other_entry_gets_only_a_part_of_the_slack() {
     let pool = PoolId::new("one");
     let mut budgets = RetryBudgets::new(PERCENT, Some(slack(48)));
     budgets.set_entries(1);
@@ -81,7 +81,7 @@
 }
 
 #[gtest]
-fn more_entries_have_a_smaller_part_each() {
+fn more_entries_reduce_the_part_of_each() {
     let pool = PoolId::new("one");
     let mut budgets = RetryBudgets::new(PERCENT, Some(slack(48)));
     let now = Timestamp::from_millis(3_600_000);
