--- a/azureway-core/src/event/failure_kind.rs
+++ b/azureway-core/src/event/failure_kind.rs
@@ -11,7 +11,7 @@
     Busy,
     /// The connection broke.
     Broken,
-    /// The connection delivered no data before its timeout.
+    /// The connection delivered no data within its timeout.
     Silent,
     /// The server answered with an error that says nothing about its health.
     Declined,
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -64,13 +64,13 @@
         for gone in self.servers.reconfigure(fleet) {
             self.index.invalidate(&gone);
         }
-        // Servers known only from the platform's list have not reported their cache or
-        // incarnation.
+        // A server known only from the platform's list has sent no report of its own yet, so its
+        // cache is tracked from the listed incarnation.
         for server in fleet.servers.values() {
-            if let Some(loaded) = server.listed {
-                self.index.track(&server.id, loaded.incarnation);
+            if let Some(listed) = server.listed {
+                self.index.track(&server.id, listed.incarnation);
                 self.guard
-                    .observe_incarnation(&server.id, loaded.incarnation, now);
+                    .observe_incarnation(&server.id, listed.incarnation, now);
             }
         }
     }
