--- a/azureway-core/src/site/service.rs
+++ b/azureway-core/src/site/service.rs
@@ -12,7 +12,7 @@
     /// The model that the service runs; a plain service has none.
     pub model: Option<ModelId>,
     /// Whether the servers fetch cached blocks from one another.
-    pub fetches: bool,
+    pub peer_fetch: bool,
     /// The address of the service if it is a store of cached blocks rather than a pool of servers.
     pub store: Option<SocketAddr>,
 }
--- a/azureway-core/src/site/state.rs
+++ b/azureway-core/src/site/state.rs
@@ -206,7 +206,7 @@
         service
             .with_weights(self.required_weights(site, model))
             .with_rollout(rollout)
-            .with_peer_fetch(site.fetches)
+            .with_peer_fetch(site.peer_fetch)
     }
 
     /// Returns the weights that a service should use. A server may already have newer ones than
--- a/azureway-core/tests/site.rs
+++ b/azureway-core/tests/site.rs
@@ -108,7 +108,7 @@
     let service = SiteService {
         id: ServiceId::new("orders"),
         model: Some(ModelId::new("m")),
-        fetches: true,
+        peer_fetch: true,
         store: None,
     };
     state.configure(SiteDocument {
--- a/azureway-core/tests/site_runs/store.rs
+++ b/azureway-core/tests/site_runs/store.rs
@@ -33,7 +33,7 @@
                 services: vec![SiteService {
                     id: ServiceId::new(SERVICE),
                     model: Some(ModelId::new(MODEL)),
-                    fetches: true,
+                    peer_fetch: true,
                     store: None,
                 }],
                 accounts: vec![
--- a/azureway-core/tests/weights.rs
+++ b/azureway-core/tests/weights.rs
@@ -124,7 +124,7 @@
     SiteService {
         id: ServiceId::new("advice"),
         model: Some(ModelId::new("m")),
-        fetches: true,
+        peer_fetch: true,
         store: None,
     }
 }
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -113,7 +113,7 @@
     SiteService {
         id: ServiceId::new("orders"),
         model: None,
-        fetches: false,
+        peer_fetch: false,
         store: None,
     }
 }
