--- a/azureway-core/tests/retries.rs
+++ b/azureway-core/tests/retries.rs
@@ -43,7 +43,7 @@
         }
         for (start, ..) in &log {
             let end = *start + Duration::from_secs(WINDOW);
-            // The retries of a window are earned by its own requests and those of the window before.
+            // A window can spend what its own requests and those of the window before earned.
             let from = Timestamp::from_micros(
                 start.as_micros() - Duration::from_secs(WINDOW).as_micros() as u64,
             );
