--- a/azureway-entry/src/admin/admin_duty.rs
+++ b/azureway-entry/src/admin/admin_duty.rs
@@ -12,7 +12,7 @@
 use tiny_http::{Header, Method, Request, Response, Server};
 
 use super::{AdminError, AdminHandles, Explainer};
-use crate::decide::{DecideMessage, Question};
+use crate::decide::{DecideMessage, Query};
 
 /// The operators' duty: answers one request after the other.
 pub struct AdminDuty {
@@ -102,7 +102,7 @@
         let sent = self
             .handles
             .decide
-            .send_timeout(DecideMessage::Query(Question::Status(reply)), LIMIT);
+            .send_timeout(DecideMessage::Query(Query::Status(reply)), LIMIT);
         sent.map_err(|_| AdminError::Busy)?;
         let standing = answer.recv_timeout(LIMIT).map_err(|_| AdminError::Busy)?;
         Ok(StatusBody {
--- a/azureway-entry/src/admit/admitter.rs
+++ b/azureway-entry/src/admit/admitter.rs
@@ -7,7 +7,7 @@
 
 use super::{AdmitMessage, Admitted, Call, ExplainCall, ReadCall, UpstreamRequest};
 use crate::caller::Outcome;
-use crate::decide::{DecideMessage, Question};
+use crate::decide::{DecideMessage, Query};
 use crate::meter::Measure;
 
 /// The admitting duty: tells who asks for what and derives the blocks of the prompt.
@@ -84,7 +84,7 @@
         match self.reader.read_as(&self.fleet, account, call) {
             Ok(request) => {
                 let message =
-                    DecideMessage::Query(Question::Explain(Box::new(request), explain.reply));
+                    DecideMessage::Query(Query::Explain(Box::new(request), explain.reply));
                 let _ = self.decide.send(message);
             }
             Err(refusal) => {
--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -17,7 +17,7 @@
 use crate::admit::{Admitter, ChatCalls, RequestIds};
 use crate::caller::Listener;
 use crate::claim::Claimer;
-use crate::decide::{DecideMessage, Decider, Question};
+use crate::decide::{DecideMessage, Decider, Query};
 use crate::meter::Meter;
 use crate::news::{HttpNews, NewsReaders};
 use crate::order::{HttpOrders, Orderer};
@@ -150,7 +150,7 @@
         let (reply, reached) = flume::bounded(1);
         let _ = self
             .decide
-            .send(DecideMessage::Query(Question::Await(version, reply)));
+            .send(DecideMessage::Query(Query::AwaitVersion(version, reply)));
         let _ = reached.recv();
     }
 
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -6,7 +6,7 @@
 use azureway_core::prelude::*;
 use flume::{Receiver, RecvTimeoutError, Sender};
 
-use super::{Callers, DaemonStatus, DecideMessage, PeerWord, Question, VersionNews};
+use super::{Callers, DaemonStatus, DecideMessage, PeerUpdate, Query, VersionNews};
 use crate::admit::Admitted;
 use crate::caller::Outcome;
 use crate::claim::ClaimClient;
@@ -148,23 +148,23 @@
     }
 
     /// Takes in what other entries told, and gives the next round what is asked for here.
-    fn heed(&mut self, word: &PeerWord) {
+    fn heed(&mut self, word: &PeerUpdate) {
         self.tell(word.event());
-        if let PeerWord::Round(_) = word {
+        if let PeerUpdate::HeartbeatRound(_) = word {
             let me = self.peers.me().clone();
             self.peers.demand(self.router.demand(me, self.clock.now()));
         }
     }
 
     /// Answers a question. Whoever asked may be gone, or gets its answer at once.
-    fn reply(&mut self, question: Question) {
+    fn reply(&mut self, question: Query) {
         match question {
-            Question::Await(version, reply) => {
+            Query::AwaitVersion(version, reply) => {
                 let current = self.router.fleet().version;
                 self.news.wait(version, reply, current);
             }
-            Question::Status(reply) => drop(reply.try_send(self.status())),
-            Question::Explain(request, reply) => {
+            Query::Status(reply) => drop(reply.try_send(self.status())),
+            Query::Explain(request, reply) => {
                 let options = self.router.explain(&request, self.clock.now());
                 // The admitting duty found the service, so only a change in between loses it.
                 let _ = reply.try_send(Ok((request, options.unwrap_or_default())));
--- a/azureway-entry/src/decide/message.rs
+++ b/azureway-entry/src/decide/message.rs
@@ -8,7 +8,7 @@
 };
 use flume::Sender;
 
-use super::{CacheRun, PeerWord, Question};
+use super::{OwnedCacheUpdate, PeerUpdate, Query};
 use crate::admit::Admitted;
 
 /// What the deciding duty is told.
@@ -33,15 +33,15 @@
     /// An answer told something of its backend server.
     LoadSample(LoadSample),
     /// A backend server told of its cache.
-    Cache(CacheRun),
+    Cache(OwnedCacheUpdate),
     /// A version of the configuration was read.
     Configured(Arc<Fleet>),
     /// A version of the configuration was read and is bad.
     ConfigRejected(ConfigVersion),
     /// Somebody asks something; no decision follows from it.
-    Query(Question),
+    Query(Query),
     /// Other entries told something.
-    Peer(PeerWord),
+    Peer(PeerUpdate),
     /// The platform lists these backend servers as leaving, and no others.
     Leaving(Vec<ServerId>),
     /// The daemon shuts down and refuses new requests. Where there is a ring, the duty ends
--- a/azureway-entry/src/decide/cache_run.rs
+++ b/azureway-entry/src/decide/owned_cache_update.rs
@@ -4,7 +4,7 @@
 
 /// A run of cache events, stored in a message between duties.
 #[derive(Clone, Debug)]
-pub struct CacheRun {
+pub struct OwnedCacheUpdate {
     /// The server.
     pub server: ServerId,
     /// The server's incarnation when the events arose.
@@ -12,19 +12,19 @@
     /// The number of the first event of the run.
     pub first: u64,
     /// Whether the run is the server's whole content.
-    pub whole: bool,
+    pub snapshot: bool,
     /// The events in order.
     pub ops: Vec<CacheOp>,
 }
 
-impl CacheRun {
+impl OwnedCacheUpdate {
     /// Returns a view of the run.
     pub fn view(&self) -> CacheUpdate<'_> {
         CacheUpdate {
             server: &self.server,
             incarnation: self.incarnation,
             first: self.first,
-            snapshot: self.whole,
+            snapshot: self.snapshot,
             ops: &self.ops,
         }
     }
--- a/azureway-entry/src/decide/peer_word.rs
+++ b/azureway-entry/src/decide/peer_update.rs
@@ -4,11 +4,11 @@
 
 /// What other entries told, or what follows from it.
 #[derive(Clone, Debug)]
-pub enum PeerWord {
+pub enum PeerUpdate {
     /// The number of live entries of the zone changed.
-    Count(u32),
+    ZoneEntries(u32),
     /// A round of heartbeats went out; this many entries are known in all zones.
-    Round(u32),
+    HeartbeatRound(u32),
     /// What client accounts ask for at another entry.
     Demand(Demand),
     /// Another entry told of a backend server.
@@ -19,12 +19,12 @@
     Loading(LoadNotice),
 }
 
-impl PeerWord {
+impl PeerUpdate {
     /// Returns what the core is told.
     pub const fn event(&self) -> Event<'_> {
         match self {
-            Self::Count(count) => Event::ZoneEntries(*count),
-            Self::Round(known) => Event::ListedEntries(*known),
+            Self::ZoneEntries(count) => Event::ZoneEntries(*count),
+            Self::HeartbeatRound(known) => Event::ListedEntries(*known),
             Self::Demand(demand) => Event::Demand(demand),
             Self::Server(news) => Event::Server(news),
             Self::Strike(strike) => Event::Strike(strike),
--- a/azureway-entry/src/decide/question.rs
+++ b/azureway-entry/src/decide/query.rs
@@ -8,9 +8,9 @@
 
 /// What the deciding duty is asked. No decision follows from it.
 #[derive(Debug)]
-pub enum Question {
+pub enum Query {
     /// To be told once a version of the configuration, or a later one, is in force.
-    Await(ConfigVersion, Sender<()>),
+    AwaitVersion(ConfigVersion, Sender<()>),
     /// For its state.
     Status(Sender<DaemonStatus>),
     /// Where a request would go, and why.
--- a/azureway-entry/src/meter/router_measures.rs
+++ b/azureway-entry/src/meter/router_measures.rs
@@ -10,7 +10,7 @@
 use prometheus_client::registry::Registry;
 
 use super::{CountLabel, RankLabel};
-use crate::decide::{DecideMessage, Question};
+use crate::decide::{DecideMessage, Query};
 
 /// What the decisions say of themselves: service by kind and worth, queues and the budget.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
             return;
         };
         if decide
-            .try_send(DecideMessage::Query(Question::Status(reply)))
+            .try_send(DecideMessage::Query(Query::Status(reply)))
             .is_err()
         {
             return;
--- a/azureway-entry/src/news/news_reader.rs
+++ b/azureway-entry/src/news/news_reader.rs
@@ -7,7 +7,7 @@
 use flume::Sender;
 
 use super::{NewsLink, ReaderControl, ServerWord};
-use crate::decide::{CacheRun, DecideMessage};
+use crate::decide::{DecideMessage, OwnedCacheUpdate};
 
 /// Hears the load reports and cache events of one model engine.
 #[derive(Debug)]
@@ -99,11 +99,11 @@
     }
 
     fn tell(&self, incarnation: Incarnation, whole: bool, ops: Vec<CacheOp>, first: u64) {
-        let run = CacheRun {
+        let run = OwnedCacheUpdate {
             server: self.server.clone(),
             incarnation,
             first,
-            whole,
+            snapshot: whole,
             ops,
         };
         // The deciding duty ends only with the process or after it has stopped this one.
--- a/azureway-entry/src/peer/peer_duty.rs
+++ b/azureway-entry/src/peer/peer_duty.rs
@@ -14,7 +14,7 @@
 
 use super::{Document, PeerCall, PeerLinks, PeerMessage, PeerRings, PeerService};
 use crate::admit::AdmitMessage;
-use crate::decide::{DecideMessage, PeerWord};
+use crate::decide::{DecideMessage, PeerUpdate};
 use crate::meter::Measure;
 
 /// The peer duty: tells the membership what happened and carries out what it wants done.
@@ -101,7 +101,7 @@
             Some(PeerMessage::Server(news)) => self.tell(PeerEvent::Server(&news)).await,
             Some(PeerMessage::Loading(loading)) => {
                 self.tell(PeerEvent::Loading(&loading)).await;
-                self.decide(DecideMessage::Peer(PeerWord::Loading(loading)))
+                self.decide(DecideMessage::Peer(PeerUpdate::Loading(loading)))
                     .await;
             }
             Some(PeerMessage::Heard(beat, reply)) => self.answer(&beat, &reply).await,
@@ -150,24 +150,24 @@
                 PeerAction::Reply(_) => {}
                 PeerAction::LiveCount(count) => {
                     log::info!(step = "membership", count = count; "the live entries of the zone changed");
-                    self.decide(DecideMessage::Peer(PeerWord::Count(count)))
+                    self.decide(DecideMessage::Peer(PeerUpdate::ZoneEntries(count)))
                         .await;
                     self.choose();
                 }
                 PeerAction::Demand(demand) => {
-                    self.decide(DecideMessage::Peer(PeerWord::Demand(demand)))
+                    self.decide(DecideMessage::Peer(PeerUpdate::Demand(demand)))
                         .await
                 }
                 PeerAction::Server(news) => {
-                    self.decide(DecideMessage::Peer(PeerWord::Server(news)))
+                    self.decide(DecideMessage::Peer(PeerUpdate::Server(news)))
                         .await
                 }
                 PeerAction::Loading(loading) => {
-                    self.decide(DecideMessage::Peer(PeerWord::Loading(loading)))
+                    self.decide(DecideMessage::Peer(PeerUpdate::Loading(loading)))
                         .await
                 }
                 PeerAction::Strike(strike) => {
-                    self.decide(DecideMessage::Peer(PeerWord::Strike(strike)))
+                    self.decide(DecideMessage::Peer(PeerUpdate::Strike(strike)))
                         .await
                 }
             }
@@ -183,7 +183,7 @@
             self.choose();
         }
         let known = self.core.peers().known_count() + 1;
-        self.decide(DecideMessage::Peer(PeerWord::Round(known)))
+        self.decide(DecideMessage::Peer(PeerUpdate::HeartbeatRound(known)))
             .await;
     }
 
--- a/azureway-entry/tests/meter.rs
+++ b/azureway-entry/tests/meter.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use azureway_core::prelude::*;
-use azureway_entry::decide::{DaemonStatus, DecideMessage, Question};
+use azureway_entry::decide::{DaemonStatus, DecideMessage, Query};
 use azureway_entry::meter::{ACCOUNTS_MAX, Measure, Meter, RingViews, Served};
 use azureway_objects::CallCounter;
 use googletest::prelude::*;
@@ -32,7 +32,7 @@
 
 /// Answers the question for the state, as the deciding duty does.
 fn answer(messages: &flume::Receiver<DecideMessage>) {
-    while let Ok(DecideMessage::Query(Question::Status(reply))) = messages.recv() {
+    while let Ok(DecideMessage::Query(Query::Status(reply))) = messages.recv() {
         let late = OutcomeCount {
             requests: 3,
             worth: 210,
