--- a/azureway-entry/src/admit/passage.rs
+++ b/azureway-entry/src/admit/passthrough.rs
@@ -6,19 +6,19 @@
 
 /// What is passed on of a request that is not of the product's own interface.
 #[derive(Clone, Debug)]
-pub struct Passage {
+pub struct Passthrough {
     /// The headers that belong to the request and not to its connection.
     pub headers: Vec<(Box<str>, Box<str>)>,
     /// The caller's own identity of this sending.
-    pub attempt: Option<Box<str>>,
+    pub attempt_id: Option<Box<str>>,
     /// Whether it may run only once.
     pub once: bool,
     /// The priority that backend servers are told; lower goes first.
     pub priority: u8,
     /// When the caller no longer waits.
-    pub until: Timestamp,
+    pub deadline: Timestamp,
     /// How long a backend server may be silent while another one could still be asked.
-    pub patience: Duration,
+    pub read_timeout: Duration,
     /// The backend servers that it may be sent to.
-    pub tries: u32,
+    pub max_attempts: u32,
 }
--- a/azureway-entry/src/admit/reader.rs
+++ b/azureway-entry/src/admit/reader.rs
@@ -217,14 +217,14 @@
             streamed: false,
             method: head.method.clone(),
             path: path.into(),
-            media: head
+            content_type: head
                 .get("content-type")
                 .unwrap_or("application/json")
                 .into(),
             account: request.account.clone(),
-            key: request.idempotency_key.clone(),
+            idempotency_key: request.idempotency_key.clone(),
             body: body.into(),
-            passage: None,
+            passthrough: None,
         }
     }
 }
--- a/azureway-entry/src/admit/upstream_request.rs
+++ b/azureway-entry/src/admit/upstream_request.rs
@@ -4,7 +4,7 @@
 
 use azureway_core::prelude::{AccountId, IdempotencyKey, ServiceKind};
 
-use super::Passage;
+use super::Passthrough;
 
 /// What a relay carries to a backend server: the bytes that the decisions never see.
 #[derive(Clone, Debug)]
@@ -18,15 +18,15 @@
     /// The path at the backend server.
     pub path: Box<str>,
     /// The type of the body.
-    pub media: Box<str>,
+    pub content_type: Box<str>,
     /// The client account, within which the idempotency key is unique.
     pub account: AccountId,
     /// The idempotency key, which the backend server may check itself.
-    pub key: Option<IdempotencyKey>,
+    pub idempotency_key: Option<IdempotencyKey>,
     /// The body.
     pub body: Arc<[u8]>,
     /// What is passed on unchanged, where the interface passes requests on.
-    pub passage: Option<Passage>,
+    pub passthrough: Option<Passthrough>,
 }
 
 impl UpstreamRequest {
--- a/azureway-entry/src/exchange/asking.rs
+++ b/azureway-entry/src/exchange/asking.rs
@@ -8,7 +8,7 @@
 
 use super::exchange_try::{BROKEN, read_whole};
 use super::{AnswerHead, BackendConnection, BackendDialect, ExchangeTry, Framing};
-use crate::admit::Passage;
+use crate::admit::Passthrough;
 use crate::relay::RelayError;
 
 /// How many times the estimated time to the first token a server may be silent.
@@ -24,12 +24,12 @@
     /// Sends the request and waits for the head of its answer.
     pub(super) fn ask(
         &self,
-        passage: &Passage,
+        passthrough: &Passthrough,
     ) -> Result<(BackendConnection, AnswerHead), RelayError> {
-        let once = passage.once;
+        let once = passthrough.once;
         let address = self.order.address;
         if let Some(connection) = self.pool.take(address, once) {
-            match self.ask_on(connection, passage) {
+            match self.ask_on(connection, passthrough) {
                 // The server closed the connection before the request came. It is sent again
                 // only where it may run twice: nobody can tell whether it was read.
                 Err(RelayError::Server(FailureKind::Broken, _))
@@ -37,20 +37,20 @@
                 result => return result,
             }
         }
-        let limit = self.connect.min(self.left(passage));
+        let limit = self.connect.min(self.left(passthrough));
         let opened = BackendConnection::open(address, limit);
         let unreachable = RelayError::Server(FailureKind::Unreachable, SendState::Unsent);
         let connection = opened.map_err(|e| {
             log::debug!(request:% = self.order.attempt.id, step = "connect", peer:% = address, error:% = e; "no connection");
             unreachable
         })?;
-        self.ask_on(connection, passage)
+        self.ask_on(connection, passthrough)
     }
 
     fn ask_on(
         &self,
         mut connection: BackendConnection,
-        passage: &Passage,
+        passthrough: &Passthrough,
     ) -> Result<(BackendConnection, AnswerHead), RelayError> {
         let unsent = RelayError::Server(FailureKind::Unreachable, SendState::Unsent);
         if !self
@@ -60,15 +60,17 @@
         {
             return Err(RelayError::Unwanted);
         }
-        let left = self.left(passage);
-        let last = self.order.attempt.number >= passage.tries;
+        let left = self.left(passthrough);
+        let last = self.order.attempt.number >= passthrough.max_attempts;
         // A busy server is silent for long and works all the same: asking another one as well
         // would double the work when there is most of it.
-        let patience = passage.patience.max(self.order.expected_ttft * PATIENCE);
+        let patience = passthrough
+            .read_timeout
+            .max(self.order.expected_ttft * PATIENCE);
         let patience = if last { left } else { left.min(patience) };
         let failed = |e: &io::Error| RelayError::of_read(e);
         connection.set_patience(patience).map_err(|e| failed(&e))?;
-        let bytes = self.request(passage, left);
+        let bytes = self.request(passthrough, left);
         if let Err(e) = connection.send(&bytes, patience) {
             // A server that rejects a long request may answer before it has read it all.
             connection
@@ -80,7 +82,7 @@
         for _ in 0..FOREIGN_MAX {
             let head = connection.head().map_err(|e| failed(&e))?;
             let attempt = self.dialect.read(&head).attempt;
-            if attempt.is_none_or(|a| Some(a) == self.attempt(passage)) {
+            if attempt.is_none_or(|a| Some(a) == self.attempt(passthrough)) {
                 return Ok((connection, head));
             }
             log::warn!(request:% = self.order.attempt.id, step = "exchange", peer:% = self.order.server; "an answer to another request was dropped");
@@ -91,19 +93,19 @@
         Err(BROKEN)
     }
 
-    fn attempt<'a>(&self, passage: &'a Passage) -> Option<&'a str> {
-        passage.attempt.as_deref()
+    fn attempt<'a>(&self, passthrough: &'a Passthrough) -> Option<&'a str> {
+        passthrough.attempt_id.as_deref()
     }
 
-    fn left(&self, passage: &Passage) -> Duration {
-        passage.until.since(self.clock.now())
+    fn left(&self, passthrough: &Passthrough) -> Duration {
+        passthrough.deadline.since(self.clock.now())
     }
 
-    fn request(&self, passage: &Passage, left: Duration) -> Vec<u8> {
+    fn request(&self, passthrough: &Passthrough, left: Duration) -> Vec<u8> {
         let upstream = &self.upstream;
         let mut head = format!("{} {} HTTP/1.1\r\n", upstream.method, upstream.path);
         let resumed = self.order.position > StreamPosition::ZERO;
-        for (name, value) in &passage.headers {
+        for (name, value) in &passthrough.headers {
             if !(resumed && name.as_ref() == LAST_EVENT) {
                 let _ = write!(head, "{name}: {value}\r\n");
             }
--- a/azureway-entry/src/exchange/exchange_try.rs
+++ b/azureway-entry/src/exchange/exchange_try.rs
@@ -11,7 +11,7 @@
     AnswerHead, BackendConnection, BackendDialect, BodyStream, ConnectionPool, EventSplitter,
     Framing, TryHandle,
 };
-use crate::admit::{Passage, UpstreamRequest};
+use crate::admit::{Passthrough, UpstreamRequest};
 use crate::caller::AnswerChunk;
 use crate::clock::Clock;
 use crate::decide::DecideMessage;
@@ -53,8 +53,8 @@
     /// Runs the try and reports how it ended.
     pub fn run(mut self) {
         let attempt = self.order.attempt;
-        let result = match self.upstream.passage.clone() {
-            Some(passage) => self.serve(&passage),
+        let result = match self.upstream.passthrough.clone() {
+            Some(passthrough) => self.serve(&passthrough),
             None => Err(RelayError::Server(FailureKind::Faulty, SendState::Unsent)),
         };
         let message = match result {
@@ -85,8 +85,8 @@
         })
     }
 
-    fn serve(&mut self, passage: &Passage) -> Result<(), RelayError> {
-        let (mut connection, head) = self.ask(passage)?;
+    fn serve(&mut self, passthrough: &Passthrough) -> Result<(), RelayError> {
+        let (mut connection, head) = self.ask(passthrough)?;
         let terms = self.dialect.read(&head);
         let (load, weights) = (terms.load, terms.weights);
         if load.is_some() || weights.is_some() {
--- a/azureway-entry/src/relay/relay_try.rs
+++ b/azureway-entry/src/relay/relay_try.rs
@@ -117,7 +117,7 @@
             .read_timeout(self.bounds.gap)
             .follow_redirects(false)
             .proxy_settings(attohttpc::ProxySettings::builder().build())
-            .try_header("content-type", self.upstream.media.as_ref())
+            .try_header("content-type", self.upstream.content_type.as_ref())
             .map_err(|_| faulty)?
             .header(header::ATTEMPT, order.attempt.to_string())
             .header(header::RANK, order.rank.as_str())
@@ -133,7 +133,7 @@
                 .try_header(header::ACCOUNT, account)
                 .map_err(|_| faulty)?;
         }
-        if let Some(key) = &self.upstream.key {
+        if let Some(key) = &self.upstream.idempotency_key {
             request = request
                 .try_header(header::IDEMPOTENCY_KEY, key.as_str())
                 .map_err(|_| faulty)?;
@@ -162,7 +162,7 @@
 
     /// Returns the answer if its claim may keep it.
     fn keep(&self, status: u16, media: &str, body: &[u8]) -> Option<ShortAnswer> {
-        self.upstream.key.as_ref()?;
+        self.upstream.idempotency_key.as_ref()?;
         ShortAnswer::new(status, media, body)
     }
 
--- a/azureway-entry/src/routed/calls.rs
+++ b/azureway-entry/src/routed/calls.rs
@@ -7,7 +7,7 @@
 use azureway_core::site::ANONYMOUS;
 
 use super::{CallTerms, CallerDialect};
-use crate::admit::{Call, Passage, ReadCall, UpstreamRequest};
+use crate::admit::{Call, Passthrough, ReadCall, UpstreamRequest};
 
 /// Reads calls that are routed by host and path.
 #[derive(Clone, Debug)]
@@ -105,14 +105,14 @@
         call: &mut Call,
     ) -> UpstreamRequest {
         let patience = (route.target_latency * PATIENCE).clamp(PATIENCE_MIN, PATIENCE_MAX);
-        let passage = Passage {
-            attempt,
+        let passthrough = Passthrough {
+            attempt_id: attempt,
             once: route.kind == RequestKind::AtMostOnce,
             headers: self.headers(call),
             priority: route.precedence(account),
-            until: request.deadline.timestamp(),
-            patience,
-            tries: match route.kind {
+            deadline: request.deadline.timestamp(),
+            read_timeout: patience,
+            max_attempts: match route.kind {
                 RequestKind::Repeatable => route.max_attempts,
                 RequestKind::AtMostOnce => 1,
             },
@@ -122,11 +122,11 @@
             streamed: route.streamed,
             method: call.head.method.clone(),
             path: call.head.path.clone(),
-            media: "".into(),
+            content_type: "".into(),
             account: account.id.clone(),
-            key: None,
+            idempotency_key: None,
             body: Arc::from(std::mem::take(&mut call.body)),
-            passage: Some(passage),
+            passthrough: Some(passthrough),
         }
     }
 
--- a/azureway-entry/tests/exchange.rs
+++ b/azureway-entry/tests/exchange.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use azureway_core::prelude::*;
-use azureway_entry::admit::{Passage, UpstreamRequest};
+use azureway_entry::admit::{Passthrough, UpstreamRequest};
 use azureway_entry::caller::AnswerChunk;
 use azureway_entry::clock::Clock;
 use azureway_entry::decide::DecideMessage;
@@ -80,21 +80,21 @@
         streamed: false,
         method: "POST".into(),
         path: "/a/b?c=d".into(),
-        media: "".into(),
+        content_type: "".into(),
         account: AccountId::new("small"),
-        key: None,
+        idempotency_key: None,
         body: Arc::from(b"body".to_vec()),
-        passage: Some(Passage {
-            attempt: Some(ATTEMPT.into()),
+        passthrough: Some(Passthrough {
+            attempt_id: Some(ATTEMPT.into()),
             once,
             headers: vec![
                 ("host".into(), "one".into()),
                 ("last-event-id".into(), "9".into()),
             ],
             priority: 3,
-            until,
-            patience: PATIENCE,
-            tries: 2,
+            deadline: until,
+            read_timeout: PATIENCE,
+            max_attempts: 2,
         }),
     }
 }
