--- a/azureway-entry/src/admin/explainer.rs
+++ b/azureway-entry/src/admin/explainer.rs
@@ -64,13 +64,13 @@
         let head = Head::parse(head.as_bytes()).ok().flatten();
         let (head, _) = head.ok_or_else(|| AdminError::Invalid("no head".into()))?;
         // Nothing is run, so nothing ever comes of it.
-        let (outcome, _) = flume::bounded(1);
+        let (updates, _) = flume::bounded(1);
         Ok(Call {
             id: self.handles.ids.next(),
             head,
             body,
             arrived: self.handles.clock.now(),
-            outcome,
+            updates,
         })
     }
 }
--- a/azureway-entry/src/admit/admitted.rs
+++ b/azureway-entry/src/admit/admitted.rs
@@ -4,7 +4,7 @@
 use flume::Sender;
 
 use super::UpstreamRequest;
-use crate::caller::Outcome;
+use crate::caller::RequestUpdate;
 
 /// A request on its way to the decisions, with what the entry keeps of it.
 #[derive(Debug)]
@@ -14,5 +14,5 @@
     /// What a relay carries.
     pub upstream: UpstreamRequest,
     /// Where the outcome goes.
-    pub outcome: Sender<Outcome>,
+    pub updates: Sender<RequestUpdate>,
 }
--- a/azureway-entry/src/admit/admitter.rs
+++ b/azureway-entry/src/admit/admitter.rs
@@ -6,7 +6,7 @@
 use flume::{Receiver, Sender};
 
 use super::{AdmitMessage, Admitted, Call, ExplainCall, ReadCall, UpstreamRequest};
-use crate::caller::Outcome;
+use crate::caller::RequestUpdate;
 use crate::decide::{DecideMessage, Query};
 use crate::meter::Measure;
 
@@ -61,7 +61,7 @@
                 let admitted = Admitted {
                     request,
                     upstream,
-                    outcome: call.outcome,
+                    updates: call.updates,
                 };
                 // Blocks while the decisions are behind, which fills this duty's own ring:
                 // connections then refuse at once.
@@ -74,7 +74,7 @@
                     "refused"
                 );
                 let _ = self.meter.try_send(Measure::Refused(refusal.reason));
-                let _ = call.outcome.try_send(Outcome::Refused(id, refusal));
+                let _ = call.updates.try_send(RequestUpdate::Refused(id, refusal));
             }
         }
     }
--- a/azureway-entry/src/admit/call.rs
+++ b/azureway-entry/src/admit/call.rs
@@ -3,7 +3,7 @@
 use azureway_core::prelude::{RequestId, Timestamp};
 use flume::Sender;
 
-use crate::caller::{Head, Outcome};
+use crate::caller::{Head, RequestUpdate};
 
 /// A call as it came from a caller, whole and within its bounds.
 #[derive(Debug)]
@@ -17,5 +17,5 @@
     /// When it arrived.
     pub arrived: Timestamp,
     /// Where the outcome goes.
-    pub outcome: Sender<Outcome>,
+    pub updates: Sender<RequestUpdate>,
 }
--- a/azureway-entry/src/caller/answer.rs
+++ b/azureway-entry/src/caller/answer.rs
@@ -8,7 +8,7 @@
 use chunked_transfer::Encoder;
 use flume::Receiver;
 
-use super::{AnswerChunk, Outcome, Responder, WholeAnswer, is_open};
+use super::{AnswerChunk, RequestUpdate, Responder, WholeAnswer, is_open};
 
 /// The answer to one request, over all its tries: passed on as it comes or gathered whole.
 pub struct Answer<'a> {
@@ -44,11 +44,11 @@
     /// # Errors
     ///
     /// Returns an error if the caller hangs up.
-    pub fn run(&mut self, outcomes: &Receiver<Outcome>) -> io::Result<()> {
+    pub fn run(&mut self, updates: &Receiver<RequestUpdate>) -> io::Result<()> {
         loop {
-            match next(outcomes) {
-                Outcome::Refused(id, refusal) => return self.refuse(id, &refusal),
-                Outcome::Attached {
+            match next(updates) {
+                RequestUpdate::Refused(id, refusal) => return self.refuse(id, &refusal),
+                RequestUpdate::AttemptStarted {
                     attempt,
                     streamed,
                     chunks,
@@ -155,9 +155,9 @@
 }
 
 /// Waits for an outcome. A request whose daemon is gone counts as refused.
-fn next(outcomes: &Receiver<Outcome>) -> Outcome {
-    outcomes.recv().unwrap_or_else(|_| {
+fn next(updates: &Receiver<RequestUpdate>) -> RequestUpdate {
+    updates.recv().unwrap_or_else(|_| {
         let refusal = Refusal::maybe_run(RefusalReason::ServerFailed, "the instance has stopped");
-        Outcome::Refused(RequestId::new(0, 0), refusal)
+        RequestUpdate::Refused(RequestId::new(0, 0), refusal)
     })
 }
--- a/azureway-entry/src/caller/connection.rs
+++ b/azureway-entry/src/caller/connection.rs
@@ -25,7 +25,7 @@
 const LINGER: Duration = Duration::from_secs(1);
 /// How long a caller may take no byte of its answer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The outcomes that a request can have before its connection takes one up.
+/// The updates that a request can have before its connection takes one up.
 const OUTCOMES: usize = 16;
 
 impl Connection {
@@ -98,13 +98,13 @@
     }
 
     fn call(&self, head: Head, body: Vec<u8>) -> io::Result<()> {
-        let (outcome, outcomes) = flume::bounded(OUTCOMES);
+        let (sender, updates) = flume::bounded(OUTCOMES);
         let call = Call {
             id: self.handles.ids.next(),
             head,
             body,
             arrived: self.handles.clock.now(),
-            outcome,
+            updates: sender,
         };
         if self
             .handles
@@ -116,7 +116,7 @@
             return Responder::new(&self.stream).refuse(&refusal);
         }
         let mut answer = Answer::new(&self.stream);
-        let result = answer.run(&outcomes);
+        let result = answer.run(&updates);
         if let (Err(_), Some(id)) = (&result, answer.id()) {
             let _ = self
                 .handles
--- a/azureway-entry/src/caller/outcome.rs
+++ b/azureway-entry/src/caller/request_update.rs
@@ -7,9 +7,9 @@
 
 /// What becomes of a request, as its connection is told.
 #[derive(Debug)]
-pub enum Outcome {
+pub enum RequestUpdate {
     /// A try begins.
-    Attached {
+    AttemptStarted {
         /// The try.
         attempt: Attempt,
         /// Whether the caller asked for a stream.
--- a/azureway-entry/src/decide/caller.rs
+++ b/azureway-entry/src/decide/caller.rs
@@ -8,7 +8,7 @@
 use flume::Sender;
 
 use crate::admit::UpstreamRequest;
-use crate::caller::Outcome;
+use crate::caller::RequestUpdate;
 use crate::meter::{Measure, Served};
 
 /// What the deciding duty keeps of a caller: bytes and rings, which the core never sees.
@@ -17,7 +17,7 @@
     /// What a relay carries.
     pub upstream: Arc<UpstreamRequest>,
     /// Where the outcome goes.
-    pub outcome: Sender<Outcome>,
+    pub updates: Sender<RequestUpdate>,
     /// The rank.
     pub rank: Rank,
     /// When the request arrived.
--- a/azureway-entry/src/decide/callers.rs
+++ b/azureway-entry/src/decide/callers.rs
@@ -9,7 +9,7 @@
 
 use super::Caller;
 use crate::admit::Admitted;
-use crate::caller::{AnswerChunk, Outcome};
+use crate::caller::{AnswerChunk, RequestUpdate};
 use crate::meter::Measure;
 
 /// The callers whose requests are not finished.
@@ -29,11 +29,11 @@
         let Admitted {
             request,
             upstream,
-            outcome,
+            updates,
         } = admitted;
         let caller = Caller {
             upstream: Arc::new(upstream),
-            outcome,
+            updates,
             rank: request.rank,
             arrived: request.arrived,
             prompt: request.chain.tokens(),
@@ -96,19 +96,19 @@
         let body = answer.body.as_bytes().to_vec();
         let _ = sender.try_send(AnswerChunk::Whole(answer.status, answer.media, body));
         let attempt = Attempt::new(id, 0);
-        let attached = Outcome::Attached {
+        let started = RequestUpdate::AttemptStarted {
             attempt,
             streamed: false,
             chunks,
         };
-        let _ = caller.outcome.try_send(attached);
+        let _ = caller.updates.try_send(started);
     }
 
     /// Tells a caller that its request is refused.
     pub fn refuse(&mut self, id: RequestId, refusal: Refusal) {
         if let Some(caller) = self.remove(id) {
             // A caller that hung up has no ring any more, and nothing is owed to it.
-            let _ = caller.outcome.try_send(Outcome::Refused(id, refusal));
+            let _ = caller.updates.try_send(RequestUpdate::Refused(id, refusal));
         }
     }
 }
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -8,7 +8,7 @@
 
 use super::{Callers, DaemonStatus, DecideMessage, PeerUpdate, Query, VersionNews};
 use crate::admit::Admitted;
-use crate::caller::Outcome;
+use crate::caller::RequestUpdate;
 use crate::claim::ClaimClient;
 use crate::clock::Clock;
 use crate::daemon::Rings;
@@ -263,12 +263,12 @@
         let attempt = order.attempt;
         let measure = caller.sent(attempt, now);
         let chunks = self.launcher.launch(order, Arc::clone(&caller.upstream));
-        let attached = Outcome::Attached {
+        let started = RequestUpdate::AttemptStarted {
             attempt,
             streamed: caller.upstream.streamed,
             chunks,
         };
-        let _ = caller.outcome.try_send(attached);
+        let _ = caller.updates.try_send(started);
         self.measure(measure);
     }
 
--- a/azureway-entry/src/routed/answer.rs
+++ b/azureway-entry/src/routed/answer.rs
@@ -9,7 +9,7 @@
 use flume::{Receiver, RecvTimeoutError};
 
 use super::{Ending, RoutedResponder};
-use crate::caller::{AnswerChunk, Outcome, is_open};
+use crate::caller::{AnswerChunk, RequestUpdate, is_open};
 use crate::decide::DecideMessage;
 use crate::exchange::AnswerHead;
 
@@ -46,13 +46,13 @@
     /// Returns an error if the caller hangs up.
     pub fn run(
         &mut self,
-        outcomes: &Receiver<Outcome>,
+        updates: &Receiver<RequestUpdate>,
         decide: &flume::Sender<DecideMessage>,
     ) -> io::Result<Ending> {
         loop {
-            match outcomes.recv_deadline(self.limit) {
-                Ok(Outcome::Refused(_, refusal)) => return self.refuse(&refusal),
-                Ok(Outcome::Attached { chunks, .. }) => {
+            match updates.recv_deadline(self.limit) {
+                Ok(RequestUpdate::Refused(_, refusal)) => return self.refuse(&refusal),
+                Ok(RequestUpdate::AttemptStarted { chunks, .. }) => {
                     self.sent = true;
                     if !is_open(self.stream)? {
                         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -61,7 +61,7 @@
                         return Ok(ending);
                     }
                 }
-                Err(RecvTimeoutError::Timeout) => return self.give_up(outcomes, decide),
+                Err(RecvTimeoutError::Timeout) => return self.give_up(updates, decide),
                 // The request was taken back because its caller is gone.
                 Err(RecvTimeoutError::Disconnected) => return Ok(Ending::Broken),
             }
@@ -71,7 +71,7 @@
     /// Passes on the chunks of one try. Returns how the answer ended, if it did.
     fn pass_on(&mut self, chunks: &Receiver<AnswerChunk>) -> io::Result<Option<Ending>> {
         // A try that ends without an answer, or that runs out of time, ends the ring or the
-        // wait; what becomes of the request is then told by its outcomes.
+        // wait; what becomes of the request is then told by its updates.
         while let Ok(chunk) = chunks.recv_deadline(self.limit) {
             match chunk {
                 AnswerChunk::Full(head, body) => {
@@ -123,14 +123,14 @@
     /// begun when the decisions let go of it.
     fn give_up(
         &mut self,
-        outcomes: &Receiver<Outcome>,
+        updates: &Receiver<RequestUpdate>,
         decide: &flume::Sender<DecideMessage>,
     ) -> io::Result<Ending> {
         let _ = decide.send(DecideMessage::CallerDisconnected(self.id));
-        for outcome in outcomes.iter() {
-            match outcome {
-                Outcome::Attached { .. } => self.sent = true,
-                Outcome::Refused(_, refusal) => return self.refuse(&refusal),
+        for update in updates.iter() {
+            match update {
+                RequestUpdate::AttemptStarted { .. } => self.sent = true,
+                RequestUpdate::Refused(_, refusal) => return self.refuse(&refusal),
             }
         }
         let detail = "the time for the answer has passed";
--- a/azureway-entry/src/routed/connection.rs
+++ b/azureway-entry/src/routed/connection.rs
@@ -28,7 +28,7 @@
 const LINGER: Duration = Duration::from_secs(1);
 /// How long a caller may take no byte of its answer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The outcomes that a request can have before its connection takes one up.
+/// The updates that a request can have before its connection takes one up.
 const OUTCOMES: usize = 16;
 /// How long a request may take where neither its caller nor its route sets a limit.
 const WAIT_MAX: Duration = Duration::from_secs(60);
@@ -131,13 +131,13 @@
         let wait = self.dialect.read(&head).ok().and_then(|t| t.wait);
         let limit = Instant::now() + wait.unwrap_or(WAIT_MAX);
         let close = self.gate.is_leaving() || asks_close(&head);
-        let (outcome, outcomes) = flume::bounded(OUTCOMES);
+        let (sender, updates) = flume::bounded(OUTCOMES);
         let call = Call {
             id,
             head,
             body,
             arrived: self.handles.clock.now(),
-            outcome,
+            updates: sender,
         };
         let message = AdmitMessage::Call(Box::new(call));
         if self.handles.admit.try_send(message).is_err() {
@@ -150,7 +150,7 @@
             log::warn!(request:% = id, step = "watch callers", error:% = e; "a hang-up would go unnoticed");
         });
         let mut answer = RoutedAnswer::new(&self.stream, id, limit, close);
-        let result = answer.run(&outcomes, &self.handles.decide);
+        let result = answer.run(&updates, &self.handles.decide);
         if let Ok(place) = watched {
             self.watch.end(&self.stream, place);
         }
