--- a/azureway-entry/src/caller/answer.rs
+++ b/azureway-entry/src/caller/answer.rs
@@ -85,15 +85,15 @@
         while let Ok(chunk) = chunks.recv() {
             match chunk {
                 AnswerChunk::Event(position, data) => self.event(attempt, position, &data)?,
-                AnswerChunk::Whole(status, media, body) => {
+                AnswerChunk::Complete(status, media, body) => {
                     self.responder().whole(status, &media, &body)?;
                     return Ok(true);
                 }
                 AnswerChunk::End => return self.end().map(|()| true),
-                AnswerChunk::Head(_)
-                | AnswerChunk::Bytes(_)
-                | AnswerChunk::Full(..)
-                | AnswerChunk::Held(..) => {
+                AnswerChunk::StreamHead(_)
+                | AnswerChunk::StreamBytes(_)
+                | AnswerChunk::Forwarded(..)
+                | AnswerChunk::Fallback(..) => {
                     return Err(io::Error::other("a chunk of another interface"));
                 }
             }
--- a/azureway-entry/src/caller/answer_chunk.rs
+++ b/azureway-entry/src/caller/answer_chunk.rs
@@ -10,15 +10,15 @@
     /// An event of a stream at its position.
     Event(StreamPosition, Box<str>),
     /// A whole answer: status, media type and body.
-    Whole(u16, Box<str>, Vec<u8>),
+    Complete(u16, Box<str>, Vec<u8>),
     /// The head of a stream whose bytes are passed on unchanged.
-    Head(Box<AnswerHead>),
+    StreamHead(Box<AnswerHead>),
     /// Whole events of such a stream.
-    Bytes(Vec<u8>),
+    StreamBytes(Vec<u8>),
     /// A whole answer that is passed on unchanged.
-    Full(Box<AnswerHead>, Vec<u8>),
+    Forwarded(Box<AnswerHead>, Vec<u8>),
     /// A failure of the server's own, for the case that no other server does better.
-    Held(Box<AnswerHead>, Vec<u8>),
+    Fallback(Box<AnswerHead>, Vec<u8>),
     /// The answer is complete.
     End,
 }
--- a/azureway-entry/src/decide/callers.rs
+++ b/azureway-entry/src/decide/callers.rs
@@ -94,7 +94,7 @@
         };
         let (sender, chunks) = flume::bounded(1);
         let body = answer.body.as_bytes().to_vec();
-        let _ = sender.try_send(AnswerChunk::Whole(answer.status, answer.media, body));
+        let _ = sender.try_send(AnswerChunk::Complete(answer.status, answer.media, body));
         let attempt = Attempt::new(id, 0);
         let started = RequestUpdate::AttemptStarted {
             attempt,
--- a/azureway-entry/src/exchange/exchange_try.rs
+++ b/azureway-entry/src/exchange/exchange_try.rs
@@ -132,7 +132,9 @@
         let body = read_whole(connection.body(framing)).map_err(|e| RelayError::of_read(&e))?;
         self.keep(connection, &head);
         // The server has run the request to its end, also if the caller is gone.
-        let _ = self.chunks.send(AnswerChunk::Full(Box::new(head), body));
+        let _ = self
+            .chunks
+            .send(AnswerChunk::Forwarded(Box::new(head), body));
         Ok(())
     }
 
@@ -151,7 +153,9 @@
         // has not said.
         let promise = matches!(head.status, 408 | 421 | 429 | 503);
         if signed && !promise {
-            let _ = self.chunks.send(AnswerChunk::Held(Box::new(head), body));
+            let _ = self
+                .chunks
+                .send(AnswerChunk::Fallback(Box::new(head), body));
         }
         Err(RelayError::Server(
             FailureKind::Declined,
@@ -165,7 +169,7 @@
         head: AnswerHead,
         framing: Framing,
     ) -> Result<(), RelayError> {
-        self.pass(AnswerChunk::Head(Box::new(head.clone())))?;
+        self.pass(AnswerChunk::StreamHead(Box::new(head.clone())))?;
         let mut body = connection.body(framing);
         let mut splitter = EventSplitter::new();
         let mut buffer = vec![0; READ_SIZE];
@@ -179,7 +183,7 @@
             splitter.push(&buffer[..count]);
             let events = self.take_events(&mut splitter);
             if !events.is_empty() {
-                self.pass(AnswerChunk::Bytes(events))?;
+                self.pass(AnswerChunk::StreamBytes(events))?;
             }
         }
         if !splitter.rest().is_empty() {
--- a/azureway-entry/src/relay/relay_try.rs
+++ b/azureway-entry/src/relay/relay_try.rs
@@ -156,7 +156,7 @@
         self.note_start();
         self.kept = self.keep(status.as_u16(), media, &body);
         // The server has run the request to its end, also if the caller is gone.
-        let _ = self.pass(AnswerChunk::Whole(status.as_u16(), media.into(), body));
+        let _ = self.pass(AnswerChunk::Complete(status.as_u16(), media.into(), body));
         Ok(())
     }
 
--- a/azureway-entry/src/routed/answer.rs
+++ b/azureway-entry/src/routed/answer.rs
@@ -74,13 +74,13 @@
         // wait; what becomes of the request is then told by its updates.
         while let Ok(chunk) = chunks.recv_deadline(self.limit) {
             match chunk {
-                AnswerChunk::Full(head, body) => {
+                AnswerChunk::Forwarded(head, body) => {
                     RoutedResponder::new(self.stream, self.close).pass(&head, &body)?;
                     return Ok(Some(Ending::complete(self.close)));
                 }
-                AnswerChunk::Held(head, body) => self.held = Some((head, body)),
-                AnswerChunk::Head(head) => self.begin(&head)?,
-                AnswerChunk::Bytes(bytes) => {
+                AnswerChunk::Fallback(head, body) => self.held = Some((head, body)),
+                AnswerChunk::StreamHead(head) => self.begin(&head)?,
+                AnswerChunk::StreamBytes(bytes) => {
                     if let Some(writer) = &mut self.writer {
                         writer.write_all(&bytes)?;
                     }
@@ -90,7 +90,7 @@
                     self.writer = None;
                     return Ok(Some(Ending::complete(self.close)));
                 }
-                AnswerChunk::Event(..) | AnswerChunk::Whole(..) => {
+                AnswerChunk::Event(..) | AnswerChunk::Complete(..) => {
                     return Err(io::Error::other("a chunk of another interface"));
                 }
             }
--- a/azureway-entry/tests/exchange.rs
+++ b/azureway-entry/tests/exchange.rs
@@ -143,10 +143,10 @@
 
 fn told(chunk: &AnswerChunk) -> String {
     match chunk {
-        AnswerChunk::Full(_, body) => format!("full {}", String::from_utf8_lossy(body)),
-        AnswerChunk::Held(head, _) => format!("held {}", head.status),
-        AnswerChunk::Head(_) => "head".to_owned(),
-        AnswerChunk::Bytes(bytes) => {
+        AnswerChunk::Forwarded(_, body) => format!("full {}", String::from_utf8_lossy(body)),
+        AnswerChunk::Fallback(head, _) => format!("held {}", head.status),
+        AnswerChunk::StreamHead(_) => "head".to_owned(),
+        AnswerChunk::StreamBytes(bytes) => {
             format!(
                 "bytes {}",
                 String::from_utf8_lossy(bytes).replace('\n', "#")
