--- a/azureway-entry/src/caller/body_reader.rs
+++ b/azureway-entry/src/caller/body_reader.rs
@@ -23,8 +23,8 @@
     /// Returns an error if the length is not a plain number, stands twice or goes with
     /// chunks: a reader that guesses could take a part of the body for another request.
     pub fn new(head: &Head) -> Result<Self, BadInput> {
-        let mut lengths = head.all("content-length");
-        let mut codings = head.all("transfer-encoding");
+        let mut lengths = head.get_all("content-length");
+        let mut codings = head.get_all("transfer-encoding");
         match (lengths.next(), codings.next()) {
             (None, None) => Ok(Self::Sized(0)),
             (Some(length), None) if lengths.next().is_none() => Self::sized(length),
--- a/azureway-entry/src/caller/head.rs
+++ b/azureway-entry/src/caller/head.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns every value of the header with the lower-case `name`.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+    pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         let named = self.headers.iter().filter(move |(n, _)| n.as_ref() == name);
         named.map(|(_, value)| value.as_ref())
     }
--- a/azureway-entry/src/routed/calls.rs
+++ b/azureway-entry/src/routed/calls.rs
@@ -132,7 +132,7 @@
 
     /// Returns the headers that are passed on.
     fn headers(&self, call: &Call) -> Vec<(Box<str>, Box<str>)> {
-        let named = call.head.all("connection").flat_map(|v| v.split(','));
+        let named = call.head.get_all("connection").flat_map(|v| v.split(','));
         let named: Vec<_> = named.map(|n| n.trim().to_ascii_lowercase()).collect();
         let passed = |name: &str| {
             !HOP_BY_HOP.contains(&name)
--- a/azureway-entry/src/routed/connection.rs
+++ b/azureway-entry/src/routed/connection.rs
@@ -170,6 +170,6 @@
 
 /// Tells whether the caller wants the connection closed after the answer.
 fn asks_close(head: &Head) -> bool {
-    let mut tokens = head.all("connection").flat_map(|v| v.split(','));
+    let mut tokens = head.get_all("connection").flat_map(|v| v.split(','));
     tokens.any(|t| t.trim().eq_ignore_ascii_case("close"))
 }
