--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -23,7 +23,7 @@
 use crate::order::{HttpOrders, Orderer};
 use crate::peer::PeerMessage;
 use crate::relay::Launcher;
-use crate::watch::{WatchMessage, Watcher};
+use crate::watch::{ConfigWatcher, WatchMessage};
 
 /// One entry daemon, running.
 pub struct Entry {
@@ -100,7 +100,7 @@
             rings.decide.clone(),
             rings.meter,
         );
-        let watcher = Watcher::new(
+        let watcher = ConfigWatcher::new(
             api,
             rings.admit,
             rings.decide.clone(),
--- a/azureway-entry/src/daemon/parts.rs
+++ b/azureway-entry/src/daemon/parts.rs
@@ -9,7 +9,7 @@
 
 use super::{Rings, spawn};
 use crate::peer::PeerDuty;
-use crate::watch::ChoiceNotifier;
+use crate::watch::SelectionNotifier;
 
 /// Starts the peer duty.
 pub(super) fn talk(
@@ -26,12 +26,12 @@
     let incarnation = Incarnation::new(u64::try_from(start).unwrap_or(u64::MAX));
     let me = Instance::new(settings.instance.clone(), settings.zone.clone(), address);
     let me = me.with_incarnation(incarnation);
-    let choice = ChoiceNotifier::new(me.id.clone(), rings.watch.clone(), rings.order.clone());
+    let selection = SelectionNotifier::new(me.id.clone(), rings.watch.clone(), rings.order.clone());
     let now = rings.clock.now();
     let core = Membership::new(MembershipConfig::new(), me, &settings.peers, mark, now);
     let (runtime, duty) = (
         PeerDuty::runtime()?,
-        PeerDuty::new(core, rings.peers(choice)),
+        PeerDuty::new(core, rings.peers(selection)),
     );
     spawn("peer", move || duty.run(&runtime, listener))
 }
--- a/azureway-entry/src/daemon/rings.rs
+++ b/azureway-entry/src/daemon/rings.rs
@@ -13,7 +13,7 @@
 use crate::meter::{Measure, RingViews};
 use crate::order::OrderMessage;
 use crate::peer::{PeerMessage, PeerRings};
-use crate::watch::{ChoiceNotifier, WatchMessage};
+use crate::watch::{SelectionNotifier, WatchMessage};
 
 /// Both ends of every ring between the duties, and what the duties share.
 #[derive(Debug)]
@@ -104,14 +104,14 @@
     }
 
     /// Returns what the peer duty reaches.
-    pub fn peers(&self, choice: ChoiceNotifier) -> PeerRings {
+    pub fn peers(&self, selection: SelectionNotifier) -> PeerRings {
         PeerRings {
             peer: self.peer.clone(),
             messages: self.peer_messages.clone(),
             admit: self.admit.clone(),
             decide: self.decide.clone(),
             meter: self.meter.clone(),
-            choice,
+            selection,
             clock: self.clock,
         }
     }
--- a/azureway-entry/src/peer/peer_duty.rs
+++ b/azureway-entry/src/peer/peer_duty.rs
@@ -196,7 +196,7 @@
         let zone = &self.core.me().zone;
         let live = self.core.peers().live_in_zone(zone);
         let live: Vec<_> = live.map(|m| m.latest.instance.id.clone()).collect();
-        self.rings.choice.tell(&live);
+        self.rings.selection.notify(&live);
     }
 
     fn send(&mut self, peer: Instance, beat: &Heartbeat) {
--- a/azureway-entry/src/peer/peer_rings.rs
+++ b/azureway-entry/src/peer/peer_rings.rs
@@ -7,7 +7,7 @@
 use crate::clock::Clock;
 use crate::decide::DecideMessage;
 use crate::meter::Measure;
-use crate::watch::ChoiceNotifier;
+use crate::watch::SelectionNotifier;
 
 /// The rings that the peer duty reaches, and its own.
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     /// To the measuring duty.
     pub meter: Sender<Measure>,
     /// To the duties of which a few entries of the zone are enough.
-    pub choice: ChoiceNotifier,
+    pub selection: SelectionNotifier,
     /// The clock.
     pub clock: Clock,
 }
--- a/azureway-entry/src/watch/watcher.rs
+++ b/azureway-entry/src/watch/config_watcher.rs
@@ -21,7 +21,7 @@
 
 /// Watches the configuration document and passes each good version on.
 #[derive(Debug)]
-pub struct Watcher<A> {
+pub struct ConfigWatcher<A> {
     api: A,
     admit: Sender<AdmitMessage>,
     decide: Sender<DecideMessage>,
@@ -38,7 +38,7 @@
 /// The faults of a bad document that are logged, each on a line of its own.
 const FAULTS_LOGGED: usize = 20;
 
-impl<A: ObjectApi> Watcher<A> {
+impl<A: ObjectApi> ConfigWatcher<A> {
     /// Creates the duty. `seed` spreads the retries of instances that fail together.
     pub fn new(
         api: A,
@@ -85,8 +85,8 @@
     /// Waits until a time or the next message. Returns whether the daemon goes on.
     fn heed(&mut self, until: Timestamp) -> bool {
         match self.messages.recv_deadline(self.clock.instant(until)) {
-            Ok(WatchMessage::Chosen(chosen)) => {
-                self.plan.set_selected(chosen, self.clock.now());
+            Ok(WatchMessage::Selected(selected)) => {
+                self.plan.set_selected(selected, self.clock.now());
                 true
             }
             Ok(WatchMessage::Stop) | Err(RecvTimeoutError::Disconnected) => false,
--- a/azureway-entry/src/watch/mod.rs
+++ b/azureway-entry/src/watch/mod.rs
@@ -1,13 +1,13 @@
 //! The watching duty: the configuration as the platform holds it.
 
-mod choice_notifier;
+mod config_watcher;
 mod instance_list;
 mod registrar;
+mod selection_notifier;
 mod watch_message;
-mod watcher;
 
-pub use choice_notifier::ChoiceNotifier;
+pub use config_watcher::ConfigWatcher;
 pub use instance_list::InstanceList;
 pub use registrar::Registrar;
+pub use selection_notifier::SelectionNotifier;
 pub use watch_message::WatchMessage;
-pub use watcher::Watcher;
--- a/azureway-entry/src/watch/watch_message.rs
+++ b/azureway-entry/src/watch/watch_message.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMessage {
     /// Whether this entry is one of the few of its zone that watch.
-    Chosen(bool),
+    Selected(bool),
     /// The daemon stops.
     Stop,
 }
--- a/azureway-entry/tests/watch.rs
+++ b/azureway-entry/tests/watch.rs
@@ -6,7 +6,7 @@
 use azureway_core::prelude::*;
 use azureway_entry::decide::DecideMessage;
 use azureway_entry::peer::PeerMessage;
-use azureway_entry::watch::{WatchMessage, Watcher};
+use azureway_entry::watch::{ConfigWatcher, WatchMessage};
 use azureway_objects::{ObjectApi, Put};
 use azureway_wire::change::DOCUMENT_NAME;
 use azureway_wire::instance::INSTANCE_KIND;
@@ -92,7 +92,7 @@
         stop,
     };
     let (peer, documents) = flume::bounded(RING);
-    Watcher::new(script, admit, decide, peer, halt, 1).run();
+    ConfigWatcher::new(script, admit, decide, peer, halt, 1).run();
     let (mut adopted, mut rejected) = (Vec::new(), Vec::new());
     let mut passed = Vec::new();
     for note in documents.drain() {
