--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -32,8 +32,8 @@
     decide: Sender<DecideMessage>,
     peer: Sender<PeerMessage>,
     watch: Sender<WatchMessage>,
-    alive: Receiver<()>,
-    served: Receiver<()>,
+    closed: Receiver<()>,
+    ready_rx: Receiver<()>,
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
@@ -105,7 +105,7 @@
             rings.admit,
             rings.decide.clone(),
             rings.peer.clone(),
-            rings.halt,
+            rings.watch_messages,
             mark,
         );
         let meter = Meter::new(rings.measures, views, calls);
@@ -123,8 +123,8 @@
             decide: rings.decide,
             peer: rings.peer,
             watch: rings.watch,
-            alive: rings.alive,
-            served: rings.served,
+            closed: rings.closed,
+            ready_rx: rings.ready_rx,
             stop,
             threads,
         })
@@ -142,7 +142,7 @@
 
     /// Waits until the first configuration is in force.
     pub fn wait_ready(&self) {
-        let _ = self.served.recv();
+        let _ = self.ready_rx.recv();
     }
 
     /// Waits until a version of the configuration, or a later one, is in force.
@@ -166,7 +166,7 @@
         let _ = self.watch.try_send(WatchMessage::Stop);
         self.operators.unblock();
         // The ring ends when the last connection has written its answer.
-        let _ = self.alive.recv();
+        let _ = self.closed.recv();
         let _ = self.peer.send(PeerMessage::Stop);
         for thread in self.threads {
             let _ = thread.join();
--- a/azureway-entry/src/daemon/rings.rs
+++ b/azureway-entry/src/daemon/rings.rs
@@ -43,15 +43,15 @@
     /// To the watching duty.
     pub watch: Sender<WatchMessage>,
     /// At the watching duty.
-    pub halt: Receiver<WatchMessage>,
+    pub watch_messages: Receiver<WatchMessage>,
     /// Held by every connection; nothing is sent on it.
     pub guard: Sender<()>,
     /// Ends when the last connection does.
-    pub alive: Receiver<()>,
+    pub closed: Receiver<()>,
     /// Told when the first configuration is in force.
-    pub serve: Sender<()>,
+    pub ready_tx: Sender<()>,
     /// Hears when the first configuration is in force.
-    pub served: Receiver<()>,
+    pub ready_rx: Receiver<()>,
     /// Whether the daemon serves.
     pub ready: Arc<AtomicBool>,
     /// The clock.
@@ -69,9 +69,9 @@
         let (order, order_messages) = flume::bounded(size);
         let (peer, peer_messages) = flume::bounded(size);
         let (meter, measures) = flume::bounded(size);
-        let (watch, halt) = flume::bounded(WATCH_NOTES);
-        let (guard, alive) = flume::bounded(0);
-        let (serve, served) = flume::bounded(1);
+        let (watch, watch_messages) = flume::bounded(WATCH_NOTES);
+        let (guard, closed) = flume::bounded(0);
+        let (ready_tx, ready_rx) = flume::bounded(1);
         Self {
             admit,
             admit_messages,
@@ -85,11 +85,11 @@
             meter,
             measures,
             watch,
-            halt,
+            watch_messages,
             guard,
-            alive,
-            serve,
-            served,
+            closed,
+            ready_tx,
+            ready_rx,
             ready: Arc::new(AtomicBool::new(false)),
             clock: Clock::new(),
         }
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -53,7 +53,7 @@
             peers: PeerClient::new(me, rings.peer.clone()),
             meter: rings.meter.clone(),
             ready: Arc::clone(&rings.ready),
-            serve: rings.serve.clone(),
+            serve: rings.ready_tx.clone(),
             actions: Vec::new(),
             drained: None,
             news: VersionNews::new(),
