--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -22,7 +22,7 @@
 use crate::news::{HttpNews, NewsReaders};
 use crate::order::{HttpOrders, Orderer};
 use crate::peer::PeerMessage;
-use crate::relay::Launcher;
+use crate::relay::RelayLauncher;
 use crate::watch::{ConfigWatcher, WatchMessage};
 
 /// One entry daemon, running.
@@ -201,10 +201,10 @@
 fn decider(
     settings: &EntrySettings,
     rings: &Rings,
-) -> Decider<PrefixLoad, Launcher, NewsReaders<HttpNews>> {
+) -> Decider<PrefixLoad, RelayLauncher, NewsReaders<HttpNews>> {
     let config = RouterConfig::new(settings.zone.clone()).with_queue_limit(settings.bounds.queue);
     let router = Router::new(config, PrefixLoad::new());
-    let launcher = Launcher::new(
+    let launcher = RelayLauncher::new(
         rings.decide.clone(),
         rings.meter.clone(),
         settings.bounds.clone(),
--- a/azureway-entry/src/exchange/asking.rs
+++ b/azureway-entry/src/exchange/asking.rs
@@ -9,7 +9,7 @@
 use super::exchange_try::{BROKEN, read_whole};
 use super::{AnswerHead, BackendConnection, BackendDialect, ExchangeTry, Framing};
 use crate::admit::Passthrough;
-use crate::relay::RelayError;
+use crate::relay::AttemptError;
 
 /// How many times the estimated time to the first token a server may be silent.
 const PATIENCE: u32 = 4;
@@ -25,21 +25,21 @@
     pub(super) fn ask(
         &self,
         passthrough: &Passthrough,
-    ) -> Result<(BackendConnection, AnswerHead), RelayError> {
+    ) -> Result<(BackendConnection, AnswerHead), AttemptError> {
         let once = passthrough.once;
         let address = self.order.address;
         if let Some(connection) = self.pool.take(address, once) {
             match self.ask_on(connection, passthrough) {
                 // The server closed the connection before the request came. It is sent again
                 // only where it may run twice: nobody can tell whether it was read.
-                Err(RelayError::Server(FailureKind::Broken, _))
+                Err(AttemptError::Server(FailureKind::Broken, _))
                     if !once && !self.handle.is_cancelled() => {}
                 result => return result,
             }
         }
         let limit = self.connect.min(self.left(passthrough));
         let opened = BackendConnection::open(address, limit);
-        let unreachable = RelayError::Server(FailureKind::Unreachable, SendState::Unsent);
+        let unreachable = AttemptError::Server(FailureKind::Unreachable, SendState::Unsent);
         let connection = opened.map_err(|e| {
             log::debug!(request:% = self.order.attempt.id, step = "connect", peer:% = address, error:% = e; "no connection");
             unreachable
@@ -51,14 +51,14 @@
         &self,
         mut connection: BackendConnection,
         passthrough: &Passthrough,
-    ) -> Result<(BackendConnection, AnswerHead), RelayError> {
-        let unsent = RelayError::Server(FailureKind::Unreachable, SendState::Unsent);
+    ) -> Result<(BackendConnection, AnswerHead), AttemptError> {
+        let unsent = AttemptError::Server(FailureKind::Unreachable, SendState::Unsent);
         if !self
             .handle
             .attach(connection.stream())
             .map_err(|_| unsent)?
         {
-            return Err(RelayError::Unwanted);
+            return Err(AttemptError::CallerDisconnected);
         }
         let left = self.left(passthrough);
         let last = self.order.attempt.number >= passthrough.max_attempts;
@@ -68,7 +68,7 @@
             .read_timeout
             .max(self.order.expected_ttft * PATIENCE);
         let patience = if last { left } else { left.min(patience) };
-        let failed = |e: &io::Error| RelayError::of_read(e);
+        let failed = |e: &io::Error| AttemptError::from_read(e);
         connection.set_patience(patience).map_err(|e| failed(&e))?;
         let bytes = self.request(passthrough, left);
         if let Err(e) = connection.send(&bytes, patience) {
--- a/azureway-entry/src/exchange/exchange_try.rs
+++ b/azureway-entry/src/exchange/exchange_try.rs
@@ -15,7 +15,7 @@
 use crate::caller::AnswerChunk;
 use crate::clock::Clock;
 use crate::decide::DecideMessage;
-use crate::relay::RelayError;
+use crate::relay::AttemptError;
 
 /// One try at a backend server: sends the request as it came and passes the answer on.
 #[derive(Debug)]
@@ -55,7 +55,7 @@
         let attempt = self.order.attempt;
         let result = match self.upstream.passthrough.clone() {
             Some(passthrough) => self.serve(&passthrough),
-            None => Err(RelayError::Server(FailureKind::Faulty, SendState::Unsent)),
+            None => Err(AttemptError::Server(FailureKind::Faulty, SendState::Unsent)),
         };
         let message = match result {
             Ok(()) => DecideMessage::Finished(Finish {
@@ -65,8 +65,8 @@
             }),
             // Whoever stopped the try, or the connection itself, has reported it.
             Err(_) if self.handle.is_cancelled() => return,
-            Err(RelayError::Unwanted) => return,
-            Err(RelayError::Server(kind, sent)) => self.failure(kind, sent),
+            Err(AttemptError::CallerDisconnected) => return,
+            Err(AttemptError::Server(kind, sent)) => self.failure(kind, sent),
         };
         // Only a deciding duty that has ended takes no message.
         let _ = self.decide.send(message);
@@ -85,7 +85,7 @@
         })
     }
 
-    fn serve(&mut self, passthrough: &Passthrough) -> Result<(), RelayError> {
+    fn serve(&mut self, passthrough: &Passthrough) -> Result<(), AttemptError> {
         let (mut connection, head) = self.ask(passthrough)?;
         let terms = self.dialect.read(&head);
         let (load, weights) = (terms.load, terms.weights);
@@ -108,7 +108,7 @@
             if read_whole(connection.body(framing)).is_ok() {
                 self.keep(connection, &head);
             }
-            return Err(RelayError::Server(kind, SendState::Rejected));
+            return Err(AttemptError::Server(kind, SendState::Rejected));
         }
         let encoded = head.get("content-encoding").is_some();
         match head.status {
@@ -127,9 +127,9 @@
         mut connection: BackendConnection,
         head: AnswerHead,
         framing: Framing,
-    ) -> Result<(), RelayError> {
+    ) -> Result<(), AttemptError> {
         self.note_start();
-        let body = read_whole(connection.body(framing)).map_err(|e| RelayError::of_read(&e))?;
+        let body = read_whole(connection.body(framing)).map_err(|e| AttemptError::from_read(&e))?;
         self.keep(connection, &head);
         // The server has run the request to its end, also if the caller is gone.
         let _ = self
@@ -146,8 +146,8 @@
         head: AnswerHead,
         framing: Framing,
         signed: bool,
-    ) -> Result<(), RelayError> {
-        let body = read_whole(connection.body(framing)).map_err(|e| RelayError::of_read(&e))?;
+    ) -> Result<(), AttemptError> {
+        let body = read_whole(connection.body(framing)).map_err(|e| AttemptError::from_read(&e))?;
         self.keep(connection, &head);
         // These statuses would tell the caller that the request did not run, which the server
         // has not said.
@@ -157,7 +157,7 @@
                 .chunks
                 .send(AnswerChunk::Fallback(Box::new(head), body));
         }
-        Err(RelayError::Server(
+        Err(AttemptError::Server(
             FailureKind::Declined,
             SendState::MaybeRun,
         ))
@@ -168,7 +168,7 @@
         mut connection: BackendConnection,
         head: AnswerHead,
         framing: Framing,
-    ) -> Result<(), RelayError> {
+    ) -> Result<(), AttemptError> {
         self.pass(AnswerChunk::StreamHead(Box::new(head.clone())))?;
         let mut body = connection.body(framing);
         let mut splitter = EventSplitter::new();
@@ -176,7 +176,7 @@
         loop {
             let count = body
                 .read(&mut buffer)
-                .map_err(|e| RelayError::of_read(&e))?;
+                .map_err(|e| AttemptError::from_read(&e))?;
             if count == 0 {
                 break;
             }
@@ -216,8 +216,10 @@
         let _ = self.decide.send(DecideMessage::Started(self.order.attempt));
     }
 
-    fn pass(&self, chunk: AnswerChunk) -> Result<(), RelayError> {
-        self.chunks.send(chunk).map_err(|_| RelayError::Unwanted)
+    fn pass(&self, chunk: AnswerChunk) -> Result<(), AttemptError> {
+        self.chunks
+            .send(chunk)
+            .map_err(|_| AttemptError::CallerDisconnected)
     }
 
     /// Gives a connection back, unless the try was stopped and the connection with it.
@@ -229,9 +231,10 @@
 }
 
 /// The answer broke off or its end cannot be found.
-pub(super) const BROKEN: RelayError = RelayError::Server(FailureKind::Broken, SendState::MaybeRun);
+pub(super) const BROKEN: AttemptError =
+    AttemptError::Server(FailureKind::Broken, SendState::MaybeRun);
 /// The answer is not what the server's interface allows.
-const FAULTY: RelayError = RelayError::Server(FailureKind::Faulty, SendState::MaybeRun);
+const FAULTY: AttemptError = AttemptError::Server(FailureKind::Faulty, SendState::MaybeRun);
 
 pub(super) fn read_whole(body: BodyStream<'_>) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
--- a/azureway-entry/src/relay/mod.rs
+++ b/azureway-entry/src/relay/mod.rs
@@ -1,15 +1,15 @@
 //! The relaying duty: one thread for each try at a backend server.
 
+mod attempt_error;
 mod gap_meter;
 mod launch;
-mod launcher;
-mod relay_error;
-mod relay_try;
+mod relay_attempt;
+mod relay_launcher;
 mod report_unsent;
 
+pub use attempt_error::AttemptError;
 pub use gap_meter::GapMeter;
 pub use launch::Launch;
-pub use launcher::Launcher;
-pub use relay_error::RelayError;
-pub use relay_try::RelayTry;
+pub use relay_attempt::RelayAttempt;
+pub use relay_launcher::RelayLauncher;
 pub use report_unsent::report_unsent;
--- a/azureway-entry/src/relay/relay_try.rs
+++ b/azureway-entry/src/relay/relay_attempt.rs
@@ -11,14 +11,14 @@
 use azureway_wire::sse::SseLine;
 use flume::Sender;
 
-use super::{GapMeter, RelayError};
+use super::{AttemptError, GapMeter};
 use crate::admit::UpstreamRequest;
 use crate::caller::AnswerChunk;
 use crate::decide::DecideMessage;
 
 /// One try at a backend server: sends the request and passes the answer on.
 #[derive(Debug)]
-pub struct RelayTry {
+pub struct RelayAttempt {
     order: Dispatch,
     upstream: Arc<UpstreamRequest>,
     bounds: Bounds,
@@ -36,7 +36,7 @@
 /// The bytes of a line of a stream at most.
 const LINE_MAX: u64 = 1024 * 1024;
 
-impl RelayTry {
+impl RelayAttempt {
     /// Creates a try.
     pub fn new(
         order: Dispatch,
@@ -78,8 +78,8 @@
                 });
             }
             // The connection itself has reported that its caller is gone.
-            Err(RelayError::Unwanted) => {}
-            Err(RelayError::Server(kind, sent)) => {
+            Err(AttemptError::CallerDisconnected) => {}
+            Err(AttemptError::Server(kind, sent)) => {
                 let failure = Failure {
                     attempt,
                     kind,
@@ -91,14 +91,14 @@
         }
     }
 
-    fn serve(&mut self) -> Result<(), RelayError> {
+    fn serve(&mut self) -> Result<(), AttemptError> {
         let answer = self
             .request()?
             .send()
-            .map_err(|e| RelayError::of_send(&e))?;
+            .map_err(|e| AttemptError::from_send(&e))?;
         match self.upstream.kind {
             ServiceKind::Plain => self.pass_whole(answer),
-            ServiceKind::Model => match RelayError::of_status(answer.status().as_u16()) {
+            ServiceKind::Model => match AttemptError::from_status(answer.status().as_u16()) {
                 Some(error) => Err(error),
                 None if answer.is_success() => self.pass_stream(answer),
                 None => self.pass_whole(answer),
@@ -106,8 +106,8 @@
         }
     }
 
-    fn request(&self) -> Result<RequestBuilder<attohttpc::body::Bytes<Arc<[u8]>>>, RelayError> {
-        let faulty = RelayError::Server(FailureKind::Faulty, SendState::Unsent);
+    fn request(&self) -> Result<RequestBuilder<attohttpc::body::Bytes<Arc<[u8]>>>, AttemptError> {
+        let faulty = AttemptError::Server(FailureKind::Faulty, SendState::Unsent);
         let method = Method::from_bytes(self.upstream.method.as_bytes()).map_err(|_| faulty)?;
         let url = format!("http://{}{}", self.order.address, self.upstream.path);
         let order = &self.order;
@@ -141,17 +141,20 @@
         Ok(request.bytes(Arc::clone(&self.upstream.body)))
     }
 
-    fn pass_whole(&mut self, answer: Response) -> Result<(), RelayError> {
+    fn pass_whole(&mut self, answer: Response) -> Result<(), AttemptError> {
         let (status, headers, reader) = answer.split();
         let media = headers.get("content-type").and_then(|v| v.to_str().ok());
         let media = media.unwrap_or("application/octet-stream");
         let mut body = Vec::new();
         let read = reader.take(WHOLE_MAX + 1).read_to_end(&mut body);
-        read.map_err(|e| RelayError::of_read(&e))?;
+        read.map_err(|e| AttemptError::from_read(&e))?;
         let length = headers.get("content-length").and_then(|v| v.to_str().ok());
         let cut = length.is_some_and(|l| l.parse() != Ok(body.len()));
         if cut || body.len() as u64 > WHOLE_MAX {
-            return Err(RelayError::Server(FailureKind::Broken, SendState::MaybeRun));
+            return Err(AttemptError::Server(
+                FailureKind::Broken,
+                SendState::MaybeRun,
+            ));
         }
         self.note_start();
         self.kept = self.keep(status.as_u16(), media, &body);
@@ -166,14 +169,17 @@
         ShortAnswer::new(status, media, body)
     }
 
-    fn pass_stream(&mut self, answer: Response) -> Result<(), RelayError> {
+    fn pass_stream(&mut self, answer: Response) -> Result<(), AttemptError> {
         let (_, headers, reader) = answer.split();
         // An answer to another request must not reach this caller.
         if headers
             .get(header::ATTEMPT)
             .is_some_and(|a| *a != self.order.attempt.to_string())
         {
-            return Err(RelayError::Server(FailureKind::Faulty, SendState::MaybeRun));
+            return Err(AttemptError::Server(
+                FailureKind::Faulty,
+                SendState::MaybeRun,
+            ));
         }
         let mut reader = BufReader::new(reader);
         let mut line = String::new();
@@ -182,7 +188,7 @@
         loop {
             read_line(&mut reader, &mut line)?;
             if self.chunks.is_disconnected() {
-                return Err(RelayError::Unwanted);
+                return Err(AttemptError::CallerDisconnected);
             }
             match SseLine::parse(&line) {
                 SseLine::Id(id) => position = StreamPosition::new(id),
@@ -201,13 +207,16 @@
         }
     }
 
-    fn event(&mut self, position: StreamPosition, data: &str) -> Result<(), RelayError> {
+    fn event(&mut self, position: StreamPosition, data: &str) -> Result<(), AttemptError> {
         if position < self.next {
             return Ok(());
         }
         if position > self.next {
             // Events are missing: the stream is resumed where it stopped.
-            return Err(RelayError::Server(FailureKind::Broken, SendState::MaybeRun));
+            return Err(AttemptError::Server(
+                FailureKind::Broken,
+                SendState::MaybeRun,
+            ));
         }
         if self.next == self.order.position {
             self.note_start();
@@ -234,20 +243,28 @@
         }
     }
 
-    fn pass(&self, chunk: AnswerChunk) -> Result<(), RelayError> {
-        self.chunks.send(chunk).map_err(|_| RelayError::Unwanted)
+    fn pass(&self, chunk: AnswerChunk) -> Result<(), AttemptError> {
+        self.chunks
+            .send(chunk)
+            .map_err(|_| AttemptError::CallerDisconnected)
     }
 }
 
 /// Reads one line. The end of the answer before its last event is a failure.
-fn read_line(reader: &mut BufReader<ResponseReader>, line: &mut String) -> Result<(), RelayError> {
+fn read_line(
+    reader: &mut BufReader<ResponseReader>,
+    line: &mut String,
+) -> Result<(), AttemptError> {
     line.clear();
     let count = reader
         .take(LINE_MAX)
         .read_line(line)
-        .map_err(|e| RelayError::of_read(&e))?;
+        .map_err(|e| AttemptError::from_read(&e))?;
     if count == 0 || !line.ends_with('\n') {
-        return Err(RelayError::Server(FailureKind::Broken, SendState::MaybeRun));
+        return Err(AttemptError::Server(
+            FailureKind::Broken,
+            SendState::MaybeRun,
+        ));
     }
     Ok(())
 }
--- a/azureway-entry/src/relay/launcher.rs
+++ b/azureway-entry/src/relay/relay_launcher.rs
@@ -7,7 +7,7 @@
 use azureway_core::prelude::*;
 use flume::{Receiver, Sender};
 
-use super::{GapMeter, Launch, RelayTry, report_unsent};
+use super::{GapMeter, Launch, RelayAttempt, report_unsent};
 use crate::admit::UpstreamRequest;
 use crate::caller::AnswerChunk;
 use crate::decide::DecideMessage;
@@ -16,7 +16,7 @@
 /// Starts a relay for each try. The decisions bound how many there are by the slots of the
 /// backend servers.
 #[derive(Clone, Debug)]
-pub struct Launcher {
+pub struct RelayLauncher {
     decide: Sender<DecideMessage>,
     meter: Sender<Measure>,
     bounds: Bounds,
@@ -28,7 +28,7 @@
 /// The stack of a relay's thread, in bytes.
 const STACK_SIZE: usize = 256 * 1024;
 
-impl Launcher {
+impl RelayLauncher {
     /// Creates a launcher whose relays report to `decide` and measure to `meter`.
     pub const fn new(
         decide: Sender<DecideMessage>,
@@ -43,13 +43,13 @@
     }
 }
 
-impl Launch for Launcher {
+impl Launch for RelayLauncher {
     fn launch(&mut self, order: Dispatch, upstream: Arc<UpstreamRequest>) -> Receiver<AnswerChunk> {
         let (sender, chunks) = flume::bounded(CHUNKS);
         let attempt = order.attempt;
         let pace = GapMeter::new(order.rank, self.meter.clone());
         let (bounds, decide) = (self.bounds.clone(), self.decide.clone());
-        let relay = RelayTry::new(order, upstream, bounds, sender, decide, pace);
+        let relay = RelayAttempt::new(order, upstream, bounds, sender, decide, pace);
         let thread = thread::Builder::new()
             .name("relay".to_owned())
             .stack_size(STACK_SIZE);
