--- a/azureway-entry/src/exchange/body_stream.rs
+++ b/azureway-entry/src/exchange/body_stream.rs
@@ -5,15 +5,15 @@
 
 use chunked_transfer::Decoder;
 
-use super::{Framing, Unbroken};
+use super::{EofAsError, Framing};
 
 /// The body of an answer, read as it comes. Its end is `Ok(0)`; a body that breaks off before
 /// its end is an error.
 pub enum BodyStream<'a> {
     /// The rest of a body with a length.
-    Sized(Take<Unbroken<&'a mut BufReader<TcpStream>>>),
+    Sized(Take<EofAsError<&'a mut BufReader<TcpStream>>>),
     /// A body in chunks.
-    Chunked(Box<Decoder<Unbroken<&'a mut BufReader<TcpStream>>>>),
+    Chunked(Box<Decoder<EofAsError<&'a mut BufReader<TcpStream>>>>),
     /// A body that ends with the connection.
     Closing(&'a mut BufReader<TcpStream>),
 }
@@ -22,8 +22,8 @@
     /// Creates the reader of the body that follows on a connection.
     pub fn new(framing: Framing, reader: &'a mut BufReader<TcpStream>) -> Self {
         match framing {
-            Framing::Sized(length) => Self::Sized(Unbroken(reader).take(length)),
-            Framing::Chunked => Self::Chunked(Box::new(Decoder::new(Unbroken(reader)))),
+            Framing::Sized(length) => Self::Sized(EofAsError(reader).take(length)),
+            Framing::Chunked => Self::Chunked(Box::new(Decoder::new(EofAsError(reader)))),
             Framing::Closing => Self::Closing(reader),
         }
     }
--- a/azureway-entry/src/exchange/try_handle.rs
+++ b/azureway-entry/src/exchange/cancel_handle.rs
@@ -7,11 +7,11 @@
 /// The side of a try that others hold: it stops the try by closing its connection, which
 /// wakes the thread that reads it.
 #[derive(Debug, Default)]
-pub struct TryHandle {
+pub struct CancelHandle {
     state: Mutex<(bool, Option<TcpStream>)>,
 }
 
-impl TryHandle {
+impl CancelHandle {
     /// Creates the handle of a try that has no connection yet.
     pub fn new() -> Self {
         Self::default()
--- a/azureway-entry/src/exchange/event_splitter.rs
+++ b/azureway-entry/src/exchange/event_splitter.rs
@@ -1,6 +1,6 @@
 //! Telling the events of a stream apart.
 
-use super::SentEvent;
+use super::RawEvent;
 
 /// Gathers the bytes of a stream and hands out whole events. A server may break off in the
 /// middle of an event, and half an event must not reach the caller.
@@ -28,12 +28,12 @@
     }
 
     /// Returns the next whole event.
-    pub fn next_event(&mut self) -> Option<SentEvent<'_>> {
+    pub fn next_event(&mut self) -> Option<RawEvent<'_>> {
         let end = self.end()?;
         let bytes = &self.bytes[self.done..end];
         self.done = end;
         self.seen = end;
-        Some(SentEvent {
+        Some(RawEvent {
             id: id_of(bytes),
             bytes,
         })
--- a/azureway-entry/src/exchange/exchange_try.rs
+++ b/azureway-entry/src/exchange/exchange_attempt.rs
@@ -8,8 +8,8 @@
 use flume::Sender;
 
 use super::{
-    AnswerHead, BackendConnection, BackendDialect, BodyStream, ConnectionPool, EventSplitter,
-    Framing, TryHandle,
+    AnswerHead, BackendConnection, BackendDialect, BodyStream, CancelHandle, ConnectionPool,
+    EventSplitter, Framing,
 };
 use crate::admit::{Passthrough, UpstreamRequest};
 use crate::caller::AnswerChunk;
@@ -19,9 +19,9 @@
 
 /// One try at a backend server: sends the request as it came and passes the answer on.
 #[derive(Debug)]
-pub struct ExchangeTry<D> {
+pub struct ExchangeAttempt<D> {
     /// What is to be sent where.
-    pub order: Dispatch,
+    pub dispatch: Dispatch,
     /// The request's bytes.
     pub upstream: Arc<UpstreamRequest>,
     /// The ring to the caller's connection.
@@ -33,13 +33,13 @@
     /// The connections that wait for a request.
     pub pool: ConnectionPool,
     /// The side of the try that others hold.
-    pub handle: Arc<TryHandle>,
+    pub handle: Arc<CancelHandle>,
     /// The time in which a connection must be made.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// The clock.
     pub clock: Clock,
     /// The position of the next event that the caller has not got.
-    pub next: StreamPosition,
+    pub next_position: StreamPosition,
     /// The events that were passed on.
     pub output: TokenCount,
 }
@@ -49,10 +49,10 @@
 /// The bytes of a stream that are read at once.
 const READ_SIZE: usize = 16 * 1024;
 
-impl<D: BackendDialect> ExchangeTry<D> {
+impl<D: BackendDialect> ExchangeAttempt<D> {
     /// Runs the try and reports how it ended.
     pub fn run(mut self) {
-        let attempt = self.order.attempt;
+        let attempt = self.dispatch.attempt;
         let result = match self.upstream.passthrough.clone() {
             Some(passthrough) => self.serve(&passthrough),
             None => Err(AttemptError::Server(FailureKind::Faulty, SendState::Unsent)),
@@ -75,13 +75,13 @@
     fn failure(&self, kind: FailureKind, sent: SendState) -> DecideMessage {
         if matches!(kind, FailureKind::Unreachable | FailureKind::Broken) {
             // Whatever lost this connection has most likely lost the idle ones too.
-            self.pool.purge(self.order.address);
+            self.pool.purge(self.dispatch.address);
         }
         DecideMessage::Failed(Failure {
-            attempt: self.order.attempt,
+            attempt: self.dispatch.attempt,
             kind,
             sent,
-            position: self.next,
+            position: self.next_position,
         })
     }
 
@@ -90,7 +90,7 @@
         let terms = self.dialect.read(&head);
         let (load, weights) = (terms.load, terms.weights);
         if load.is_some() || weights.is_some() {
-            let server = self.order.server.clone();
+            let server = self.dispatch.server.clone();
             let sample = LoadSample {
                 server,
                 load,
@@ -199,21 +199,23 @@
         let mut bytes = Vec::new();
         while let Some(event) = splitter.next_event() {
             let position = event.id.map(StreamPosition::new);
-            if position.is_some_and(|p| p < self.next) {
+            if position.is_some_and(|p| p < self.next_position) {
                 continue;
             }
             if self.output == TokenCount::ZERO {
                 self.note_start();
             }
             bytes.extend_from_slice(event.bytes);
-            self.next = position.map_or(self.next, StreamPosition::next);
+            self.next_position = position.map_or(self.next_position, StreamPosition::next);
             self.output += TokenCount::new(1);
         }
         bytes
     }
 
     fn note_start(&self) {
-        let _ = self.decide.send(DecideMessage::Started(self.order.attempt));
+        let _ = self
+            .decide
+            .send(DecideMessage::Started(self.dispatch.attempt));
     }
 
     fn pass(&self, chunk: AnswerChunk) -> Result<(), AttemptError> {
@@ -225,7 +227,7 @@
     /// Gives a connection back, unless the try was stopped and the connection with it.
     fn keep(&self, connection: BackendConnection, head: &AnswerHead) {
         if self.handle.detach() {
-            self.pool.put(self.order.address, connection, head);
+            self.pool.put(self.dispatch.address, connection, head);
         }
     }
 }
--- a/azureway-entry/src/exchange/launcher.rs
+++ b/azureway-entry/src/exchange/launcher.rs
@@ -8,7 +8,7 @@
 use azureway_core::prelude::*;
 use flume::{Receiver, Sender};
 
-use super::{BackendDialect, ConnectionPool, ExchangeTry, TryHandle};
+use super::{BackendDialect, CancelHandle, ConnectionPool, ExchangeAttempt};
 use crate::admit::UpstreamRequest;
 use crate::caller::AnswerChunk;
 use crate::clock::Clock;
@@ -24,7 +24,7 @@
     decide: Sender<DecideMessage>,
     bounds: Bounds,
     clock: Clock,
-    tries: HashMap<RequestId, Weak<TryHandle>>,
+    tries: HashMap<RequestId, Weak<CancelHandle>>,
     swept: usize,
 }
 
@@ -51,7 +51,7 @@
     }
 
     /// Notes a try, and forgets those that have ended once they are half of all.
-    fn track(&mut self, id: RequestId, handle: &Arc<TryHandle>) {
+    fn track(&mut self, id: RequestId, handle: &Arc<CancelHandle>) {
         if self.tries.len() >= self.swept {
             self.tries.retain(|_, h| h.strong_count() > 0);
             self.swept = (self.tries.len() * 2).max(SWEEP_MIN);
@@ -61,21 +61,25 @@
 }
 
 impl<D: BackendDialect> Launch for ExchangeLauncher<D> {
-    fn launch(&mut self, order: Dispatch, upstream: Arc<UpstreamRequest>) -> Receiver<AnswerChunk> {
+    fn launch(
+        &mut self,
+        dispatch: Dispatch,
+        upstream: Arc<UpstreamRequest>,
+    ) -> Receiver<AnswerChunk> {
         let (sender, chunks) = flume::bounded(CHUNKS);
-        let attempt = order.attempt;
-        let handle = Arc::new(TryHandle::new());
+        let attempt = dispatch.attempt;
+        let handle = Arc::new(CancelHandle::new());
         self.track(attempt.id, &handle);
-        let job = ExchangeTry {
-            next: order.position,
-            order,
+        let job = ExchangeAttempt {
+            next_position: dispatch.position,
+            dispatch,
             upstream,
             chunks: sender,
             decide: self.decide.clone(),
             dialect: self.dialect.clone(),
             pool: self.pool.clone(),
             handle,
-            connect: self.bounds.connect,
+            connect_timeout: self.bounds.connect,
             clock: self.clock,
             output: TokenCount::ZERO,
         };
--- a/azureway-entry/src/exchange/asking.rs
+++ b/azureway-entry/src/exchange/send_request.rs
@@ -6,8 +6,8 @@
 
 use azureway_core::prelude::*;
 
-use super::exchange_try::{BROKEN, read_whole};
-use super::{AnswerHead, BackendConnection, BackendDialect, ExchangeTry, Framing};
+use super::exchange_attempt::{BROKEN, read_whole};
+use super::{AnswerHead, BackendConnection, BackendDialect, ExchangeAttempt, Framing};
 use crate::admit::Passthrough;
 use crate::relay::AttemptError;
 
@@ -20,14 +20,14 @@
 /// The header by which a stream is resumed after the last event that was received.
 const LAST_EVENT: &str = "last-event-id";
 
-impl<D: BackendDialect> ExchangeTry<D> {
+impl<D: BackendDialect> ExchangeAttempt<D> {
     /// Sends the request and waits for the head of its answer.
     pub(super) fn ask(
         &self,
         passthrough: &Passthrough,
     ) -> Result<(BackendConnection, AnswerHead), AttemptError> {
         let once = passthrough.once;
-        let address = self.order.address;
+        let address = self.dispatch.address;
         if let Some(connection) = self.pool.take(address, once) {
             match self.ask_on(connection, passthrough) {
                 // The server closed the connection before the request came. It is sent again
@@ -37,11 +37,11 @@
                 result => return result,
             }
         }
-        let limit = self.connect.min(self.left(passthrough));
+        let limit = self.connect_timeout.min(self.left(passthrough));
         let opened = BackendConnection::open(address, limit);
         let unreachable = AttemptError::Server(FailureKind::Unreachable, SendState::Unsent);
         let connection = opened.map_err(|e| {
-            log::debug!(request:% = self.order.attempt.id, step = "connect", peer:% = address, error:% = e; "no connection");
+            log::debug!(request:% = self.dispatch.attempt.id, step = "connect", peer:% = address, error:% = e; "no connection");
             unreachable
         })?;
         self.ask_on(connection, passthrough)
@@ -61,12 +61,12 @@
             return Err(AttemptError::CallerDisconnected);
         }
         let left = self.left(passthrough);
-        let last = self.order.attempt.number >= passthrough.max_attempts;
+        let last = self.dispatch.attempt.number >= passthrough.max_attempts;
         // A busy server is silent for long and works all the same: asking another one as well
         // would double the work when there is most of it.
         let patience = passthrough
             .read_timeout
-            .max(self.order.expected_ttft * PATIENCE);
+            .max(self.dispatch.expected_ttft * PATIENCE);
         let patience = if last { left } else { left.min(patience) };
         let failed = |e: &io::Error| AttemptError::from_read(e);
         connection.set_patience(patience).map_err(|e| failed(&e))?;
@@ -85,7 +85,7 @@
             if attempt.is_none_or(|a| Some(a) == self.attempt(passthrough)) {
                 return Ok((connection, head));
             }
-            log::warn!(request:% = self.order.attempt.id, step = "exchange", peer:% = self.order.server; "an answer to another request was dropped");
+            log::warn!(request:% = self.dispatch.attempt.id, step = "exchange", peer:% = self.dispatch.server; "an answer to another request was dropped");
             let framing = Framing::of(&head, &self.upstream.method);
             let framing = framing.filter(|f| *f != Framing::Closing).ok_or(BROKEN)?;
             read_whole(connection.body(framing)).map_err(|e| failed(&e))?;
@@ -104,20 +104,20 @@
     fn request(&self, passthrough: &Passthrough, left: Duration) -> Vec<u8> {
         let upstream = &self.upstream;
         let mut head = format!("{} {} HTTP/1.1\r\n", upstream.method, upstream.path);
-        let resumed = self.order.position > StreamPosition::ZERO;
+        let resumed = self.dispatch.position > StreamPosition::ZERO;
         for (name, value) in &passthrough.headers {
             if !(resumed && name.as_ref() == LAST_EVENT) {
                 let _ = write!(head, "{name}: {value}\r\n");
             }
         }
         if resumed {
-            let last = self.order.position.get() - 1;
+            let last = self.dispatch.position.get() - 1;
             let _ = write!(head, "{LAST_EVENT}: {last}\r\n");
         }
         if !upstream.body.is_empty() || upstream.method.as_ref() != "GET" {
             let _ = write!(head, "content-length: {}\r\n", upstream.body.len());
         }
-        self.dialect.tell(&self.order, upstream, left, &mut head);
+        self.dialect.tell(&self.dispatch, upstream, left, &mut head);
         head.push_str("\r\n");
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(&upstream.body);
--- a/azureway-entry/tests/exchange.rs
+++ b/azureway-entry/tests/exchange.rs
@@ -13,7 +13,7 @@
 use azureway_entry::caller::AnswerChunk;
 use azureway_entry::clock::Clock;
 use azureway_entry::decide::DecideMessage;
-use azureway_entry::exchange::{ConnectionPool, ExchangeTry, TryHandle};
+use azureway_entry::exchange::{CancelHandle, ConnectionPool, ExchangeAttempt};
 use dialect::TestDialect;
 use flume::Receiver;
 use googletest::prelude::*;
@@ -35,23 +35,23 @@
 ) -> (
     Receiver<AnswerChunk>,
     Receiver<DecideMessage>,
-    Arc<TryHandle>,
+    Arc<CancelHandle>,
 ) {
     let (chunks, answer) = flume::bounded(64);
     let (decide, news) = flume::bounded(64);
-    let (clock, handle) = (Clock::new(), Arc::new(TryHandle::new()));
+    let (clock, handle) = (Clock::new(), Arc::new(CancelHandle::new()));
     let position = StreamPosition::new(position);
-    let job = ExchangeTry {
-        order: order(address, position),
+    let job = ExchangeAttempt {
+        dispatch: order(address, position),
         upstream: Arc::new(upstream(once, clock.now() + GUARD)),
         chunks,
         decide,
         dialect: TestDialect,
         pool: pool.clone(),
         handle: Arc::clone(&handle),
-        connect: Duration::from_secs(1),
+        connect_timeout: Duration::from_secs(1),
         clock,
-        next: position,
+        next_position: position,
         output: TokenCount::ZERO,
     };
     thread::spawn(move || job.run());
