--- a/azureway-entry/src/exchange/answer_head.rs
+++ b/azureway-entry/src/exchange/answer_head.rs
@@ -61,7 +61,7 @@
     }
 
     /// Tells whether the server closes the connection after the answer.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         let connection = self.get("connection").unwrap_or_default();
         connection.eq_ignore_ascii_case("close")
     }
--- a/azureway-entry/src/exchange/answer_terms.rs
+++ b/azureway-entry/src/exchange/answer_metadata.rs
@@ -4,9 +4,9 @@
 
 /// What an answer says beside its body, read from a site's own headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AnswerTerms<'a> {
+pub struct AnswerMetadata<'a> {
     /// The caller's attempt that the answer is for, where it names one.
-    pub attempt: Option<&'a str>,
+    pub attempt_id: Option<&'a str>,
     /// Whether the server vouches for the body.
     pub signed: bool,
     /// Whether the server says that it did not run the request.
--- a/azureway-entry/src/exchange/connection.rs
+++ b/azureway-entry/src/exchange/connection.rs
@@ -54,9 +54,9 @@
     ///
     /// Returns an error if no whole answer comes; each read waits for `limit` at most.
     pub fn call(&mut self, request: &[u8], limit: Duration) -> io::Result<(AnswerHead, Vec<u8>)> {
-        self.set_patience(limit)?;
+        self.set_read_timeout(limit)?;
         self.send(request, limit)?;
-        let head = self.head()?;
+        let head = self.read_head()?;
         let framing = Framing::of(&head, "GET");
         let framing = framing.ok_or_else(|| io::Error::other("the length is ambiguous"))?;
         let mut body = Vec::new();
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// Returns an error if the socket is broken.
-    pub fn set_patience(&self, limit: Duration) -> io::Result<()> {
+    pub fn set_read_timeout(&self, limit: Duration) -> io::Result<()> {
         self.stream().set_read_timeout(Some(at_least(limit)))
     }
 
@@ -88,7 +88,7 @@
     /// # Errors
     ///
     /// Returns an error if no head comes, with the kind `UnexpectedEof` if not a byte came.
-    pub fn head(&mut self) -> io::Result<AnswerHead> {
+    pub fn read_head(&mut self) -> io::Result<AnswerHead> {
         loop {
             let head = self.next_head()?;
             if head.status >= 200 {
@@ -131,7 +131,7 @@
 
     /// Tells whether the connection can carry another request: the server has neither closed
     /// it nor sent bytes that belong to no request.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         if !self.reader.buffer().is_empty() || self.stream().set_nonblocking(true).is_err() {
             return false;
         }
--- a/azureway-entry/src/exchange/exchange_attempt.rs
+++ b/azureway-entry/src/exchange/exchange_attempt.rs
@@ -87,8 +87,8 @@
 
     fn serve(&mut self, passthrough: &Passthrough) -> Result<(), AttemptError> {
         let (mut connection, head) = self.ask(passthrough)?;
-        let terms = self.dialect.read(&head);
-        let (load, weights) = (terms.load, terms.weights);
+        let metadata = self.dialect.read(&head);
+        let (load, weights) = (metadata.load, metadata.weights);
         if load.is_some() || weights.is_some() {
             let server = self.dispatch.server.clone();
             let sample = LoadSample {
@@ -100,8 +100,8 @@
         }
         let framing = Framing::of(&head, &self.upstream.method);
         let framing = framing.ok_or(BROKEN)?;
-        if terms.mismatch || terms.rejected {
-            let kind = match terms.mismatch {
+        if metadata.mismatch || metadata.rejected {
+            let kind = match metadata.mismatch {
                 true => FailureKind::Mismatch,
                 false => FailureKind::Busy,
             };
@@ -112,10 +112,10 @@
         }
         let encoded = head.get("content-encoding").is_some();
         match head.status {
-            200..=299 if !terms.signed || encoded => Err(FAULTY),
+            200..=299 if !metadata.signed || encoded => Err(FAULTY),
             200..=299 if head.is_event_stream() => self.pass_events(connection, head, framing),
             408 | 421 | 429 | 500..=599 => {
-                let signed = terms.signed;
+                let signed = metadata.signed;
                 self.hold(connection, head, framing, signed)
             }
             _ => self.pass_whole(connection, head, framing),
--- a/azureway-entry/src/exchange/mod.rs
+++ b/azureway-entry/src/exchange/mod.rs
@@ -4,7 +4,7 @@
 //! [`BackendDialect`] knows that. Sending, framing, judging and pooling are the same everywhere.
 
 mod answer_head;
-mod answer_terms;
+mod answer_metadata;
 mod backend_dialect;
 mod body_stream;
 mod cancel_handle;
@@ -20,7 +20,7 @@
 mod send_request;
 
 pub use answer_head::AnswerHead;
-pub use answer_terms::AnswerTerms;
+pub use answer_metadata::AnswerMetadata;
 pub use backend_dialect::BackendDialect;
 pub use body_stream::BodyStream;
 pub use cancel_handle::CancelHandle;
--- a/azureway-entry/src/exchange/pool.rs
+++ b/azureway-entry/src/exchange/pool.rs
@@ -39,7 +39,7 @@
         loop {
             let idle = self.with(|all| all.get_mut(&address).and_then(Vec::pop))?;
             let fresh = !once || now.duration_since(idle.since) < FRESH_TIME;
-            if now < idle.until && fresh && idle.connection.is_clean() {
+            if now < idle.until && fresh && idle.connection.is_reusable() {
                 return Some(idle.connection);
             }
         }
@@ -47,7 +47,7 @@
 
     /// Keeps a connection on which `head` was the last answer, if it can be used again.
     pub fn put(&self, address: SocketAddr, connection: BackendConnection, head: &AnswerHead) {
-        if head.closes() || !connection.is_clean() {
+        if head.closes_connection() || !connection.is_reusable() {
             return;
         }
         let now = Instant::now();
--- a/azureway-entry/src/exchange/send_request.rs
+++ b/azureway-entry/src/exchange/send_request.rs
@@ -69,19 +69,21 @@
             .max(self.dispatch.expected_ttft * PATIENCE);
         let patience = if last { left } else { left.min(patience) };
         let failed = |e: &io::Error| AttemptError::from_read(e);
-        connection.set_patience(patience).map_err(|e| failed(&e))?;
+        connection
+            .set_read_timeout(patience)
+            .map_err(|e| failed(&e))?;
         let bytes = self.request(passthrough, left);
         if let Err(e) = connection.send(&bytes, patience) {
             // A server that rejects a long request may answer before it has read it all.
             connection
-                .set_patience(EARLY_ANSWER)
+                .set_read_timeout(EARLY_ANSWER)
                 .map_err(|_| failed(&e))?;
-            let head = connection.head().map_err(|_| failed(&e))?;
+            let head = connection.read_head().map_err(|_| failed(&e))?;
             return Ok((connection, closing(head)));
         }
         for _ in 0..FOREIGN_MAX {
-            let head = connection.head().map_err(|e| failed(&e))?;
-            let attempt = self.dialect.read(&head).attempt;
+            let head = connection.read_head().map_err(|e| failed(&e))?;
+            let attempt = self.dialect.read(&head).attempt_id;
             if attempt.is_none_or(|a| Some(a) == self.attempt(passthrough)) {
                 return Ok((connection, head));
             }
@@ -117,7 +119,8 @@
         if !upstream.body.is_empty() || upstream.method.as_ref() != "GET" {
             let _ = write!(head, "content-length: {}\r\n", upstream.body.len());
         }
-        self.dialect.tell(&self.dispatch, upstream, left, &mut head);
+        self.dialect
+            .write_headers(&self.dispatch, upstream, left, &mut head);
         head.push_str("\r\n");
         let mut bytes = head.into_bytes();
         bytes.extend_from_slice(&upstream.body);
--- a/azureway-entry/src/routed/caller_dialect.rs
+++ b/azureway-entry/src/routed/caller_dialect.rs
@@ -1,6 +1,6 @@
 //! How a site's callers spell their calls.
 
-use super::CallTerms;
+use super::CallMetadata;
 use crate::caller::Head;
 
 /// How a site's callers spell what the decisions need to know of a call.
@@ -10,7 +10,7 @@
     /// # Errors
     ///
     /// Returns what is wrong with the call.
-    fn read<'a>(&self, head: &'a Head) -> Result<CallTerms<'a>, &'static str>;
+    fn read<'a>(&self, head: &'a Head) -> Result<CallMetadata<'a>, &'static str>;
 
     /// Tells whether backend servers must not get a header, given by its lower-case name, as
     /// the caller sent it.
--- a/azureway-entry/src/routed/calls.rs
+++ b/azureway-entry/src/routed/calls.rs
@@ -6,7 +6,7 @@
 use azureway_core::prelude::*;
 use azureway_core::site::ANONYMOUS;
 
-use super::{CallTerms, CallerDialect};
+use super::{CallMetadata, CallerDialect};
 use crate::admit::{Call, Passthrough, ReadCall, UpstreamRequest};
 
 /// Reads calls that are routed by host and path.
@@ -57,7 +57,7 @@
         fleet: &Fleet,
         account: &ClientAccount,
         call: &Call,
-        terms: &CallTerms<'_>,
+        metadata: &CallMetadata<'_>,
     ) -> Result<Request, Refusal> {
         let service = route.choose_service(call.id.seed());
         let service = service.and_then(|id| fleet.services.get(id));
@@ -75,7 +75,9 @@
         };
         let salt = Salt::new(&AccountId::new(owner), &service.id, WeightsVersion::ZERO);
         let target = format!("{} {}", call.head.method, call.head.path);
-        let wait = terms.wait.map_or(route.timeout, |w| w.min(route.timeout));
+        let wait = metadata
+            .timeout
+            .map_or(route.timeout, |w| w.min(route.timeout));
         let rank = account.priority.map_or(route.rank, |(rank, _)| rank);
         Ok(Request {
             id: call.id,
@@ -87,8 +89,8 @@
             deadline: Deadline::new(call.arrived + wait),
             arrived: call.arrived,
             weights: service.weights,
-            chain: chain(salt, terms),
-            max_output: terms.output,
+            chain: chain(salt, metadata),
+            max_output: metadata.max_output,
             idempotency_key: None,
             fingerprint: Fingerprint::of(account.id.as_str(), &target, &call.body),
             max_attempts: Some(route.max_attempts),
@@ -147,11 +149,11 @@
 impl<D: CallerDialect> ReadCall for RoutedCalls<D> {
     fn read(&self, fleet: &Fleet, call: &mut Call) -> Result<(Request, UpstreamRequest), Refusal> {
         let route = self.route(fleet, call)?;
-        let terms = self.dialect.read(&call.head).map_err(malformed)?;
-        let account = account(fleet, route, &terms)?;
-        let request = self.request(route, fleet, account, call, &terms)?;
+        let metadata = self.dialect.read(&call.head).map_err(malformed)?;
+        let account = account(fleet, route, &metadata)?;
+        let request = self.request(route, fleet, account, call, &metadata)?;
         log::info!(
-            request:% = call.id, step = "admit", caller = terms.attempt.unwrap_or_default(),
+            request:% = call.id, step = "admit", caller = metadata.attempt_id.unwrap_or_default(),
             route:% = route.id, service:% = request.service, account:% = account.id,
             prompt = request.chain.tokens().get(), fleet:% = fleet.version;
             "admitted"
@@ -162,8 +164,8 @@
         } else {
             ServiceKind::Model
         };
-        let attempt = terms.attempt.map(Into::into);
-        drop(terms);
+        let attempt = metadata.attempt_id.map(Into::into);
+        drop(metadata);
         let upstream = self.upstream(route, account, &request, attempt, kind, call);
         Ok((request, upstream))
     }
@@ -175,10 +177,10 @@
         call: &mut Call,
     ) -> Result<Request, Refusal> {
         let route = self.route(fleet, call)?;
-        let terms = self.dialect.read(&call.head).map_err(malformed)?;
+        let metadata = self.dialect.read(&call.head).map_err(malformed)?;
         let unknown = || Refusal::not_run(RefusalReason::Unauthorized, "no such client account");
         let account = fleet.accounts.get(account).ok_or_else(unknown)?;
-        self.request(route, fleet, account, call, &terms)
+        self.request(route, fleet, account, call, &metadata)
     }
 }
 
@@ -186,9 +188,11 @@
 fn account<'a>(
     fleet: &'a Fleet,
     route: &Route,
-    terms: &CallTerms<'_>,
+    metadata: &CallMetadata<'_>,
 ) -> Result<&'a ClientAccount, Refusal> {
-    let known = terms.key.and_then(|k| fleet.account_of(&KeyHash::of(k)));
+    let known = metadata
+        .api_key
+        .and_then(|k| fleet.account_of(&KeyHash::of(k)));
     // The one account that every fleet has stands for callers without a key.
     let open = route.public || fleet.accounts.len() == 1;
     let anonymous = fleet.accounts.get(ANONYMOUS).filter(|_| open);
@@ -199,8 +203,8 @@
 /// Derives the blocks of a prompt from its parts. Servers tell of each part by itself, so keys
 /// do not chain; a part counts only where all before it are held. The last part is the request's own, so the
 /// parts before it place the request.
-fn chain(salt: Salt, terms: &CallTerms<'_>) -> BlockChain {
-    let blocks = terms.parts.iter().map(|part| Block {
+fn chain(salt: Salt, metadata: &CallMetadata<'_>) -> BlockChain {
+    let blocks = metadata.parts.iter().map(|part| Block {
         key: BlockKey::first(salt, part.id.as_bytes()),
         tokens: part.tokens,
     });
--- a/azureway-entry/src/routed/connection.rs
+++ b/azureway-entry/src/routed/connection.rs
@@ -128,7 +128,7 @@
 
     fn answer(&mut self, head: Head, body: Vec<u8>) -> Ending {
         let id = self.handles.ids.next();
-        let wait = self.dialect.read(&head).ok().and_then(|t| t.wait);
+        let wait = self.dialect.read(&head).ok().and_then(|m| m.timeout);
         let limit = Instant::now() + wait.unwrap_or(WAIT_MAX);
         let close = self.gate.is_leaving() || asks_close(&head);
         let (sender, updates) = flume::bounded(OUTCOMES);
--- a/azureway-entry/src/routed/mod.rs
+++ b/azureway-entry/src/routed/mod.rs
@@ -7,7 +7,7 @@
 mod active;
 mod active_guard;
 mod answer;
-mod call_terms;
+mod call_metadata;
 mod caller_dialect;
 mod calls;
 mod connection;
@@ -24,7 +24,7 @@
 pub use active::Active;
 pub use active_guard::ActiveGuard;
 pub use answer::RoutedAnswer;
-pub use call_terms::CallTerms;
+pub use call_metadata::CallMetadata;
 pub use caller_dialect::CallerDialect;
 pub use calls::RoutedCalls;
 pub use connection::RoutedConnection;
--- a/azureway-entry/tests/dialect/mod.rs
+++ b/azureway-entry/tests/dialect/mod.rs
@@ -6,14 +6,20 @@
 
 use azureway_core::prelude::Dispatch;
 use azureway_entry::admit::UpstreamRequest;
-use azureway_entry::exchange::{AnswerHead, AnswerTerms, BackendDialect};
+use azureway_entry::exchange::{AnswerHead, AnswerMetadata, BackendDialect};
 
 /// A dialect with headers of its own.
 #[derive(Clone, Copy)]
 pub struct TestDialect;
 
 impl BackendDialect for TestDialect {
-    fn tell(&self, order: &Dispatch, _: &UpstreamRequest, left: Duration, out: &mut String) {
+    fn write_headers(
+        &self,
+        order: &Dispatch,
+        _: &UpstreamRequest,
+        left: Duration,
+        out: &mut String,
+    ) {
         let _ = write!(
             out,
             "x-server: {}\r\nx-left: {}\r\n",
@@ -22,9 +28,9 @@
         );
     }
 
-    fn read<'a>(&self, head: &'a AnswerHead) -> AnswerTerms<'a> {
-        AnswerTerms {
-            attempt: head.get("x-attempt"),
+    fn read<'a>(&self, head: &'a AnswerHead) -> AnswerMetadata<'a> {
+        AnswerMetadata {
+            attempt_id: head.get("x-attempt"),
             signed: head.get("x-sign").is_some(),
             rejected: head.get("x-not-run").is_some(),
             mismatch: head.status == 421,
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -17,10 +17,10 @@
 use azureway_entry::admit::UpstreamRequest;
 use azureway_entry::caller::Head;
 use azureway_entry::daemon::Gateway;
-use azureway_entry::exchange::{AnswerHead, AnswerTerms, BackendDialect};
+use azureway_entry::exchange::{AnswerHead, AnswerMetadata, BackendDialect};
 use azureway_entry::news::HttpNews;
 use azureway_entry::order::HttpOrders;
-use azureway_entry::routed::{CallTerms, CallerDialect};
+use azureway_entry::routed::{CallMetadata, CallerDialect};
 use azureway_entry::site::{SiteCodec, SiteKind};
 use azureway_objects::PlainForm;
 use azureway_wire::object::ObjectBody;
@@ -35,14 +35,14 @@
 struct TestSite;
 
 impl CallerDialect for TestSite {
-    fn read<'a>(&self, head: &'a Head) -> Result<CallTerms<'a>, &'static str> {
+    fn read<'a>(&self, head: &'a Head) -> Result<CallMetadata<'a>, &'static str> {
         let wait = head.get("x-wait").map(|w| w.parse().map_err(|_| "no wait"));
-        Ok(CallTerms {
-            attempt: head.get("x-attempt"),
-            key: head.get("x-key"),
-            wait: wait.transpose()?.map(Duration::from_millis),
-            output: TokenCount::new(1),
-            ..CallTerms::default()
+        Ok(CallMetadata {
+            attempt_id: head.get("x-attempt"),
+            api_key: head.get("x-key"),
+            timeout: wait.transpose()?.map(Duration::from_millis),
+            max_output: TokenCount::new(1),
+            ..CallMetadata::default()
         })
     }
 
@@ -52,11 +52,17 @@
 }
 
 impl BackendDialect for TestSite {
-    fn tell(&self, order: &Dispatch, call: &UpstreamRequest, left: Duration, out: &mut String) {
-        TestDialect.tell(order, call, left, out);
+    fn write_headers(
+        &self,
+        order: &Dispatch,
+        call: &UpstreamRequest,
+        left: Duration,
+        out: &mut String,
+    ) {
+        TestDialect.write_headers(order, call, left, out);
     }
 
-    fn read<'a>(&self, head: &'a AnswerHead) -> AnswerTerms<'a> {
+    fn read<'a>(&self, head: &'a AnswerHead) -> AnswerMetadata<'a> {
         TestDialect.read(head)
     }
 }
