--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -19,7 +19,7 @@
 use crate::news::{NewsLink, NewsReaders};
 use crate::order::{OrderLink, Orderer};
 use crate::peer::PeerMessage;
-use crate::routed::{Gate, HangupWatcher, RoutedCalls, RoutedListener};
+use crate::routed::{DisconnectWatcher, RoutedCallReader, RoutedListener, ServingState};
 use crate::site::{SITE_WAIT, SiteDuty, SiteKind, SiteNews, SiteWatcher};
 use crate::watch::Registrar;
 
@@ -27,7 +27,7 @@
 pub struct Gateway {
     address: SocketAddr,
     ready: Option<SocketAddr>,
-    gate: Gate,
+    serving: ServingState,
     decide: Sender<DecideMessage>,
     peer: Sender<PeerMessage>,
     grace: Duration,
@@ -92,28 +92,28 @@
         let mark = process_mark(settings);
         let rings = Rings::new(settings.bounds.ring);
         let ids = RequestIds::new(mark);
-        let (gate, ready) = (Gate::new(), Arc::clone(&rings.ready));
-        let watcher = HangupWatcher::new(rings.decide.clone())?;
+        let (serving, ready) = (ServingState::new(), Arc::clone(&rings.ready));
+        let watcher = DisconnectWatcher::new(rings.decide.clone())?;
         let listener = RoutedListener::new(
             settings.listen,
             site.clone(),
             rings.handles(&ids),
             settings.bounds.clone(),
-            gate.clone(),
+            serving.clone(),
             watcher.watch(),
         )?;
         let address = listener.address()?;
         log::info!(step = "start", peer:% = address, instance:% = settings.instance, zone:% = settings.zone; "listening");
-        let balancer = ReadyDuty::new(served.ready, ready, gate.clone(), rings.meter.clone())?;
+        let balancer = ReadyDuty::new(served.ready, ready, serving.clone(), rings.meter.clone())?;
         let told = balancer.address();
         let api = HttpObjects::with_form(settings.platform, form).with_timeout(CALL_TIMEOUT);
         talk(settings, &rings, peers, mark)?;
         let decider = decider(settings, served, &rings, site.clone(), news);
         spawn("decide", move || decider.run())?;
-        watch(served, &rings, &api, &site, &gate, mark)?;
+        watch(served, &rings, &api, &site, &serving, mark)?;
         order(settings, served, &rings, &api, link, mark)?;
         register(settings, &rings, &api)?;
-        let calls = RoutedCalls::new(site);
+        let calls = RoutedCallReader::new(site);
         let meter = Meter::new(rings.measures.clone(), rings.views(), api.calls().clone());
         let admitter = Admitter::new(
             calls,
@@ -129,7 +129,7 @@
         Ok(Self {
             address,
             ready: told,
-            gate,
+            serving,
             decide: rings.decide,
             peer: rings.peer,
             grace: served.grace,
@@ -150,7 +150,7 @@
     /// is being answered.
     pub fn drain(self) {
         let began = Instant::now();
-        self.gate.leave();
+        self.serving.start_draining();
         // Both duties end only with the process.
         let _ = self.peer.send(PeerMessage::Leave);
         std::thread::park_timeout(LINGER);
@@ -158,7 +158,7 @@
         // begins now may outlast the grace.
         let _ = self.decide.send(DecideMessage::Drain(None));
         std::thread::park_timeout(CROSSING);
-        let left = self.gate.active.wait(self.rest(began));
+        let left = self.serving.in_flight.wait(self.rest(began));
         if left > 0 {
             log::warn!(step = "stop", left = left; "the grace ends before the last answers");
         }
@@ -201,7 +201,7 @@
     rings: &Rings,
     api: &HttpObjects<F>,
     site: &S,
-    gate: &Gate,
+    serving: &ServingState,
     mark: u64,
 ) -> Result<(), Error> {
     let (news, messages): (Sender<SiteNews>, _) = flume::bounded(SITE_RING);
@@ -222,7 +222,7 @@
         messages,
         rings.admit.clone(),
         rings.decide.clone(),
-        gate.clone(),
+        serving.clone(),
         rings.clock,
     );
     spawn("site", move || duty.run())?;
--- a/azureway-entry/src/daemon/ready_duty.rs
+++ b/azureway-entry/src/daemon/ready_duty.rs
@@ -9,13 +9,13 @@
 use tiny_http::{Request, Response, Server};
 
 use crate::meter::Measure;
-use crate::routed::Gate;
+use crate::routed::ServingState;
 
 /// The duty that tells the balancer whether the daemon serves, and gives the metrics.
 pub struct ReadyDuty {
     server: Server,
     ready: Arc<AtomicBool>,
-    gate: Gate,
+    serving: ServingState,
     meter: Sender<Measure>,
 }
 
@@ -28,7 +28,7 @@
     pub fn new(
         address: SocketAddr,
         ready: Arc<AtomicBool>,
-        gate: Gate,
+        serving: ServingState,
         meter: Sender<Measure>,
     ) -> Result<Self, Error> {
         const STEP: Step = Step::new("listen for the balancer");
@@ -38,7 +38,7 @@
         Ok(Self {
             server,
             ready,
-            gate,
+            serving,
             meter,
         })
     }
@@ -62,7 +62,7 @@
     fn answer(&self, request: &Request) -> (u16, String) {
         match request.url() {
             "/metrics" => self.scrape(),
-            _ if self.ready.load(Ordering::Acquire) && !self.gate.is_leaving() => {
+            _ if self.ready.load(Ordering::Acquire) && !self.serving.is_draining() => {
                 (200, "ready\n".to_owned())
             }
             _ => (503, "not ready\n".to_owned()),
--- a/azureway-entry/src/routed/answer.rs
+++ b/azureway-entry/src/routed/answer.rs
@@ -8,7 +8,7 @@
 use chunked_transfer::Encoder;
 use flume::{Receiver, RecvTimeoutError};
 
-use super::{Ending, RoutedResponder};
+use super::{AnswerEnd, RoutedResponder};
 use crate::caller::{AnswerChunk, RequestUpdate, is_open};
 use crate::decide::DecideMessage;
 use crate::exchange::AnswerHead;
@@ -48,7 +48,7 @@
         &mut self,
         updates: &Receiver<RequestUpdate>,
         decide: &flume::Sender<DecideMessage>,
-    ) -> io::Result<Ending> {
+    ) -> io::Result<AnswerEnd> {
         loop {
             match updates.recv_deadline(self.limit) {
                 Ok(RequestUpdate::Refused(_, refusal)) => return self.refuse(&refusal),
@@ -63,20 +63,20 @@
                 }
                 Err(RecvTimeoutError::Timeout) => return self.give_up(updates, decide),
                 // The request was taken back because its caller is gone.
-                Err(RecvTimeoutError::Disconnected) => return Ok(Ending::Broken),
+                Err(RecvTimeoutError::Disconnected) => return Ok(AnswerEnd::Broken),
             }
         }
     }
 
     /// Passes on the chunks of one try. Returns how the answer ended, if it did.
-    fn pass_on(&mut self, chunks: &Receiver<AnswerChunk>) -> io::Result<Option<Ending>> {
+    fn pass_on(&mut self, chunks: &Receiver<AnswerChunk>) -> io::Result<Option<AnswerEnd>> {
         // A try that ends without an answer, or that runs out of time, ends the ring or the
         // wait; what becomes of the request is then told by its updates.
         while let Ok(chunk) = chunks.recv_deadline(self.limit) {
             match chunk {
                 AnswerChunk::Forwarded(head, body) => {
                     RoutedResponder::new(self.stream, self.close).pass(&head, &body)?;
-                    return Ok(Some(Ending::complete(self.close)));
+                    return Ok(Some(AnswerEnd::complete(self.close)));
                 }
                 AnswerChunk::Fallback(head, body) => self.held = Some((head, body)),
                 AnswerChunk::StreamHead(head) => self.begin(&head)?,
@@ -88,7 +88,7 @@
                 AnswerChunk::End => {
                     // Dropping the writer writes the last chunk.
                     self.writer = None;
-                    return Ok(Some(Ending::complete(self.close)));
+                    return Ok(Some(AnswerEnd::complete(self.close)));
                 }
                 AnswerChunk::Event(..) | AnswerChunk::Complete(..) => {
                     return Err(io::Error::other("a chunk of another interface"));
@@ -107,16 +107,16 @@
         Ok(())
     }
 
-    fn refuse(&mut self, refusal: &Refusal) -> io::Result<Ending> {
+    fn refuse(&mut self, refusal: &Refusal) -> io::Result<AnswerEnd> {
         if self.writer.is_some() {
-            return Ok(Ending::Broken);
+            return Ok(AnswerEnd::Broken);
         }
         let responder = RoutedResponder::new(self.stream, self.close);
         match self.held.take() {
             Some((head, body)) if !refusal.not_run => responder.pass(&head, &body)?,
             _ => responder.refuse(refusal)?,
         }
-        Ok(Ending::complete(self.close))
+        Ok(AnswerEnd::complete(self.close))
     }
 
     /// Takes the request back and answers for it. It counts as not run only if no try had
@@ -125,7 +125,7 @@
         &mut self,
         updates: &Receiver<RequestUpdate>,
         decide: &flume::Sender<DecideMessage>,
-    ) -> io::Result<Ending> {
+    ) -> io::Result<AnswerEnd> {
         let _ = decide.send(DecideMessage::CallerDisconnected(self.id));
         for update in updates.iter() {
             match update {
--- a/azureway-entry/src/routed/ending.rs
+++ b/azureway-entry/src/routed/answer_end.rs
@@ -2,7 +2,7 @@
 
 /// How the answer to a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AnswerEnd {
     /// It is complete, and the connection may carry another request.
     Complete,
     /// It is complete, and the connection is to be closed.
@@ -11,7 +11,7 @@
     Broken,
 }
 
-impl Ending {
+impl AnswerEnd {
     /// Returns the ending of a complete answer, after which the connection is to be closed or
     /// not.
     pub const fn complete(close: bool) -> Self {
--- a/azureway-entry/src/routed/calls.rs
+++ b/azureway-entry/src/routed/call_reader.rs
@@ -11,7 +11,7 @@
 
 /// Reads calls that are routed by host and path.
 #[derive(Clone, Debug)]
-pub struct RoutedCalls<D> {
+pub struct RoutedCallReader<D> {
     dialect: D,
 }
 
@@ -37,7 +37,7 @@
     "upgrade",
 ];
 
-impl<D: CallerDialect> RoutedCalls<D> {
+impl<D: CallerDialect> RoutedCallReader<D> {
     /// Creates a reader of calls in a site's spelling.
     pub const fn new(dialect: D) -> Self {
         Self { dialect }
@@ -146,7 +146,7 @@
     }
 }
 
-impl<D: CallerDialect> ReadCall for RoutedCalls<D> {
+impl<D: CallerDialect> ReadCall for RoutedCallReader<D> {
     fn read(&self, fleet: &Fleet, call: &mut Call) -> Result<(Request, UpstreamRequest), Refusal> {
         let route = self.route(fleet, call)?;
         let metadata = self.dialect.read(&call.head).map_err(malformed)?;
--- a/azureway-entry/src/routed/connection.rs
+++ b/azureway-entry/src/routed/connection.rs
@@ -6,7 +6,10 @@
 
 use azureway_core::prelude::{CallerLimits, Refusal, RefusalReason, RequestId};
 
-use super::{CallerDialect, Ending, Gate, HangupWatch, Leftover, RoutedAnswer, RoutedResponder};
+use super::{
+    AnswerEnd, CallerDialect, DisconnectWatch, PrefixedReader, RoutedAnswer, RoutedResponder,
+    ServingState,
+};
 use crate::admit::{AdmitMessage, Call};
 use crate::caller::{BadInput, BodyReader, Head, HeadReader, TimedStream};
 use crate::daemon::Handles;
@@ -19,8 +22,8 @@
     stream: TcpStream,
     dialect: D,
     handles: Handles,
-    gate: Gate,
-    watch: HangupWatch,
+    serving: ServingState,
+    watch: DisconnectWatch,
     early: Vec<u8>,
 }
 
@@ -39,14 +42,14 @@
         stream: TcpStream,
         dialect: D,
         handles: Handles,
-        gate: Gate,
-        watch: HangupWatch,
+        serving: ServingState,
+        watch: DisconnectWatch,
     ) -> Self {
         Self {
             stream,
             dialect,
             handles,
-            gate,
+            serving,
             watch,
             early: Vec::new(),
         }
@@ -60,10 +63,10 @@
             return;
         }
         while self.await_request() {
-            let guard = self.gate.active.begin();
+            let guard = self.serving.in_flight.begin();
             let ending = self.serve();
             drop(guard);
-            if ending != Ending::Complete {
+            if ending != AnswerEnd::Complete {
                 break;
             }
         }
@@ -74,7 +77,7 @@
         if !self.early.is_empty() {
             return true;
         }
-        let idle = self.gate.limits().idle_timeout;
+        let idle = self.serving.limits().idle_timeout;
         let seen = self
             .stream
             .set_read_timeout(Some(idle))
@@ -83,11 +86,11 @@
         matches!(seen, Ok(1..))
     }
 
-    fn serve(&mut self) -> Ending {
-        let limits = self.gate.limits();
+    fn serve(&mut self) -> AnswerEnd {
+        let limits = self.serving.limits();
         match self.receive(limits) {
             Ok((head, body)) => self.answer(head, body),
-            Err(BadInput::Closed) => Ending::Broken,
+            Err(BadInput::Closed) => AnswerEnd::Broken,
             Err(input) => self.reject(input),
         }
     }
@@ -105,13 +108,13 @@
             let sent = (&self.stream).write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
             sent.map_err(|_| BadInput::Closed)?;
         }
-        let mut rest = Leftover::new(early, stream);
+        let mut rest = PrefixedReader::new(early, stream);
         let body = body.read(&[], &mut rest, limits.body_bytes)?;
         self.early = rest.into_rest();
         Ok((head, body))
     }
 
-    fn reject(&self, input: BadInput) -> Ending {
+    fn reject(&self, input: BadInput) -> AnswerEnd {
         let refusal = Refusal::from(input);
         log::info!(step = "read request", code = refusal.reason.code(), detail = refusal.detail.as_ref(); "refused");
         let told = RoutedResponder::new(&self.stream, true).refuse(&refusal);
@@ -123,14 +126,14 @@
                 log::debug!(step = "read request", error:% = e; "the caller did not close");
             }
         }
-        Ending::Broken
+        AnswerEnd::Broken
     }
 
-    fn answer(&mut self, head: Head, body: Vec<u8>) -> Ending {
+    fn answer(&mut self, head: Head, body: Vec<u8>) -> AnswerEnd {
         let id = self.handles.ids.next();
         let wait = self.dialect.read(&head).ok().and_then(|m| m.timeout);
         let limit = Instant::now() + wait.unwrap_or(WAIT_MAX);
-        let close = self.gate.is_leaving() || asks_close(&head);
+        let close = self.serving.is_draining() || asks_close(&head);
         let (sender, updates) = flume::bounded(OUTCOMES);
         let call = Call {
             id,
@@ -144,7 +147,7 @@
             log::info!(request:% = id, step = "admit", code = "overloaded"; "refused");
             let refusal = Refusal::not_run(RefusalReason::Overloaded, "too many requests at once");
             let told = RoutedResponder::new(&self.stream, close).refuse(&refusal);
-            return told.map_or(Ending::Broken, |()| Ending::complete(close));
+            return told.map_or(AnswerEnd::Broken, |()| AnswerEnd::complete(close));
         }
         let watched = self.watch.begin(&self.stream, id).inspect_err(|e| {
             log::warn!(request:% = id, step = "watch callers", error:% = e; "a hang-up would go unnoticed");
@@ -158,13 +161,13 @@
     }
 
     /// Takes back the request of a caller who is gone.
-    fn hang_up(&self, id: RequestId, error: &io::Error) -> Ending {
+    fn hang_up(&self, id: RequestId, error: &io::Error) -> AnswerEnd {
         log::info!(request:% = id, step = "answer", error:% = error; "the caller hung up");
         let _ = self
             .handles
             .decide
             .send(DecideMessage::CallerDisconnected(id));
-        Ending::Broken
+        AnswerEnd::Broken
     }
 }
 
--- a/azureway-entry/src/routed/hangup_watch.rs
+++ b/azureway-entry/src/routed/disconnect_watch.rs
@@ -12,12 +12,12 @@
 /// The side of a connection that wants to know of its caller's hang-up while it waits for an
 /// answer.
 #[derive(Clone, Debug)]
-pub struct HangupWatch {
+pub struct DisconnectWatch {
     registry: Arc<Registry>,
     requests: Arc<Mutex<Vec<Option<RequestId>>>>,
 }
 
-impl HangupWatch {
+impl DisconnectWatch {
     /// Creates the side of the poll that `registry` belongs to.
     pub fn new(registry: Registry) -> Self {
         Self {
--- a/azureway-entry/src/routed/hangup_watcher.rs
+++ b/azureway-entry/src/routed/disconnect_watcher.rs
@@ -6,22 +6,22 @@
 use flume::Sender;
 use mio::{Events, Poll};
 
-use super::HangupWatch;
+use super::DisconnectWatch;
 use crate::decide::DecideMessage;
 
 /// The duty that watches the connections whose requests are being answered, and takes back
 /// the request of a caller who hangs up.
 #[derive(Debug)]
-pub struct HangupWatcher {
+pub struct DisconnectWatcher {
     poll: Poll,
-    watch: HangupWatch,
+    watch: DisconnectWatch,
     decide: Sender<DecideMessage>,
 }
 
 /// The events that are taken at once.
 const EVENTS: usize = 128;
 
-impl HangupWatcher {
+impl DisconnectWatcher {
     /// Creates the duty.
     ///
     /// # Errors
@@ -33,13 +33,13 @@
         let registry = poll.registry().try_clone().map_err(failed)?;
         Ok(Self {
             poll,
-            watch: HangupWatch::new(registry),
+            watch: DisconnectWatch::new(registry),
             decide,
         })
     }
 
     /// Returns the side of the connections.
-    pub fn watch(&self) -> HangupWatch {
+    pub fn watch(&self) -> DisconnectWatch {
         self.watch.clone()
     }
 
--- a/azureway-entry/src/routed/active.rs
+++ b/azureway-entry/src/routed/in_flight.rs
@@ -3,24 +3,24 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-use super::ActiveGuard;
+use super::InFlightGuard;
 
 /// The number of requests that are being answered, which a shutdown waits for.
 #[derive(Clone, Debug, Default)]
-pub struct Active {
+pub struct InFlight {
     count: Arc<(Mutex<usize>, Condvar)>,
 }
 
-impl Active {
+impl InFlight {
     /// Creates a count of nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn begin(&self) -> ActiveGuard {
+    pub fn begin(&self) -> InFlightGuard {
         self.change(|count| count + 1);
-        ActiveGuard::new(self.clone())
+        InFlightGuard::new(self.clone())
     }
 
     /// Takes a request out of the count.
--- a/azureway-entry/src/routed/listener.rs
+++ b/azureway-entry/src/routed/listener.rs
@@ -8,7 +8,7 @@
 use azureway_config::settings::Bounds;
 use azureway_core::prelude::{Error, ErrorKind, Refusal, RefusalReason, Step};
 
-use super::{CallerDialect, Gate, HangupWatch, RoutedConnection, RoutedResponder};
+use super::{CallerDialect, DisconnectWatch, RoutedConnection, RoutedResponder, ServingState};
 use crate::daemon::Handles;
 
 /// The accepting duty of routed callers: gives each connection a thread of its own, within a
@@ -19,8 +19,8 @@
     dialect: D,
     handles: Handles,
     bounds: Bounds,
-    gate: Gate,
-    watch: HangupWatch,
+    serving: ServingState,
+    watch: DisconnectWatch,
     open: Arc<AtomicUsize>,
 }
 
@@ -38,8 +38,8 @@
         dialect: D,
         handles: Handles,
         bounds: Bounds,
-        gate: Gate,
-        watch: HangupWatch,
+        serving: ServingState,
+        watch: DisconnectWatch,
     ) -> Result<Self, Error> {
         let failed = |e| {
             Error::new(ErrorKind::System, Step::new("listen for callers"), e).with_peer(address)
@@ -49,7 +49,7 @@
             dialect,
             handles,
             bounds,
-            gate,
+            serving,
             watch,
             open: Arc::default(),
         })
@@ -88,7 +88,7 @@
             stream,
             self.dialect.clone(),
             self.handles.clone(),
-            self.gate.clone(),
+            self.serving.clone(),
             self.watch.clone(),
         );
         let open = Arc::clone(&self.open);
--- a/azureway-entry/src/routed/mod.rs
+++ b/azureway-entry/src/routed/mod.rs
@@ -4,36 +4,36 @@
 //! Connections stay open for many requests. What differs between sites is how a caller spells
 //! what the decisions need: a [`CallerDialect`] knows that.
 
-mod active;
-mod active_guard;
 mod answer;
+mod answer_end;
 mod call_metadata;
+mod call_reader;
 mod caller_dialect;
-mod calls;
 mod connection;
-mod ending;
-mod gate;
-mod hangup_watch;
-mod hangup_watcher;
-mod leftover;
+mod disconnect_watch;
+mod disconnect_watcher;
+mod in_flight;
+mod in_flight_guard;
 mod listener;
+mod prefixed_reader;
 mod prompt_part;
 mod responder;
 mod response_head;
+mod serving_state;
 
-pub use active::Active;
-pub use active_guard::ActiveGuard;
 pub use answer::RoutedAnswer;
+pub use answer_end::AnswerEnd;
 pub use call_metadata::CallMetadata;
+pub use call_reader::RoutedCallReader;
 pub use caller_dialect::CallerDialect;
-pub use calls::RoutedCalls;
 pub use connection::RoutedConnection;
-pub use ending::Ending;
-pub use gate::Gate;
-pub use hangup_watch::HangupWatch;
-pub use hangup_watcher::HangupWatcher;
-pub use leftover::Leftover;
+pub use disconnect_watch::DisconnectWatch;
+pub use disconnect_watcher::DisconnectWatcher;
+pub use in_flight::InFlight;
+pub use in_flight_guard::InFlightGuard;
 pub use listener::RoutedListener;
+pub use prefixed_reader::PrefixedReader;
 pub use prompt_part::PromptPart;
 pub use responder::RoutedResponder;
 pub use response_head::ResponseHead;
+pub use serving_state::ServingState;
--- a/azureway-entry/src/routed/leftover.rs
+++ b/azureway-entry/src/routed/prefixed_reader.rs
@@ -4,13 +4,13 @@
 
 /// A reader that first gives the bytes that came with an earlier read.
 #[derive(Debug)]
-pub struct Leftover<R> {
+pub struct PrefixedReader<R> {
     bytes: Vec<u8>,
     place: usize,
     source: R,
 }
 
-impl<R> Leftover<R> {
+impl<R> PrefixedReader<R> {
     /// Creates a reader of `bytes` and then of `source`.
     pub const fn new(bytes: Vec<u8>, source: R) -> Self {
         Self {
@@ -26,7 +26,7 @@
     }
 }
 
-impl<R: Read> Read for Leftover<R> {
+impl<R: Read> Read for PrefixedReader<R> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let rest = &self.bytes[self.place..];
         if rest.is_empty() {
--- a/azureway-entry/src/routed/gate.rs
+++ b/azureway-entry/src/routed/serving_state.rs
@@ -5,19 +5,19 @@
 
 use azureway_core::prelude::CallerLimits;
 
-use super::Active;
+use super::InFlight;
 
 /// What every caller's connection reads: the limits in force and whether the daemon leaves.
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct ServingState {
     limits: Arc<RwLock<CallerLimits>>,
-    leaving: Arc<AtomicBool>,
+    draining: Arc<AtomicBool>,
     /// The requests that are being answered.
-    pub active: Active,
+    pub in_flight: InFlight,
 }
 
-impl Gate {
-    /// Creates a gate with the default limits.
+impl ServingState {
+    /// Creates a serving with the default limits.
     pub fn new() -> Self {
         Self::default()
     }
@@ -28,17 +28,17 @@
     }
 
     /// Takes over the limits of a configuration.
-    pub fn adopt(&self, limits: CallerLimits) {
+    pub fn set_limits(&self, limits: CallerLimits) {
         *self.limits.write().unwrap_or_else(PoisonError::into_inner) = limits;
     }
 
     /// Lets connections close after the answer that they write next.
-    pub fn leave(&self) {
-        self.leaving.store(true, Ordering::Release);
+    pub fn start_draining(&self) {
+        self.draining.store(true, Ordering::Release);
     }
 
     /// Tells whether connections close after the answer that they write next.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Acquire)
+    pub fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Acquire)
     }
 }
--- a/azureway-entry/src/site/duty.rs
+++ b/azureway-entry/src/site/duty.rs
@@ -9,7 +9,7 @@
 use crate::admit::AdmitMessage;
 use crate::clock::Clock;
 use crate::decide::DecideMessage;
-use crate::routed::Gate;
+use crate::routed::ServingState;
 
 /// The duty that composes what was read of a site into one fleet and passes it on.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     news: Receiver<SiteNews>,
     admit: Sender<AdmitMessage>,
     decide: Sender<DecideMessage>,
-    gate: Gate,
+    serving: ServingState,
     clock: Clock,
 }
 
@@ -29,7 +29,7 @@
         news: Receiver<SiteNews>,
         admit: Sender<AdmitMessage>,
         decide: Sender<DecideMessage>,
-        gate: Gate,
+        serving: ServingState,
         clock: Clock,
     ) -> Self {
         Self {
@@ -37,7 +37,7 @@
             news,
             admit,
             decide,
-            gate,
+            serving,
             clock,
         }
     }
@@ -105,7 +105,7 @@
         let Some(fleet) = self.state.build_fleet() else {
             return;
         };
-        self.gate.adopt(fleet.limits);
+        self.serving.set_limits(fleet.limits);
         let fleet = Arc::new(fleet);
         // Both duties end only with the process.
         let _ = self
