--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -18,8 +18,8 @@
 use crate::caller::Listener;
 use crate::claim::Claimer;
 use crate::decide::{DecideMessage, Decider, Query};
+use crate::feed::{FeedReaders, HttpFeed};
 use crate::meter::Meter;
-use crate::news::{HttpNews, NewsReaders};
 use crate::order::{HttpOrders, Orderer};
 use crate::peer::PeerMessage;
 use crate::relay::RelayLauncher;
@@ -201,7 +201,7 @@
 fn decider(
     settings: &EntrySettings,
     rings: &Rings,
-) -> Decider<PrefixLoad, RelayLauncher, NewsReaders<HttpNews>> {
+) -> Decider<PrefixLoad, RelayLauncher, FeedReaders<HttpFeed>> {
     let config = RouterConfig::new(settings.zone.clone()).with_queue_limit(settings.bounds.queue);
     let router = Router::new(config, PrefixLoad::new());
     let launcher = RelayLauncher::new(
@@ -209,7 +209,7 @@
         rings.meter.clone(),
         settings.bounds.clone(),
     );
-    let readers = NewsReaders::new(HttpNews, rings.decide.clone());
+    let readers = FeedReaders::new(HttpFeed, rings.decide.clone());
     Decider::new(router, rings, launcher, readers, settings.instance.clone())
 }
 
--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -15,8 +15,8 @@
 use crate::admit::{Admitter, RequestIds};
 use crate::decide::{DecideMessage, Decider};
 use crate::exchange::ExchangeLauncher;
+use crate::feed::{FeedReaders, FeedSource};
 use crate::meter::Meter;
-use crate::news::{NewsLink, NewsReaders};
 use crate::order::{OrderLink, Orderer};
 use crate::peer::PeerMessage;
 use crate::routed::{DisconnectWatcher, RoutedCallReader, RoutedListener, ServingState};
@@ -73,7 +73,7 @@
     /// # Errors
     ///
     /// Returns an error if an address cannot be bound or a thread cannot be started.
-    pub fn start<S: Site, F, L, N: NewsLink>(
+    pub fn start<S: Site, F, L, N: FeedSource>(
         settings: &EntrySettings,
         served: &SiteSettings,
         site: S,
@@ -171,13 +171,13 @@
 }
 
 /// Returns the deciding duty.
-fn decider<S: Site, N: NewsLink>(
+fn decider<S: Site, N: FeedSource>(
     settings: &EntrySettings,
     served: &SiteSettings,
     rings: &Rings,
     site: S,
     news: N,
-) -> Decider<PrefixLoad, ExchangeLauncher<S>, NewsReaders<N>> {
+) -> Decider<PrefixLoad, ExchangeLauncher<S>, FeedReaders<N>> {
     let slack = RetrySlack {
         count: served.slack,
         window: served.window,
@@ -191,7 +191,7 @@
     let router = Router::new(config, PrefixLoad::new());
     let (decide, bounds) = (rings.decide.clone(), settings.bounds.clone());
     let launcher = ExchangeLauncher::new(site, decide, bounds, rings.clock);
-    let readers = NewsReaders::new(news, rings.decide.clone());
+    let readers = FeedReaders::new(news, rings.decide.clone());
     Decider::new(router, rings, launcher, readers, settings.instance.clone())
 }
 
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -12,8 +12,8 @@
 use crate::claim::ClaimClient;
 use crate::clock::Clock;
 use crate::daemon::Rings;
+use crate::feed::Subscribe;
 use crate::meter::Measure;
-use crate::news::Hear;
 use crate::order::OrderClient;
 use crate::peer::PeerClient;
 use crate::relay::Launch;
@@ -38,7 +38,7 @@
     news: VersionNews,
 }
 
-impl<P: Policy, L: Launch, N: Hear> Decider<P, L, N> {
+impl<P: Policy, L: Launch, N: Subscribe> Decider<P, L, N> {
     /// Creates the duty.
     pub fn new(router: Router<P>, rings: &Rings, launcher: L, readers: N, me: InstanceId) -> Self {
         Self {
@@ -186,7 +186,7 @@
             return;
         }
         self.tell(Event::Configured(fleet));
-        self.readers.adopt(fleet);
+        self.readers.reconfigure(fleet);
         self.orders.adopt(fleet);
         self.measure(Measure::Configured(fleet.version));
         self.ready.store(self.drained.is_none(), Ordering::Release);
--- a/azureway-entry/src/news/server_word.rs
+++ b/azureway-entry/src/feed/feed_batch.rs
@@ -4,7 +4,7 @@
 
 /// What a backend server told of itself at once.
 #[derive(Clone, Debug)]
-pub struct ServerWord {
+pub struct FeedBatch {
     /// Its life, where it names it.
     pub incarnation: Option<Incarnation>,
     /// A number that changes when it starts again.
@@ -17,7 +17,7 @@
     /// Whether events before these are known to be lost.
     pub lost: bool,
     /// Whether the events are the whole content of the cache.
-    pub whole: bool,
+    pub snapshot: bool,
     /// The cache events in order.
     pub ops: Vec<CacheOp>,
     /// What it says of its load.
--- a/azureway-entry/src/news/news_reader.rs
+++ b/azureway-entry/src/feed/feed_reader.rs
@@ -6,12 +6,12 @@
 use azureway_core::prelude::*;
 use flume::Sender;
 
-use super::{NewsLink, ReaderControl, ServerWord};
+use super::{FeedBatch, FeedSource, ReaderControl};
 use crate::decide::{DecideMessage, OwnedCacheUpdate};
 
 /// Hears the load reports and cache events of one model engine.
 #[derive(Debug)]
-pub struct NewsReader<L> {
+pub struct FeedReader<L> {
     link: L,
     server: ServerId,
     listening: Arc<ReaderControl>,
@@ -27,7 +27,7 @@
 /// The longest wait after a failure.
 const BACKOFF_CAP: Duration = Duration::from_secs(5);
 
-impl<L: NewsLink> NewsReader<L> {
+impl<L: FeedSource> FeedReader<L> {
     /// Creates the duty.
     pub const fn new(
         link: L,
@@ -53,7 +53,7 @@
         let mut lost = false;
         while !self.listening.is_stopped() {
             let (address, whole) = (self.listening.address(), self.listening.take_resync());
-            match self.link.ask(&self.server, address, self.next, whole) {
+            match self.link.poll(&self.server, address, self.next, whole) {
                 Ok(word) => {
                     if lost {
                         log::info!(step = "news", peer:% = self.server, epoch = word.epoch; "a server's news are back");
@@ -61,8 +61,8 @@
                     lost = false;
                     backoff.reset();
                     self.pass_on(word);
-                    if !L::GAP.is_zero() {
-                        std::thread::park_timeout(L::GAP);
+                    if !L::INTERVAL.is_zero() {
+                        std::thread::park_timeout(L::INTERVAL);
                     }
                 }
                 Err(e) => {
@@ -77,7 +77,7 @@
         }
     }
 
-    fn pass_on(&mut self, word: ServerWord) {
+    fn pass_on(&mut self, word: FeedBatch) {
         let incarnation = word.incarnation.unwrap_or_else(|| self.listening.listed());
         if word.epoch != self.epoch {
             let known = self.epoch != 0;
@@ -95,7 +95,7 @@
         }
         let first = word.first.unwrap_or(self.heard);
         self.heard += word.ops.len() as u64;
-        self.tell(incarnation, word.whole, word.ops, first);
+        self.tell(incarnation, word.snapshot, word.ops, first);
     }
 
     fn tell(&self, incarnation: Incarnation, whole: bool, ops: Vec<CacheOp>, first: u64) {
--- a/azureway-entry/src/news/news_readers.rs
+++ b/azureway-entry/src/feed/feed_readers.rs
@@ -7,12 +7,12 @@
 use azureway_core::prelude::*;
 use flume::Sender;
 
-use super::{Hear, NewsLink, NewsReader, ReaderControl};
+use super::{FeedReader, FeedSource, ReaderControl, Subscribe};
 use crate::decide::DecideMessage;
 
 /// The hearing threads, one for each model engine of the configuration.
 #[derive(Debug)]
-pub struct NewsReaders<L> {
+pub struct FeedReaders<L> {
     link: L,
     decide: Sender<DecideMessage>,
     listening: BTreeMap<ServerId, Arc<ReaderControl>>,
@@ -21,8 +21,8 @@
 /// The stack of a hearing thread, in bytes.
 const STACK_SIZE: usize = 256 * 1024;
 
-impl<L: NewsLink> NewsReaders<L> {
-    /// Creates an empty set whose threads hear through `link` and report to `decide`.
+impl<L: FeedSource> FeedReaders<L> {
+    /// Creates an empty set whose threads subscribe through `link` and report to `decide`.
     pub const fn new(link: L, decide: Sender<DecideMessage>) -> Self {
         Self {
             link,
@@ -34,7 +34,7 @@
     fn start(&mut self, server: &BackendServer) {
         let listening = Arc::new(ReaderControl::new(server.address));
         listening.list(server.listed.map_or(Incarnation::ZERO, |l| l.incarnation));
-        let reader = NewsReader::new(
+        let reader = FeedReader::new(
             self.link.clone(),
             server.id.clone(),
             Arc::clone(&listening),
@@ -52,9 +52,9 @@
     }
 }
 
-impl<L: NewsLink> Hear for NewsReaders<L> {
+impl<L: FeedSource> Subscribe for FeedReaders<L> {
     /// Starts and stops threads so that each model engine of `fleet` is heard.
-    fn adopt(&mut self, fleet: &Fleet) {
+    fn reconfigure(&mut self, fleet: &Fleet) {
         let engines = engines(fleet);
         self.listening.retain(|id, listening| {
             let kept = engines
--- a/azureway-entry/src/news/http_news.rs
+++ b/azureway-entry/src/feed/http_feed.rs
@@ -6,43 +6,43 @@
 use azureway_core::prelude::*;
 use azureway_wire::engine::EngineNews;
 
-use super::{NewsLink, ServerWord};
+use super::{FeedBatch, FeedSource};
 
 /// News over the product's own interface, `GET /v1/news`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct HttpNews;
+pub struct HttpFeed;
 
 /// How long the engine keeps a call that has no news for it.
 const WAIT: Duration = Duration::from_millis(500);
 /// The limit of a call, in seconds: the wait and as much again as the engine may be late.
 const TIMEOUT: u64 = 2;
 
-impl NewsLink for HttpNews {
-    const GAP: Duration = Duration::ZERO;
+impl FeedSource for HttpFeed {
+    const INTERVAL: Duration = Duration::ZERO;
 
-    fn ask(
+    fn poll(
         &mut self,
         server: &ServerId,
         address: SocketAddr,
         next: u64,
-        whole: bool,
-    ) -> Result<ServerWord, Error> {
+        snapshot: bool,
+    ) -> Result<FeedBatch, Error> {
         const STEP: Step = Step::new("hear engine");
         let error = |kind, detail: String| Error::new(kind, STEP, detail).with_peer(server);
         let wait = WAIT.as_millis();
-        let url = format!("http://{address}/v1/news?after={next}&wait_ms={wait}&whole={whole}");
+        let url = format!("http://{address}/v1/news?after={next}&wait_ms={wait}&whole={snapshot}");
         let answer = minreq::get(url).with_timeout(TIMEOUT).send();
         let answer = answer.map_err(|e| error(ErrorKind::Unavailable, e.to_string()))?;
         let news: EngineNews = serde_json::from_slice(answer.as_bytes())
             .map_err(|e| error(ErrorKind::Protocol, e.to_string()))?;
         let ops = news.ops();
-        Ok(ServerWord {
+        Ok(FeedBatch {
             incarnation: Some(Incarnation::new(news.incarnation)),
             epoch: news.incarnation,
             next: news.next(),
             first: Some(news.first),
             lost: false,
-            whole: news.whole,
+            snapshot: news.whole,
             ops: ops.map_err(|e| error(ErrorKind::Protocol, e.to_string()))?,
             load: Some(news.load(server.clone())),
         })
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -18,7 +18,7 @@
 use azureway_entry::caller::Head;
 use azureway_entry::daemon::Gateway;
 use azureway_entry::exchange::{AnswerHead, AnswerMetadata, BackendDialect};
-use azureway_entry::news::HttpNews;
+use azureway_entry::feed::HttpFeed;
 use azureway_entry::order::HttpOrders;
 use azureway_entry::routed::{CallMetadata, CallerDialect};
 use azureway_entry::site::{SiteCodec, SiteKind};
@@ -278,7 +278,7 @@
             grace: Duration::from_secs(8),
         };
         let gateway = Gateway::start(
-            &settings, &served, TestSite, PlainForm, HttpOrders, HttpNews,
+            &settings, &served, TestSite, PlainForm, HttpOrders, HttpFeed,
         );
         let gateway = gateway.map_err(|e| e.to_string())?;
         Ok(Self {
