--- a/azureway-entry/src/admit/admitter.rs
+++ b/azureway-entry/src/admit/admitter.rs
@@ -8,7 +8,7 @@
 use super::{AdmitMessage, Admitted, Call, ExplainCall, ReadCall, UpstreamRequest};
 use crate::caller::RequestUpdate;
 use crate::decide::{DecideMessage, Query};
-use crate::meter::Measure;
+use crate::meter::MetricEvent;
 
 /// The admitting duty: tells who asks for what and derives the blocks of the prompt.
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     reader: R,
     messages: Receiver<AdmitMessage>,
     decide: Sender<DecideMessage>,
-    meter: Sender<Measure>,
+    meter: Sender<MetricEvent>,
     fleet: Arc<Fleet>,
 }
 
@@ -26,7 +26,7 @@
         reader: R,
         messages: Receiver<AdmitMessage>,
         decide: Sender<DecideMessage>,
-        meter: Sender<Measure>,
+        meter: Sender<MetricEvent>,
     ) -> Self {
         Self {
             reader,
@@ -73,7 +73,7 @@
                     detail = refusal.detail.as_ref(), fleet:% = self.fleet.version;
                     "refused"
                 );
-                let _ = self.meter.try_send(Measure::Refused(refusal.reason));
+                let _ = self.meter.try_send(MetricEvent::Refused(refusal.reason));
                 let _ = call.updates.try_send(RequestUpdate::Refused(id, refusal));
             }
         }
--- a/azureway-entry/src/caller/connection.rs
+++ b/azureway-entry/src/caller/connection.rs
@@ -11,7 +11,7 @@
 use crate::admit::{AdmitMessage, Call};
 use crate::daemon::Handles;
 use crate::decide::DecideMessage;
-use crate::meter::Measure;
+use crate::meter::MetricEvent;
 
 /// The duty of one caller's connection: reads one request and writes its answer.
 #[derive(Debug)]
@@ -88,7 +88,7 @@
 
     fn scrape(&self, responder: &Responder<'_>) -> io::Result<()> {
         let (reply, text) = flume::bounded(1);
-        let _ = self.handles.meter.send(Measure::Scrape(reply));
+        let _ = self.handles.meter.send(MetricEvent::Scrape(reply));
         let text = text.recv().map_err(io::Error::other)?;
         responder.whole(
             200,
--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -19,7 +19,7 @@
 use crate::claim::Claimer;
 use crate::decide::{DecideMessage, Decider, Query};
 use crate::feed::{FeedReaders, HttpFeed};
-use crate::meter::Meter;
+use crate::meter::MeterDuty;
 use crate::order::{HttpOrders, Orderer};
 use crate::peer::PeerMessage;
 use crate::relay::RelayLauncher;
@@ -108,7 +108,7 @@
             rings.watch_messages,
             mark,
         );
-        let meter = Meter::new(rings.measures, views, calls);
+        let meter = MeterDuty::new(rings.measures, views, calls);
         threads.push(spawn("decide", move || decider.run())?);
         threads.push(spawn("accept", move || listener.run())?);
         // These hold nothing that has to be finished, and a watch may wait for some seconds:
--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -16,7 +16,7 @@
 use crate::decide::{DecideMessage, Decider};
 use crate::exchange::ExchangeLauncher;
 use crate::feed::{FeedReaders, FeedSource};
-use crate::meter::Meter;
+use crate::meter::MeterDuty;
 use crate::order::{OrderLink, Orderer};
 use crate::peer::PeerMessage;
 use crate::routed::{DisconnectWatcher, RoutedCallReader, RoutedListener, ServingState};
@@ -114,7 +114,7 @@
         order(settings, served, &rings, &api, link, mark)?;
         register(settings, &rings, &api)?;
         let calls = RoutedCallReader::new(site);
-        let meter = Meter::new(rings.measures.clone(), rings.views(), api.calls().clone());
+        let meter = MeterDuty::new(rings.measures.clone(), rings.views(), api.calls().clone());
         let admitter = Admitter::new(
             calls,
             rings.admit_messages,
--- a/azureway-entry/src/daemon/handles.rs
+++ b/azureway-entry/src/daemon/handles.rs
@@ -8,7 +8,7 @@
 use crate::admit::{AdmitMessage, RequestIds};
 use crate::clock::Clock;
 use crate::decide::DecideMessage;
-use crate::meter::Measure;
+use crate::meter::MetricEvent;
 
 /// What a connection reaches of the daemon: the rings of the other duties.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     /// The deciding duty.
     pub decide: Sender<DecideMessage>,
     /// The measuring duty.
-    pub meter: Sender<Measure>,
+    pub meter: Sender<MetricEvent>,
     /// The identities of requests.
     pub ids: RequestIds,
     /// The clock.
--- a/azureway-entry/src/daemon/ready_duty.rs
+++ b/azureway-entry/src/daemon/ready_duty.rs
@@ -8,7 +8,7 @@
 use flume::Sender;
 use tiny_http::{Request, Response, Server};
 
-use crate::meter::Measure;
+use crate::meter::MetricEvent;
 use crate::routed::ServingState;
 
 /// The duty that tells the balancer whether the daemon serves, and gives the metrics.
@@ -16,7 +16,7 @@
     server: Server,
     ready: Arc<AtomicBool>,
     serving: ServingState,
-    meter: Sender<Measure>,
+    meter: Sender<MetricEvent>,
 }
 
 impl ReadyDuty {
@@ -29,7 +29,7 @@
         address: SocketAddr,
         ready: Arc<AtomicBool>,
         serving: ServingState,
-        meter: Sender<Measure>,
+        meter: Sender<MetricEvent>,
     ) -> Result<Self, Error> {
         const STEP: Step = Step::new("listen for the balancer");
         let server = Server::http(address);
@@ -71,7 +71,7 @@
 
     fn scrape(&self) -> (u16, String) {
         let (reply, text) = flume::bounded(1);
-        let asked = self.meter.send(Measure::Scrape(reply));
+        let asked = self.meter.send(MetricEvent::Scrape(reply));
         match asked.ok().and_then(|()| text.recv().ok()) {
             Some(text) => (200, text),
             None => (503, "the measuring duty has ended\n".to_owned()),
--- a/azureway-entry/src/daemon/rings.rs
+++ b/azureway-entry/src/daemon/rings.rs
@@ -10,7 +10,7 @@
 use crate::claim::ClaimRings;
 use crate::clock::Clock;
 use crate::decide::DecideMessage;
-use crate::meter::{Measure, RingViews};
+use crate::meter::{MetricEvent, RingMonitor};
 use crate::order::OrderMessage;
 use crate::peer::{PeerMessage, PeerRings};
 use crate::watch::{SelectionNotifier, WatchMessage};
@@ -37,9 +37,9 @@
     /// At the peer duty.
     pub peer_messages: Receiver<PeerMessage>,
     /// To the measuring duty.
-    pub meter: Sender<Measure>,
+    pub meter: Sender<MetricEvent>,
     /// At the measuring duty.
-    pub measures: Receiver<Measure>,
+    pub measures: Receiver<MetricEvent>,
     /// To the watching duty.
     pub watch: Sender<WatchMessage>,
     /// At the watching duty.
@@ -96,8 +96,8 @@
     }
 
     /// Returns how full the rings are, for the measuring duty.
-    pub fn views(&self) -> RingViews {
-        RingViews {
+    pub fn views(&self) -> RingMonitor {
+        RingMonitor {
             admit: self.admit.downgrade(),
             decide: self.decide.downgrade(),
         }
--- a/azureway-entry/src/decide/caller.rs
+++ b/azureway-entry/src/decide/caller.rs
@@ -9,7 +9,7 @@
 
 use crate::admit::UpstreamRequest;
 use crate::caller::RequestUpdate;
-use crate::meter::{Measure, Served};
+use crate::meter::{FinishedRequest, MetricEvent};
 
 /// What the deciding duty keeps of a caller: bytes and rings, which the core never sees.
 #[derive(Clone, Debug)]
@@ -48,23 +48,23 @@
     }
 
     /// Returns the measure of a try that begins at `now`.
-    pub fn sent(&self, attempt: Attempt, now: Timestamp) -> Measure {
+    pub fn sent(&self, attempt: Attempt, now: Timestamp) -> MetricEvent {
         match attempt.number {
-            1 => Measure::Sent(self.rank, now.since(self.arrived)),
-            _ => Measure::Retried,
+            1 => MetricEvent::Sent(self.rank, now.since(self.arrived)),
+            _ => MetricEvent::Retried,
         }
     }
 
     /// Returns the measure of a whole answer that ended at `now`.
-    pub fn served(self, finish: &Finish, now: Timestamp) -> Served {
-        Served {
+    pub fn served(self, finish: &Finish, now: Timestamp) -> FinishedRequest {
+        FinishedRequest {
             account: self.account,
             rank: self.rank,
             prompt: self.prompt,
             cached: finish.cached,
-            believed: self.believed,
+            expected_cached: self.believed,
             output: finish.output,
-            streaming: now.since(self.first.unwrap_or(now)),
+            stream_time: now.since(self.first.unwrap_or(now)),
         }
     }
 }
--- a/azureway-entry/src/decide/callers.rs
+++ b/azureway-entry/src/decide/callers.rs
@@ -10,7 +10,7 @@
 use super::Caller;
 use crate::admit::Admitted;
 use crate::caller::{AnswerChunk, RequestUpdate};
-use crate::meter::Measure;
+use crate::meter::MetricEvent;
 
 /// The callers whose requests are not finished.
 #[derive(Debug, Default)]
@@ -60,15 +60,15 @@
     }
 
     /// Notes that an answer began at `now`. Returns its measure, for the first try that did.
-    pub fn start(&mut self, attempt: Attempt, now: Timestamp) -> Option<Measure> {
+    pub fn start(&mut self, attempt: Attempt, now: Timestamp) -> Option<MetricEvent> {
         let caller = self.callers.get_mut(&attempt.id)?;
         let first = caller.first.is_none();
         caller.first.get_or_insert(now);
-        first.then(|| Measure::Started(caller.rank, now.since(caller.arrived)))
+        first.then(|| MetricEvent::FirstToken(caller.rank, now.since(caller.arrived)))
     }
 
     /// Takes a caller whose answer is complete out. Returns its measure.
-    pub fn finish(&mut self, finish: &Finish, now: Timestamp) -> Option<Measure> {
+    pub fn finish(&mut self, finish: &Finish, now: Timestamp) -> Option<MetricEvent> {
         let id = finish.attempt.id;
         let caller = self.remove(id)?;
         log::info!(
@@ -79,7 +79,7 @@
             took = caller.since(now);
             "answered"
         );
-        Some(Measure::Finished(Box::new(caller.served(finish, now))))
+        Some(MetricEvent::Finished(Box::new(caller.served(finish, now))))
     }
 
     /// Takes a caller out.
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -13,7 +13,7 @@
 use crate::clock::Clock;
 use crate::daemon::Rings;
 use crate::feed::Subscribe;
-use crate::meter::Measure;
+use crate::meter::MetricEvent;
 use crate::order::OrderClient;
 use crate::peer::PeerClient;
 use crate::relay::Launch;
@@ -30,7 +30,7 @@
     launcher: L,
     readers: N,
     peers: PeerClient,
-    meter: Sender<Measure>,
+    meter: Sender<MetricEvent>,
     ready: Arc<AtomicBool>,
     serve: Sender<()>,
     actions: Vec<Action>,
@@ -124,7 +124,7 @@
             DecideMessage::Configured(fleet) => self.adopt(&fleet),
             DecideMessage::ConfigRejected(version) => {
                 self.news.reject(version);
-                self.measure(Measure::Rejected(version));
+                self.measure(MetricEvent::Rejected(version));
             }
             DecideMessage::Query(question) => self.reply(question),
             DecideMessage::Peer(word) => self.heed(&word),
@@ -136,7 +136,7 @@
     fn arrive(&mut self, admitted: Admitted) {
         let request = admitted.request.clone();
         let wait = self.clock.now().since(request.arrived);
-        self.measure(Measure::Crossed(wait));
+        self.measure(MetricEvent::RingWait(wait));
         self.callers.insert(admitted);
         self.tell(Event::Arrived(&request));
     }
@@ -188,7 +188,7 @@
         self.tell(Event::Configured(fleet));
         self.readers.reconfigure(fleet);
         self.orders.adopt(fleet);
-        self.measure(Measure::Configured(fleet.version));
+        self.measure(MetricEvent::Configured(fleet.version));
         self.ready.store(self.drained.is_none(), Ordering::Release);
         self.news.adopt(fleet.version);
         // Only the first one finds a place; whoever waits needs no more.
@@ -224,14 +224,14 @@
                 Action::Dispatch(order) => self.dispatch(order),
                 Action::Refuse(id, refusal) => {
                     log::info!(request:% = id, step = "decide", code = refusal.reason.code(); "refused");
-                    self.measure(Measure::Refused(refusal.reason));
+                    self.measure(MetricEvent::Refused(refusal.reason));
                     self.callers.refuse(id, refusal);
                 }
                 Action::ReplayAnswer(id, answer) => self.callers.repeat(id, answer),
                 Action::Claim(call) => unplaced.extend(self.claims.place(call)),
                 Action::Cancel(attempt) => {
                     self.launcher.cancel(attempt);
-                    self.measure(Measure::Cancelled(attempt));
+                    self.measure(MetricEvent::Cancelled(attempt));
                 }
                 Action::BroadcastServer(news) => self.peers.server(news),
                 Action::BroadcastStrike(strike) => self.peers.strike(strike),
@@ -273,7 +273,7 @@
     }
 
     /// Passes a measure on. One that finds the ring full is lost: decisions do not wait.
-    fn measure(&self, measure: Measure) {
+    fn measure(&self, measure: MetricEvent) {
         let _ = self.meter.try_send(measure);
     }
 }
--- a/azureway-entry/src/meter/accounts.rs
+++ b/azureway-entry/src/meter/account_labels.rs
@@ -11,11 +11,11 @@
 
 /// Which client accounts have a label of their own: the first ones that were seen.
 #[derive(Clone, Debug, Default)]
-pub struct Accounts {
+pub struct AccountLabels {
     seen: HashSet<AccountId>,
 }
 
-impl Accounts {
+impl AccountLabels {
     /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
--- a/azureway-entry/src/meter/config_measures.rs
+++ b/azureway-entry/src/meter/config_metrics.rs
@@ -6,12 +6,12 @@
 
 /// Which configuration is in force, and whether a newer one is bad.
 #[derive(Debug)]
-pub struct ConfigMeasures {
+pub struct ConfigMetrics {
     accepted: Gauge,
     rejected: Gauge,
 }
 
-impl ConfigMeasures {
+impl ConfigMetrics {
     /// Creates the measures and registers them.
     pub fn new(r: &mut Registry) -> Self {
         let (accepted, rejected) = (Gauge::default(), Gauge::default());
--- a/azureway-entry/src/meter/control_measures.rs
+++ b/azureway-entry/src/meter/control_metrics.rs
@@ -10,27 +10,27 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-use super::{DutyCosts, DutyLabel, RingLabel, RingViews};
+use super::{DutyCpu, DutyLabel, RingLabel, RingMonitor};
 
 /// What control costs: calls, retries, rings and the processor time of each duty.
 #[derive(Debug)]
-pub struct ControlMeasures {
+pub struct ControlMetrics {
     retries: Counter,
     platform: Counter,
     gossip: Counter,
     waits: Histogram,
     depths: Family<RingLabel, Gauge>,
     duties: Family<DutyLabel, Counter<f64, AtomicU64>>,
-    rings: RingViews,
+    rings: RingMonitor,
     calls: CallCounter,
 }
 
 /// The upper bounds of the time in the rings before a decision, in seconds.
 const WAIT_BOUNDS: [f64; 7] = [0.000_1, 0.000_5, 0.001, 0.005, 0.025, 0.1, 1.0];
 
-impl ControlMeasures {
+impl ControlMetrics {
     /// Creates the measures and registers them. `calls` counts the calls to the platform.
-    pub fn new(r: &mut Registry, rings: RingViews, calls: CallCounter) -> Self {
+    pub fn new(r: &mut Registry, rings: RingMonitor, calls: CallCounter) -> Self {
         let measures = Self {
             retries: Counter::default(),
             platform: Counter::default(),
@@ -77,7 +77,7 @@
             let gauge = self.depths.get_or_create(&RingLabel { ring });
             gauge.set(i64::try_from(depth).unwrap_or(i64::MAX));
         }
-        for (duty, time) in DutyCosts::read() {
+        for (duty, time) in DutyCpu::read() {
             let counter = self.duties.get_or_create(&DutyLabel { duty });
             counter.inc_by((time - counter.get()).max(0.0));
         }
--- a/azureway-entry/src/meter/duty_costs.rs
+++ b/azureway-entry/src/meter/duty_cpu.rs
@@ -4,7 +4,7 @@
 
 /// The processor time of the process's duties, as the kernel counts it by thread.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DutyCosts;
+pub struct DutyCpu;
 
 /// The duties whose threads last as long as the daemon.
 const DUTIES: [&str; 10] = [
@@ -17,7 +17,7 @@
 /// The place of the time in user mode after the thread's name in its status line.
 const USER_PLACE: usize = 11;
 
-impl DutyCosts {
+impl DutyCpu {
     /// Returns the processor time of each duty so far, in seconds.
     pub fn read() -> Vec<(&'static str, f64)> {
         let mut costs: Vec<_> = DUTIES.iter().map(|duty| (*duty, 0.0)).collect();
--- a/azureway-entry/src/meter/meter_duty.rs
+++ b/azureway-entry/src/meter/meter_duty.rs
@@ -6,36 +6,36 @@
 use prometheus_client::registry::Registry;
 
 use super::{
-    ConfigMeasures, ControlMeasures, Measure, PromptMeasures, RingViews, RouterMeasures,
-    ServiceMeasures,
+    ConfigMetrics, ControlMetrics, MetricEvent, PromptMetrics, RingMonitor, RouterMetrics,
+    ServiceMetrics,
 };
 use crate::decide::DecideMessage;
 
 /// The measuring duty: keeps the measures and writes them out.
 #[derive(Debug)]
-pub struct Meter {
-    measures: Receiver<Measure>,
+pub struct MeterDuty {
+    measures: Receiver<MetricEvent>,
     registry: Registry,
-    service: ServiceMeasures,
-    prompts: PromptMeasures,
-    config: ConfigMeasures,
-    control: ControlMeasures,
-    router: RouterMeasures,
+    service: ServiceMetrics,
+    prompts: PromptMetrics,
+    config: ConfigMetrics,
+    control: ControlMetrics,
+    router: RouterMetrics,
     decide: WeakSender<DecideMessage>,
 }
 
-impl Meter {
+impl MeterDuty {
     /// Creates the duty. `calls` counts the calls to the platform.
-    pub fn new(measures: Receiver<Measure>, rings: RingViews, calls: CallCounter) -> Self {
+    pub fn new(measures: Receiver<MetricEvent>, rings: RingMonitor, calls: CallCounter) -> Self {
         let mut registry = Registry::with_prefix("azureway");
         Self {
             measures,
-            service: ServiceMeasures::new(&mut registry),
-            prompts: PromptMeasures::new(&mut registry),
-            config: ConfigMeasures::new(&mut registry),
-            router: RouterMeasures::new(&mut registry),
+            service: ServiceMetrics::new(&mut registry),
+            prompts: PromptMetrics::new(&mut registry),
+            config: ConfigMetrics::new(&mut registry),
+            router: RouterMetrics::new(&mut registry),
             decide: rings.decide.clone(),
-            control: ControlMeasures::new(&mut registry, rings, calls),
+            control: ControlMetrics::new(&mut registry, rings, calls),
             registry,
         }
     }
@@ -47,23 +47,23 @@
         }
     }
 
-    fn take(&mut self, measure: Measure) {
+    fn take(&mut self, measure: MetricEvent) {
         match measure {
-            Measure::Crossed(time) => self.control.cross(time),
-            Measure::Sent(rank, time) => self.service.send(rank, time),
-            Measure::Started(rank, time) => self.service.start(rank, time),
-            Measure::Gaps(rank, gaps) => self.service.pace(rank, &gaps),
-            Measure::Finished(served) => {
+            MetricEvent::RingWait(time) => self.control.cross(time),
+            MetricEvent::Sent(rank, time) => self.service.send(rank, time),
+            MetricEvent::FirstToken(rank, time) => self.service.start(rank, time),
+            MetricEvent::TokenGaps(rank, gaps) => self.service.pace(rank, &gaps),
+            MetricEvent::Finished(served) => {
                 self.service.finish(&served);
                 self.prompts.finish(&served);
             }
-            Measure::Refused(reason) => self.service.refuse(reason),
-            Measure::Gossip(bytes) => self.control.gossip(bytes),
-            Measure::Retried => self.control.retry(),
-            Measure::Cancelled(_) => self.service.cancel(),
-            Measure::Configured(version) => self.config.accept(version),
-            Measure::Rejected(version) => self.config.reject(version),
-            Measure::Scrape(reply) => {
+            MetricEvent::Refused(reason) => self.service.refuse(reason),
+            MetricEvent::Gossip(bytes) => self.control.gossip(bytes),
+            MetricEvent::Retried => self.control.retry(),
+            MetricEvent::Cancelled(_) => self.service.cancel(),
+            MetricEvent::Configured(version) => self.config.accept(version),
+            MetricEvent::Rejected(version) => self.config.reject(version),
+            MetricEvent::Scrape(reply) => {
                 let _ = reply.try_send(self.text());
             }
         }
--- a/azureway-entry/src/meter/measure.rs
+++ b/azureway-entry/src/meter/metric_event.rs
@@ -5,21 +5,21 @@
 use azureway_core::prelude::{Attempt, ConfigVersion, Rank, RefusalReason};
 use flume::Sender;
 
-use super::Served;
+use super::FinishedRequest;
 
 /// What the measuring duty is told.
 #[derive(Clone, Debug)]
-pub enum Measure {
+pub enum MetricEvent {
     /// A request took this time through the rings to its decision.
-    Crossed(Duration),
+    RingWait(Duration),
     /// A request was sent to a backend server for the first time, this time after its arrival.
     Sent(Rank, Duration),
     /// The first token of an answer came after this time.
-    Started(Rank, Duration),
+    FirstToken(Rank, Duration),
     /// These times passed between events of a stream.
-    Gaps(Rank, Vec<Duration>),
+    TokenGaps(Rank, Vec<Duration>),
     /// An answer is complete.
-    Finished(Box<Served>),
+    Finished(Box<FinishedRequest>),
     /// A request was refused.
     Refused(RefusalReason),
     /// A request was tried again.
--- a/azureway-entry/src/meter/count_label.rs
+++ b/azureway-entry/src/meter/outcome_label.rs
@@ -5,7 +5,7 @@
 
 /// The label of requests of one rank and kind that ended alike.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct CountLabel {
+pub struct OutcomeLabel {
     /// The rank.
     pub rank: &'static str,
     /// Whether the requests may run more than once.
@@ -14,7 +14,7 @@
     pub outcome: &'static str,
 }
 
-impl CountLabel {
+impl OutcomeLabel {
     /// Creates the label of a rank, a kind and an outcome.
     pub const fn new(rank: Rank, kind: RequestKind, outcome: Outcome) -> Self {
         Self {
--- a/azureway-entry/src/meter/prompt_measures.rs
+++ b/azureway-entry/src/meter/prompt_metrics.rs
@@ -3,19 +3,19 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
 
-use super::Served;
+use super::FinishedRequest;
 
 /// What became of the tokens of prompts. The prefix hit rate is `cached_tokens` over
 /// `prompt_tokens`.
 #[derive(Debug)]
-pub struct PromptMeasures {
+pub struct PromptMetrics {
     prompt: Counter,
     cached: Counter,
     recomputed: Counter,
     output: Counter,
 }
 
-impl PromptMeasures {
+impl PromptMetrics {
     /// Creates the measures and registers them.
     pub fn new(r: &mut Registry) -> Self {
         let measures = Self {
@@ -31,7 +31,7 @@
         );
         let help = "Prompt tokens that the backend server found in its cache";
         r.register("cached_tokens", help, measures.cached.clone());
-        let help = "Prompt tokens that were believed cached and computed again";
+        let help = "Prompt tokens that were expected_cached cached and computed again";
         r.register("recomputed_tokens", help, measures.recomputed.clone());
         r.register(
             "output_tokens",
@@ -42,10 +42,10 @@
     }
 
     /// Notes a request that was answered completely.
-    pub fn finish(&self, served: &Served) {
+    pub fn finish(&self, served: &FinishedRequest) {
         self.prompt.inc_by(served.prompt.get());
         self.cached.inc_by(served.cached.get());
-        let missed = served.believed.saturating_sub(served.cached);
+        let missed = served.expected_cached.saturating_sub(served.cached);
         self.recomputed.inc_by(missed.get());
         self.output.inc_by(served.output.get());
     }
--- a/azureway-entry/src/meter/ring_views.rs
+++ b/azureway-entry/src/meter/ring_monitor.rs
@@ -7,14 +7,14 @@
 
 /// How full the rings are. Looking on does not keep a ring open.
 #[derive(Clone, Debug)]
-pub struct RingViews {
+pub struct RingMonitor {
     /// To the admitting duty.
     pub admit: WeakSender<AdmitMessage>,
     /// To the deciding duty.
     pub decide: WeakSender<DecideMessage>,
 }
 
-impl RingViews {
+impl RingMonitor {
     /// Returns the messages that wait in each ring, by the duty that takes them.
     pub fn depths(&self) -> [(&'static str, usize); 2] {
         [
--- a/azureway-entry/src/meter/router_measures.rs
+++ b/azureway-entry/src/meter/router_metrics.rs
@@ -9,14 +9,14 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use super::{CountLabel, RankLabel};
+use super::{OutcomeLabel, RankLabel};
 use crate::decide::{DecideMessage, Query};
 
 /// What the decisions say of themselves: service by kind and worth, queues and the budget.
 #[derive(Debug)]
-pub struct RouterMeasures {
-    requests: Family<CountLabel, Counter>,
-    worth: Family<CountLabel, Counter>,
+pub struct RouterMetrics {
+    requests: Family<OutcomeLabel, Counter>,
+    worth: Family<OutcomeLabel, Counter>,
     queued: Family<RankLabel, Gauge>,
     flights: Gauge,
     budget: Gauge,
@@ -28,7 +28,7 @@
 /// How long the deciding duty may take to answer a scrape.
 const LIMIT: Duration = Duration::from_secs(1);
 
-impl RouterMeasures {
+impl RouterMetrics {
     /// Creates the measures and registers them.
     pub fn new(r: &mut Registry) -> Self {
         let measures = Self {
@@ -80,7 +80,7 @@
 
     fn show(&self, overview: &Overview) {
         for (rank, kind, outcome, count) in &overview.counts {
-            let label = CountLabel::new(*rank, *kind, *outcome);
+            let label = OutcomeLabel::new(*rank, *kind, *outcome);
             raise(&self.requests, &label, count.requests);
             raise(&self.worth, &label, count.worth);
         }
@@ -96,7 +96,7 @@
     }
 }
 
-fn raise(family: &Family<CountLabel, Counter>, label: &CountLabel, total: u64) {
+fn raise(family: &Family<OutcomeLabel, Counter>, label: &OutcomeLabel, total: u64) {
     let counter = family.get_or_create(label);
     counter.inc_by(total.saturating_sub(counter.get()));
 }
--- a/azureway-entry/src/meter/service_measures.rs
+++ b/azureway-entry/src/meter/service_metrics.rs
@@ -8,14 +8,14 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-use super::{AccountLabel, Accounts, RankLabel, ReasonLabel, Served};
+use super::{AccountLabel, AccountLabels, FinishedRequest, RankLabel, ReasonLabel};
 
 /// A family of histograms by rank.
 type Histograms = Family<RankLabel, Histogram, fn() -> Histogram>;
 
 /// How requests fared: latency by rank, ends, refusals and client accounts.
 #[derive(Debug)]
-pub struct ServiceMeasures {
+pub struct ServiceMetrics {
     first: Histograms,
     gaps: Histograms,
     between: Histograms,
@@ -25,7 +25,7 @@
     cancelled: Counter,
     requests: Family<AccountLabel, Counter>,
     tokens: Family<AccountLabel, Counter>,
-    accounts: Accounts,
+    accounts: AccountLabels,
 }
 
 /// The upper bounds of the time to first token, in seconds; 1 s is the stated target.
@@ -33,7 +33,7 @@
 /// The upper bounds of the time between tokens, in seconds; 68 ms is the stated target.
 const GAP_BOUNDS: [f64; 8] = [0.005, 0.01, 0.02, 0.04, 0.068, 0.1, 0.25, 1.0];
 
-impl ServiceMeasures {
+impl ServiceMetrics {
     /// Creates the measures and registers them.
     pub fn new(registry: &mut Registry) -> Self {
         let first = || Histogram::new(FIRST_BOUNDS);
@@ -47,7 +47,7 @@
             cancelled: Counter::default(),
             requests: Family::default(),
             tokens: Family::default(),
-            accounts: Accounts::new(),
+            accounts: AccountLabels::new(),
         };
         measures.register(registry);
         measures
@@ -92,7 +92,7 @@
     }
 
     /// Notes a request that was answered completely.
-    pub fn finish(&mut self, served: &Served) {
+    pub fn finish(&mut self, served: &FinishedRequest) {
         let rank = RankLabel::from(served.rank);
         self.finished.get_or_create(&rank).inc();
         if let Some(gap) = served.gap() {
--- a/azureway-entry/src/peer/peer_duty.rs
+++ b/azureway-entry/src/peer/peer_duty.rs
@@ -15,7 +15,7 @@
 use super::{Document, PeerCall, PeerLinks, PeerMessage, PeerRings, PeerService};
 use crate::admit::AdmitMessage;
 use crate::decide::{DecideMessage, PeerUpdate};
-use crate::meter::Measure;
+use crate::meter::MetricEvent;
 
 /// The peer duty: tells the membership what happened and carries out what it wants done.
 ///
@@ -253,7 +253,7 @@
 
     /// Counts the bytes of a heartbeat. A measure that finds the ring full is lost.
     fn count(&self, message: &peer::Heartbeat) {
-        let measure = Measure::Gossip(message.encoded_len());
+        let measure = MetricEvent::Gossip(message.encoded_len());
         let _ = self.rings.meter.try_send(measure);
     }
 }
--- a/azureway-entry/src/peer/peer_rings.rs
+++ b/azureway-entry/src/peer/peer_rings.rs
@@ -6,7 +6,7 @@
 use crate::admit::AdmitMessage;
 use crate::clock::Clock;
 use crate::decide::DecideMessage;
-use crate::meter::Measure;
+use crate::meter::MetricEvent;
 use crate::watch::SelectionNotifier;
 
 /// The rings that the peer duty reaches, and its own.
@@ -21,7 +21,7 @@
     /// To the deciding duty.
     pub decide: Sender<DecideMessage>,
     /// To the measuring duty.
-    pub meter: Sender<Measure>,
+    pub meter: Sender<MetricEvent>,
     /// To the duties of which a few entries of the zone are enough.
     pub selection: SelectionNotifier,
     /// The clock.
--- a/azureway-entry/src/relay/gap_meter.rs
+++ b/azureway-entry/src/relay/gap_meter.rs
@@ -5,7 +5,7 @@
 use azureway_core::prelude::Rank;
 use flume::Sender;
 
-use crate::meter::Measure;
+use crate::meter::MetricEvent;
 
 /// The time between the events of a stream, told to the measuring duty some at a time.
 #[derive(Debug)]
@@ -13,7 +13,7 @@
     rank: Rank,
     last: Option<Instant>,
     gaps: Vec<Duration>,
-    meter: Sender<Measure>,
+    meter: Sender<MetricEvent>,
 }
 
 /// The gaps that are told at once.
@@ -21,7 +21,7 @@
 
 impl GapMeter {
     /// Creates the pace of a stream of `rank` that has not begun.
-    pub const fn new(rank: Rank, meter: Sender<Measure>) -> Self {
+    pub const fn new(rank: Rank, meter: Sender<MetricEvent>) -> Self {
         Self {
             rank,
             last: None,
@@ -45,7 +45,7 @@
     fn tell(&mut self) {
         if !self.gaps.is_empty() {
             let gaps = std::mem::take(&mut self.gaps);
-            let _ = self.meter.try_send(Measure::Gaps(self.rank, gaps));
+            let _ = self.meter.try_send(MetricEvent::TokenGaps(self.rank, gaps));
         }
     }
 }
--- a/azureway-entry/src/relay/relay_launcher.rs
+++ b/azureway-entry/src/relay/relay_launcher.rs
@@ -11,14 +11,14 @@
 use crate::admit::UpstreamRequest;
 use crate::caller::AnswerChunk;
 use crate::decide::DecideMessage;
-use crate::meter::Measure;
+use crate::meter::MetricEvent;
 
 /// Starts a relay for each try. The decisions bound how many there are by the slots of the
 /// backend servers.
 #[derive(Clone, Debug)]
 pub struct RelayLauncher {
     decide: Sender<DecideMessage>,
-    meter: Sender<Measure>,
+    meter: Sender<MetricEvent>,
     bounds: Bounds,
 }
 
@@ -32,7 +32,7 @@
     /// Creates a launcher whose relays report to `decide` and measure to `meter`.
     pub const fn new(
         decide: Sender<DecideMessage>,
-        meter: Sender<Measure>,
+        meter: Sender<MetricEvent>,
         bounds: Bounds,
     ) -> Self {
         Self {
--- a/azureway-entry/tests/meter.rs
+++ b/azureway-entry/tests/meter.rs
@@ -5,26 +5,26 @@
 
 use azureway_core::prelude::*;
 use azureway_entry::decide::{DaemonStatus, DecideMessage, Query};
-use azureway_entry::meter::{ACCOUNTS_MAX, Measure, Meter, RingViews, Served};
+use azureway_entry::meter::{ACCOUNTS_MAX, FinishedRequest, MeterDuty, MetricEvent, RingMonitor};
 use azureway_objects::CallCounter;
 use googletest::prelude::*;
 
 /// Runs the duty over some measures and returns what it writes out.
-fn scrape(measures: Vec<Measure>) -> String {
+fn scrape(measures: Vec<MetricEvent>) -> String {
     let (admit, _at_admit) = flume::bounded(1);
     let (decide, at_decide) = flume::bounded(1);
-    let rings = RingViews {
+    let rings = RingMonitor {
         admit: admit.downgrade(),
         decide: decide.downgrade(),
     };
     let (sender, receiver) = flume::bounded(measures.len() + 1);
     let (reply, text) = flume::bounded(1);
-    for measure in measures.into_iter().chain([Measure::Scrape(reply)]) {
+    for measure in measures.into_iter().chain([MetricEvent::Scrape(reply)]) {
         sender.send(measure).expect("room");
     }
     drop(sender);
     let decider = thread::spawn(move || answer(&at_decide));
-    Meter::new(receiver, rings, CallCounter::default()).run();
+    MeterDuty::new(receiver, rings, CallCounter::default()).run();
     drop(decide);
     decider.join().expect("the deciding duty ends");
     text.recv().expect("an answer")
@@ -53,15 +53,15 @@
     }
 }
 
-fn served(account: &str, streaming: u64) -> Measure {
-    Measure::Finished(Box::new(Served {
+fn served(account: &str, streaming: u64) -> MetricEvent {
+    MetricEvent::Finished(Box::new(FinishedRequest {
         account: AccountId::new(account),
         rank: Rank::Urgent,
         prompt: TokenCount::new(2_000),
         cached: TokenCount::new(1_250),
-        believed: TokenCount::new(1_500),
+        expected_cached: TokenCount::new(1_500),
         output: TokenCount::new(22),
-        streaming: Duration::from_millis(streaming),
+        stream_time: Duration::from_millis(streaming),
     }))
 }
 
@@ -69,16 +69,16 @@
 fn the_metrics_say_what_happened() {
     let id = RequestId::new(1, 1);
     let text = scrape(vec![
-        Measure::Crossed(Duration::from_micros(300)),
-        Measure::Sent(Rank::Urgent, Duration::from_millis(3)),
-        Measure::Started(Rank::Drafting, Duration::from_millis(900)),
+        MetricEvent::RingWait(Duration::from_micros(300)),
+        MetricEvent::Sent(Rank::Urgent, Duration::from_millis(3)),
+        MetricEvent::FirstToken(Rank::Drafting, Duration::from_millis(900)),
         served("wax-desk", 1_050),
         served("wax-desk", 2_100),
-        Measure::Refused(RefusalReason::Overloaded),
-        Measure::Retried,
-        Measure::Cancelled(Attempt::new(id, 1)),
-        Measure::Rejected(ConfigVersion::new(6)),
-        Measure::Configured(ConfigVersion::new(7)),
+        MetricEvent::Refused(RefusalReason::Overloaded),
+        MetricEvent::Retried,
+        MetricEvent::Cancelled(Attempt::new(id, 1)),
+        MetricEvent::Rejected(ConfigVersion::new(6)),
+        MetricEvent::Configured(ConfigVersion::new(7)),
     ]);
     let expected = include_str!("../testdata/metrics.txt").lines().skip(1);
     for line in expected {
@@ -89,8 +89,8 @@
 #[gtest]
 fn a_newer_bad_version_shows() {
     let text = scrape(vec![
-        Measure::Configured(ConfigVersion::new(7)),
-        Measure::Rejected(ConfigVersion::new(9)),
+        MetricEvent::Configured(ConfigVersion::new(7)),
+        MetricEvent::Rejected(ConfigVersion::new(9)),
     ]);
     expect_that!(text, contains_substring("azureway_config_version 7\n"));
     expect_that!(
