--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -152,7 +152,8 @@
         self.tell(word.event());
         if let PeerUpdate::HeartbeatRound(_) = word {
             let me = self.peers.me().clone();
-            self.peers.demand(self.router.demand(me, self.clock.now()));
+            self.peers
+                .send_demand(self.router.demand(me, self.clock.now()));
         }
     }
 
@@ -233,8 +234,8 @@
                     self.launcher.cancel(attempt);
                     self.measure(MetricEvent::Cancelled(attempt));
                 }
-                Action::BroadcastServer(news) => self.peers.server(news),
-                Action::BroadcastStrike(strike) => self.peers.strike(strike),
+                Action::BroadcastServer(news) => self.peers.send_server(news),
+                Action::BroadcastStrike(strike) => self.peers.send_strike(strike),
                 Action::Resync(server) => self.readers.resync(&server),
             }
         }
--- a/azureway-entry/src/peer/peer_call.rs
+++ b/azureway-entry/src/peer/peer_call.rs
@@ -34,10 +34,10 @@
             (first, _) => first,
         };
         let message = match answer.map_err(|e| self.error(&e)).and_then(|a| read(&a)) {
-            Ok(beat) => PeerMessage::Answered(Box::new(beat)),
+            Ok(beat) => PeerMessage::Reply(Box::new(beat)),
             Err(e) => {
                 log::debug!(step = e.step().as_str(), peer:% = self.peer.id, error:% = e; "no answer");
-                PeerMessage::Missed(self.peer.id.clone())
+                PeerMessage::Timeout(self.peer.id.clone())
             }
         };
         let _ = self.messages.send_async(message).await;
@@ -56,10 +56,10 @@
                 let version = ConfigVersion::new(reply.version);
                 PeerMessage::Fetched(self.peer.id.clone(), Document::new(version, &reply.text))
             }
-            Ok(_) => PeerMessage::Unserved(self.peer.id.clone()),
+            Ok(_) => PeerMessage::FetchFailed(self.peer.id.clone()),
             Err(e) => {
                 log::debug!(step = "fetch document", peer:% = self.peer.id, error:% = e; "no document");
-                PeerMessage::Unserved(self.peer.id.clone())
+                PeerMessage::FetchFailed(self.peer.id.clone())
             }
         };
         let _ = self.messages.send_async(message).await;
--- a/azureway-entry/src/peer/peer_client.rs
+++ b/azureway-entry/src/peer/peer_client.rs
@@ -25,17 +25,17 @@
     }
 
     /// Tells what client accounts ask for here.
-    pub fn demand(&self, demand: Demand) {
+    pub fn send_demand(&self, demand: Demand) {
         let _ = self.peer.try_send(PeerMessage::Demand(demand));
     }
 
     /// Tells of a backend server.
-    pub fn server(&self, news: ServerUpdate) {
+    pub fn send_server(&self, news: ServerUpdate) {
         let _ = self.peer.try_send(PeerMessage::Server(news));
     }
 
     /// Tells of a strike.
-    pub fn strike(&self, strike: Strike) {
+    pub fn send_strike(&self, strike: Strike) {
         let _ = self.peer.try_send(PeerMessage::Strike(strike));
     }
 }
--- a/azureway-entry/src/peer/peer_duty.rs
+++ b/azureway-entry/src/peer/peer_duty.rs
@@ -94,7 +94,7 @@
     async fn take(&mut self, message: Option<PeerMessage>) {
         match message {
             None | Some(PeerMessage::Stop) => self.tell(PeerEvent::Tick).await,
-            Some(PeerMessage::Adopted(document)) => self.note_document(document).await,
+            Some(PeerMessage::Configured(document)) => self.note_document(document).await,
             Some(PeerMessage::Listed(list)) => self.tell(PeerEvent::Listed(&list)).await,
             Some(PeerMessage::Demand(demand)) => self.tell(PeerEvent::Demand(&demand)).await,
             Some(PeerMessage::Strike(strike)) => self.tell(PeerEvent::Strike(&strike)).await,
@@ -104,18 +104,18 @@
                 self.decide(DecideMessage::Peer(PeerUpdate::Loading(loading)))
                     .await;
             }
-            Some(PeerMessage::Heard(beat, reply)) => self.answer(&beat, &reply).await,
-            Some(PeerMessage::Asked(known, reply)) => {
+            Some(PeerMessage::Heartbeat(beat, reply)) => self.answer(&beat, &reply).await,
+            Some(PeerMessage::FetchRequest(known, reply)) => {
                 let newer = self.document.as_ref().filter(|d| d.version > known);
                 let _ = reply.try_send(newer.cloned());
             }
-            Some(PeerMessage::Answered(beat)) => self.tell(PeerEvent::Reply(&beat)).await,
-            Some(PeerMessage::Missed(peer)) => {
+            Some(PeerMessage::Reply(beat)) => self.tell(PeerEvent::Reply(&beat)).await,
+            Some(PeerMessage::Timeout(peer)) => {
                 self.links.drop_link(&peer);
                 self.tell(PeerEvent::Timeout(&peer)).await;
             }
             Some(PeerMessage::Fetched(peer, document)) => self.fetched(&peer, document).await,
-            Some(PeerMessage::Unserved(peer)) => self.tell(PeerEvent::FetchFailed(&peer)).await,
+            Some(PeerMessage::FetchFailed(peer)) => self.tell(PeerEvent::FetchFailed(&peer)).await,
             Some(PeerMessage::Leave) => self.tell(PeerEvent::Leaving).await,
         }
     }
--- a/azureway-entry/src/peer/peer_message.rs
+++ b/azureway-entry/src/peer/peer_message.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub enum PeerMessage {
     /// A document that the platform holds is in force.
-    Adopted(Document),
+    Configured(Document),
     /// The platform lists these entry instances.
     Listed(Vec<Instance>),
     /// What client accounts ask of this entry.
@@ -23,17 +23,17 @@
     /// This entry found something that speaks against a backend server.
     Server(ServerUpdate),
     /// A peer sent a heartbeat; the answer goes into the ring.
-    Heard(Box<Heartbeat>, Sender<Heartbeat>),
+    Heartbeat(Box<Heartbeat>, Sender<Heartbeat>),
     /// A peer asked for a document newer than a version; it goes into the ring.
-    Asked(ConfigVersion, Sender<Option<Document>>),
+    FetchRequest(ConfigVersion, Sender<Option<Document>>),
     /// A peer answered a heartbeat.
-    Answered(Box<Heartbeat>),
+    Reply(Box<Heartbeat>),
     /// A peer did not answer a heartbeat.
-    Missed(InstanceId),
+    Timeout(InstanceId),
     /// A peer gave its document.
     Fetched(InstanceId, Document),
     /// A peer was asked for its document and gave none.
-    Unserved(InstanceId),
+    FetchFailed(InstanceId),
     /// The daemon shuts down: peers are told.
     Leave,
     /// The daemon stops.
--- a/azureway-entry/src/peer/peer_service.rs
+++ b/azureway-entry/src/peer/peer_service.rs
@@ -38,7 +38,9 @@
         let beat = Heartbeat::try_from(request.get_ref());
         let beat = beat.map_err(|e| Status::invalid_argument(e.to_string()))?;
         let beat = Box::new(beat);
-        let answer = self.ask(|reply| PeerMessage::Heard(beat, reply)).await?;
+        let answer = self
+            .ask(|reply| PeerMessage::Heartbeat(beat, reply))
+            .await?;
         Ok(Response::new((&answer).into()))
     }
 
@@ -47,7 +49,9 @@
         request: Request<peer::FetchRequest>,
     ) -> Result<Response<peer::FetchReply>, Status> {
         let known = ConfigVersion::new(request.get_ref().newer_than);
-        let document = self.ask(|reply| PeerMessage::Asked(known, reply)).await?;
+        let document = self
+            .ask(|reply| PeerMessage::FetchRequest(known, reply))
+            .await?;
         let reply = document.map_or_else(peer::FetchReply::default, |d| peer::FetchReply {
             version: d.version.get(),
             text: d.text.as_ref().to_owned(),
--- a/azureway-entry/src/watch/config_watcher.rs
+++ b/azureway-entry/src/watch/config_watcher.rs
@@ -153,7 +153,7 @@
             .admit
             .send(AdmitMessage::Configured(Arc::clone(&fleet)));
         let _ = self.decide.send(DecideMessage::Configured(fleet));
-        let _ = self.peer.send(PeerMessage::Adopted(document));
+        let _ = self.peer.send(PeerMessage::Configured(document));
     }
 
     fn reject(&mut self, object: &ObjectBody, faults: &Faults) {
--- a/azureway-entry/tests/watch.rs
+++ b/azureway-entry/tests/watch.rs
@@ -97,7 +97,7 @@
     let mut passed = Vec::new();
     for note in documents.drain() {
         match note {
-            PeerMessage::Adopted(document) => passed.push(document.version.to_string()),
+            PeerMessage::Configured(document) => passed.push(document.version.to_string()),
             PeerMessage::Listed(list) => assert_eq!(list, []),
             other => panic!("unexpected {other:?}"),
         }
