--- a/azureway-entry/src/admin/admin_duty.rs
+++ b/azureway-entry/src/admin/admin_duty.rs
@@ -78,7 +78,7 @@
 
     fn drain(&self) -> Result<serde_json::Value, AdminError> {
         // A second request finds the ring full, and the daemon drains already.
-        if let Err(TrySendError::Disconnected(())) = self.handles.stopper.try_send(()) {
+        if let Err(TrySendError::Disconnected(())) = self.handles.shutdown.try_send(()) {
             return Err(AdminError::Embedded);
         }
         log::info!(step = "admin"; "an operator drains this instance");
@@ -86,7 +86,7 @@
     }
 
     fn is_allowed(&self, request: &Request) -> bool {
-        let Some(operator) = &self.handles.operator else {
+        let Some(operator) = &self.handles.operator_key else {
             return true;
         };
         let headers = request.headers().iter();
--- a/azureway-entry/src/admin/handles.rs
+++ b/azureway-entry/src/admin/admin_handles.rs
@@ -15,13 +15,13 @@
     /// The availability zone.
     pub zone: ZoneId,
     /// The digest of the operators' key, if one is asked for.
-    pub operator: Option<KeyHash>,
+    pub operator_key: Option<KeyHash>,
     /// The admitting duty.
     pub admit: Sender<AdmitMessage>,
     /// The deciding duty.
     pub decide: Sender<DecideMessage>,
     /// Told when the daemon is to shut down.
-    pub stopper: Sender<()>,
+    pub shutdown: Sender<()>,
     /// The identities of requests.
     pub ids: RequestIds,
     /// The clock.
--- a/azureway-entry/src/admin/mod.rs
+++ b/azureway-entry/src/admin/mod.rs
@@ -5,10 +5,10 @@
 
 mod admin_duty;
 mod admin_error;
+mod admin_handles;
 mod explainer;
-mod handles;
 
 pub use admin_duty::AdminDuty;
 pub use admin_error::AdminError;
+pub use admin_handles::AdminHandles;
 pub use explainer::Explainer;
-pub use handles::AdminHandles;
--- a/azureway-entry/src/claim/claimer.rs
+++ b/azureway-entry/src/claim/claimer.rs
@@ -120,7 +120,7 @@
         record: &ClaimRecord,
         expected: u64,
     ) -> Result<ClaimReply, Error> {
-        let body = ClaimBody::new(record, Clock::unix());
+        let body = ClaimBody::new(record, Clock::unix_seconds());
         let value = serde_json::to_string(&body)
             .map_err(|e| Error::new(ErrorKind::Invalid, Step::new("write claim"), e))?;
         let put = Put {
--- a/azureway-entry/src/clock.rs
+++ b/azureway-entry/src/clock.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the time of day, in seconds of the Unix epoch. Only the age of claims uses it.
-    pub fn unix() -> u64 {
+    pub fn unix_seconds() -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         since.map_or(0, |t| t.as_secs())
     }
--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -185,10 +185,10 @@
         ids: ids.clone(),
         instance: settings.instance.clone(),
         zone: settings.zone.clone(),
-        operator: settings.operator,
+        operator_key: settings.operator,
         admit: rings.admit.clone(),
         decide: rings.decide.clone(),
-        stopper,
+        shutdown: stopper,
         clock: rings.clock,
     };
     let duty = AdminDuty::new(settings.admin, handles)?;
--- a/azureway-entry/src/logs/mod.rs
+++ b/azureway-entry/src/logs/mod.rs
@@ -4,11 +4,11 @@
 //! [`LogWriter`] writes them to standard output. What finds no room is counted, and the count is
 //! written as a line of its own.
 
-mod end;
+mod flusher;
 mod ring;
 mod writer;
 
-pub use end::LogEnd;
+pub use flusher::LogFlusher;
 pub use ring::LogRing;
 pub use writer::LogWriter;
 
@@ -18,7 +18,7 @@
 /// # Errors
 ///
 /// Returns an error if the system has no thread for the writer.
-pub fn start(level: &str) -> Result<LogEnd, azureway_core::prelude::Error> {
+pub fn start(level: &str) -> Result<LogFlusher, azureway_core::prelude::Error> {
     let (ring, writer, end) = LogRing::new();
     crate::daemon::spawn("logs", move || writer.run(&mut std::io::stdout()))?;
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(level))
--- a/azureway-entry/src/logs/ring.rs
+++ b/azureway-entry/src/logs/ring.rs
@@ -7,7 +7,7 @@
 
 use flume::Sender;
 
-use super::{LogEnd, LogWriter};
+use super::{LogFlusher, LogWriter};
 
 /// The side of the logs that duties write to. A line that is too much is dropped and counted.
 #[derive(Debug)]
@@ -28,12 +28,12 @@
 
 impl LogRing {
     /// Creates the ring, the duty that empties it, and the end of both.
-    pub fn new() -> (Self, LogWriter, LogEnd) {
+    pub fn new() -> (Self, LogWriter, LogFlusher) {
         let (lines, written) = flume::bounded(RING_SIZE);
         let dropped = Arc::new(AtomicU64::new(0));
         let (done, last) = flume::bounded(1);
         let writer = LogWriter::new(written, Arc::clone(&dropped), done);
-        let end = LogEnd::new(lines.clone(), last);
+        let end = LogFlusher::new(lines.clone(), last);
         let ring = Self {
             lines,
             dropped,
--- a/azureway-entry/src/main.rs
+++ b/azureway-entry/src/main.rs
@@ -16,12 +16,12 @@
 fn main() -> Result<()> {
     let logs = logs::start("info")?;
     let result = run(&program::command("azureway-entry", ABOUT).get_matches());
-    logs.finish();
+    logs.flush();
     result
 }
 
 fn run(matches: &ArgMatches) -> Result<()> {
-    let settings = program::read(matches)?;
+    let settings = program::read_settings(matches)?;
     if program::is_check(matches)? {
         return Ok(());
     }
--- a/azureway-entry/src/order/orderer.rs
+++ b/azureway-entry/src/order/orderer.rs
@@ -141,7 +141,7 @@
     fn sweep(&mut self, now: Timestamp) -> Option<Timestamp> {
         self.lease.fencing_number(now, false)?;
         let sweeper = self.sweeper.as_mut()?;
-        sweeper.step(now, Clock::unix());
+        sweeper.step(now, Clock::unix_seconds());
         Some(sweeper.due())
     }
 
--- a/azureway-entry/src/program.rs
+++ b/azureway-entry/src/program.rs
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// Returns an error if the file cannot be read, or every fault of its text.
-pub fn read(matches: &ArgMatches) -> Result<EntrySettings> {
+pub fn read_settings(matches: &ArgMatches) -> Result<EntrySettings> {
     let path = path(matches)?;
     let text = fs::read_to_string(path).with_context(|| format!("read settings {path}"))?;
     settings::parse(&text).with_context(|| format!("check settings {path}"))
--- a/azureway-entry/tests/logs.rs
+++ b/azureway-entry/tests/logs.rs
@@ -46,7 +46,7 @@
         out
     });
     ring.write_all(b"last\n").expect("a ring takes every line");
-    end.finish();
+    end.flush();
     drop(ring);
     let out = thread.join().expect("the writer ends");
     expect_that!(out, eq(&b"last\n".to_vec()));
