--- a/azureway-entry/tests/gateway.rs
+++ b/azureway-entry/tests/gateway.rs
@@ -8,24 +8,24 @@
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
-use support::{GUARD, Server, SiteBench, read_answer};
+use support::{GUARD, Server, SiteFixture, read_answer};
 
-fn get(bench: &SiteBench, head: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(bench.address()).expect("a connection");
+fn get(fixture: &SiteFixture, head: &str) -> TcpStream {
+    let mut stream = TcpStream::connect(fixture.address()).expect("a connection");
     stream.set_read_timeout(Some(GUARD)).expect("a guard");
     stream.write_all(head.as_bytes()).expect("sent");
     stream
 }
 
-fn ask(bench: &SiteBench, head: &str) -> String {
-    read_answer(&mut get(bench, head))
+fn ask(fixture: &SiteFixture, head: &str) -> String {
+    read_answer(&mut get(fixture, head))
 }
 
 #[gtest]
 fn one_connection_carries_many_requests() {
     let server = Server::start(|_, stream| support::answer(stream, "ok"));
-    let bench = SiteBench::start(Some(&server));
-    let mut stream = get(&bench, "");
+    let fixture = SiteFixture::start(Some(&server));
+    let mut stream = get(&fixture, "");
     for number in 0..3 {
         let head = format!("GET /safe/{number} HTTP/1.1\r\nhost: one\r\n\r\n");
         stream.write_all(head.as_bytes()).expect("sent");
@@ -46,11 +46,11 @@
         let _ = seen.send(request.to_owned());
         support::answer(stream, "ok");
     });
-    let bench = SiteBench::start(Some(&server));
+    let fixture = SiteFixture::start(Some(&server));
     let sized = "POST /safe/x HTTP/1.1\r\nhost: one\r\ncontent-length: 4\r\n\r\nbody";
     let chunks = "POST /safe/x HTTP/1.1\r\nhost: one\r\ntransfer-encoding: chunked\r\n\r\n\
                   2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n";
-    let mut stream = get(&bench, sized);
+    let mut stream = get(&fixture, sized);
     read_answer(&mut stream);
     stream.write_all(chunks.as_bytes()).expect("sent");
     read_answer(&mut stream);
@@ -69,7 +69,7 @@
 #[gtest]
 fn what_cannot_be_routed_is_refused_as_what_it_is() {
     let server = Server::start(|_, stream| support::answer(stream, "ok"));
-    let bench = SiteBench::start(Some(&server));
+    let fixture = SiteFixture::start(Some(&server));
     let rows = [
         ("GET /none HTTP/1.1\r\nhost: one\r\n\r\n", "404 Not Found"),
         ("GET /safe/ HTTP/1.1\r\nhost: two\r\n\r\n", "404 Not Found"),
@@ -101,7 +101,7 @@
         ),
     ];
     for (request, status) in rows {
-        let answer = ask(&bench, request);
+        let answer = ask(&fixture, request);
         let expected = format!("HTTP/1.1 {status}\r\n");
         expect_that!(answer, starts_with(expected), "{request}");
     }
@@ -109,14 +109,14 @@
 
 #[gtest]
 fn an_entry_without_a_configuration_says_that_nothing_has_run() {
-    let bench = SiteBench::start(None);
-    let answer = ask(&bench, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
+    let fixture = SiteFixture::start(None);
+    let answer = ask(&fixture, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
     expect_that!(answer.as_str(), starts_with("HTTP/1.1 503 "));
     expect_that!(
         answer.as_str(),
         contains_substring("\r\nretry-after: 1.000\r\n")
     );
-    expect_that!(bench.ready(), eq(503));
+    expect_that!(fixture.ready(), eq(503));
 }
 
 #[gtest]
@@ -128,8 +128,8 @@
         let _ = stream.write_all(b"f\r\nid: 0\ndata: a\n\n\r\n");
         let _ = stream.shutdown(Shutdown::Both);
     });
-    let bench = SiteBench::start(Some(&server));
-    let mut stream = get(&bench, "POST /once/ HTTP/1.1\r\nhost: one\r\n\r\n");
+    let fixture = SiteFixture::start(Some(&server));
+    let mut stream = get(&fixture, "POST /once/ HTTP/1.1\r\nhost: one\r\n\r\n");
     let mut text = Vec::new();
     // The caller may see the end as a close or as a reset.
     let _ = stream.read_to_end(&mut text);
@@ -144,10 +144,10 @@
         let answer = "HTTP/1.1 500 Oops\r\nx-sign: 7\r\ncontent-length: 3\r\n\r\nbad";
         let _ = stream.write_all(answer.as_bytes());
     });
-    let bench = SiteBench::start(Some(&server));
+    let fixture = SiteFixture::start(Some(&server));
     for path in ["/safe/", "/once/"] {
         let answer = ask(
-            &bench,
+            &fixture,
             &format!("POST {path} HTTP/1.1\r\nhost: one\r\n\r\n"),
         );
         expect_that!(answer.as_str(), starts_with("HTTP/1.1 500 Oops\r\n"));
@@ -163,8 +163,8 @@
         // The entry sends nothing more, so the read ends with its close.
         let _ = seen.send(stream.read(&mut [0]).unwrap_or(0));
     });
-    let bench = SiteBench::start(Some(&server));
-    let stream = get(&bench, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
+    let fixture = SiteFixture::start(Some(&server));
+    let stream = get(&fixture, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
     server.wait_request();
     drop(stream);
     expect_that!(closed.recv_timeout(GUARD), ok(eq(0)));
@@ -173,10 +173,10 @@
 #[gtest]
 fn a_request_is_given_up_when_its_time_has_passed() {
     let server = Server::start(|_, stream| drop(stream.read(&mut [0])));
-    let bench = SiteBench::start(Some(&server));
+    let fixture = SiteFixture::start(Some(&server));
     let began = Instant::now();
     let answer = ask(
-        &bench,
+        &fixture,
         "POST /once/ HTTP/1.1\r\nhost: one\r\nx-wait: 300\r\n\r\n",
     );
     expect_that!(answer.as_str(), starts_with("HTTP/1.1 504 "));
@@ -190,12 +190,12 @@
         let _ = gone.recv();
         support::answer(stream, "late");
     });
-    let bench = SiteBench::start(Some(&server));
-    expect_that!(bench.ready(), eq(200));
-    let mut running = get(&bench, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
+    let fixture = SiteFixture::start(Some(&server));
+    expect_that!(fixture.ready(), eq(200));
+    let mut running = get(&fixture, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
     server.wait_request();
-    let ready = bench.ready_address();
-    let drained = bench.drain();
+    let ready = fixture.ready_address();
+    let drained = fixture.drain();
     while support::status(ready) != 503 {
         thread::yield_now();
     }
@@ -217,8 +217,8 @@
 #[gtest]
 fn a_leaving_entry_sends_latecomers_elsewhere() {
     let server = Server::start(|_, stream| support::answer(stream, "ok"));
-    let bench = SiteBench::start(Some(&server));
-    let drained = bench.drain();
+    let fixture = SiteFixture::start(Some(&server));
+    let drained = fixture.drain();
     let refused = loop {
         let stream = TcpStream::connect(drained.address);
         let mut stream = stream.expect("a connection until the end");
@@ -244,7 +244,7 @@
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address");
     expect_that!(
-        SiteBench::start_on(address),
+        SiteFixture::start_on(address),
         err(contains_substring("listen for callers"))
     );
 }
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -226,21 +226,21 @@
 }
 
 /// A whole entry of a site, with its platform.
-pub struct SiteBench {
+pub struct SiteFixture {
     gateway: Gateway,
     ready: SocketAddr,
     _platform: StandIn,
 }
 
 /// An entry that drains.
-pub struct Drained {
+pub struct DrainingSite {
     /// The address that callers reach.
     pub address: SocketAddr,
     /// Ends with the drain.
     pub thread: JoinHandle<()>,
 }
 
-impl SiteBench {
+impl SiteFixture {
     /// Starts an entry and waits until it serves. Without a server there is no configuration.
     pub fn start(server: Option<&Server>) -> Self {
         let platform = Arc::new(Platform::new());
@@ -249,11 +249,11 @@
             platform.seed("document", "main", "");
         }
         let any = "127.0.0.1:0".parse().expect("an address");
-        let bench = Self::start_with(platform, any).expect("the entry starts");
-        while server.is_some() && bench.ready() != 200 {
+        let fixture = Self::start_with(platform, any).expect("the entry starts");
+        while server.is_some() && fixture.ready() != 200 {
             thread::yield_now();
         }
-        bench
+        fixture
     }
 
     /// Starts an entry for callers at `address`. Returns the error's text if it fails.
@@ -304,9 +304,9 @@
     }
 
     /// Lets the entry drain.
-    pub fn drain(self) -> Drained {
+    pub fn drain(self) -> DrainingSite {
         let address = self.address();
         let thread = thread::spawn(move || self.gateway.drain());
-        Drained { address, thread }
+        DrainingSite { address, thread }
     }
 }
