--- a/azureway-entry/src/exchange/answer_head.rs
+++ b/azureway-entry/src/exchange/answer_head.rs
@@ -1,28 +1,28 @@
-//! The head of a backend server's answer.
+//! The status line and headers of a backend server's answer.
 
-/// The head of a backend server's answer.
+/// The status line and headers of a backend server's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The reason phrase.
     pub reason: Box<str>,
-    /// The headers in order; names are kept as they came.
+    /// The headers in the order received, with the case of their names kept.
     pub headers: Vec<(Box<str>, Box<str>)>,
 }
 
-/// The headers of an answer at most.
-const HEADERS_MAX: usize = 64;
+/// The largest number of headers in an answer.
+const MAX_HEADERS: usize = 64;
 
 impl AnswerHead {
-    /// Reads a head from the start of `bytes`. Returns it with its length, or `None` if it is
-    /// not complete yet.
+    /// Parses a head from the start of `bytes`. Returns it with its length in bytes, or `None` if
+    /// it is incomplete.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are no head of an HTTP/1.1 answer.
+    /// Returns an error if the bytes are not the head of an HTTP/1.1 answer.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, httparse::Error> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut answer = httparse::Response::new(&mut headers);
         let httparse::Status::Complete(length) = answer.parse(bytes)? else {
             return Ok(None);
@@ -40,27 +40,27 @@
         Ok(Some((head, length)))
     }
 
-    /// Returns the first value of a header, whatever the case of its name.
+    /// Returns the first value of a header, ignoring the case of its name.
     pub fn get(&self, name: &str) -> Option<&str> {
-        let named = self
+        let header = self
             .headers
             .iter()
             .find(|(n, _)| n.eq_ignore_ascii_case(name));
-        named.map(|(_, value)| value.as_ref())
+        header.map(|(_, value)| value.as_ref())
     }
 
-    /// Tells whether the answer is a success.
+    /// Returns whether the status is a success (2xx).
     pub const fn is_success(&self) -> bool {
         self.status >= 200 && self.status < 300
     }
 
-    /// Tells whether the answer is a stream of events.
+    /// Returns whether the body is a stream of server-sent events.
     pub fn is_event_stream(&self) -> bool {
         let media = self.get("content-type").unwrap_or_default();
         media.starts_with("text/event-stream")
     }
 
-    /// Tells whether the server closes the connection after the answer.
+    /// Returns whether the server closes the connection after the answer.
     pub fn closes_connection(&self) -> bool {
         let connection = self.get("connection").unwrap_or_default();
         connection.eq_ignore_ascii_case("close")
--- a/azureway-entry/src/exchange/answer_metadata.rs
+++ b/azureway-entry/src/exchange/answer_metadata.rs
@@ -1,20 +1,20 @@
-//! What an answer says beside its body.
+//! The metadata of an answer.
 
 use azureway_core::prelude::WeightsVersion;
 
-/// What an answer says beside its body, read from a site's own headers.
+/// The metadata of an answer, read from the site's own headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerMetadata<'a> {
-    /// The caller's attempt that the answer is for, where it names one.
+    /// The caller's attempt ID that the answer names, if any.
     pub attempt_id: Option<&'a str>,
-    /// Whether the server vouches for the body.
+    /// Whether the answer carries the server's signature.
     pub signed: bool,
-    /// Whether the server says that it did not run the request.
+    /// Whether the server states that it did not run the request.
     pub rejected: bool,
-    /// Whether the server is another one, or has other weights, than was expected.
+    /// Whether the server or its weights differ from what the request expected.
     pub mismatch: bool,
-    /// The requests that the server runs and that wait in it.
+    /// The number of requests running and queued at the server.
     pub load: Option<(u32, u32)>,
-    /// The weights that the server answers with.
+    /// The version of the weights that the server answers with.
     pub weights: Option<WeightsVersion>,
 }
--- a/azureway-entry/src/exchange/backend_dialect.rs
+++ b/azureway-entry/src/exchange/backend_dialect.rs
@@ -1,4 +1,4 @@
-//! How a site's backend servers are spoken to.
+//! The request and answer headers of a site's backend servers.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use super::{AnswerHead, AnswerMetadata};
 use crate::admit::UpstreamRequest;
 
-/// How a site's backend servers spell what a try tells them and what their answers say.
+/// The site's own headers in requests to backend servers and in their answers.
 pub trait BackendDialect: Clone + Send + 'static {
-    /// Appends the headers that a try sets, each as a line. The caller waits for `left`.
+    /// Appends the headers of an attempt to `out`, one a line. The caller waits for `left`.
     fn write_headers(
         &self,
-        order: &Dispatch,
+        dispatch: &Dispatch,
         upstream: &UpstreamRequest,
         left: Duration,
         out: &mut String,
     );
 
-    /// Reads what an answer says beside its body.
+    /// Reads the metadata of an answer.
     fn read<'a>(&self, head: &'a AnswerHead) -> AnswerMetadata<'a>;
 }
--- a/azureway-entry/src/exchange/body_stream.rs
+++ b/azureway-entry/src/exchange/body_stream.rs
@@ -1,4 +1,4 @@
-//! Reading the body of an answer.
+//! A reader of an answer's body.
 
 use std::io::{self, BufReader, Read, Take};
 use std::net::TcpStream;
@@ -7,19 +7,19 @@
 
 use super::{EofAsError, Framing};
 
-/// The body of an answer, read as it comes. Its end is `Ok(0)`; a body that breaks off before
-/// its end is an error.
+/// A reader of an answer's body as it arrives. It returns `Ok(0)` at the end of the body; a body
+/// that is cut short is an error.
 pub enum BodyStream<'a> {
-    /// The rest of a body with a length.
+    /// A body with a known length.
     Sized(Take<EofAsError<&'a mut BufReader<TcpStream>>>),
-    /// A body in chunks.
+    /// A body in chunked transfer coding.
     Chunked(Box<Decoder<EofAsError<&'a mut BufReader<TcpStream>>>>),
-    /// A body that ends with the connection.
+    /// A body that ends when the connection closes.
     Closing(&'a mut BufReader<TcpStream>),
 }
 
 impl<'a> BodyStream<'a> {
-    /// Creates the reader of the body that follows on a connection.
+    /// Creates a reader of the body that follows in `reader`.
     pub fn new(framing: Framing, reader: &'a mut BufReader<TcpStream>) -> Self {
         match framing {
             Framing::Sized(length) => Self::Sized(EofAsError(reader).take(length)),
--- a/azureway-entry/src/exchange/cancel_handle.rs
+++ b/azureway-entry/src/exchange/cancel_handle.rs
@@ -1,52 +1,54 @@
-//! Stopping a try from outside.
+//! Cancelling an attempt from another thread.
 
 use std::io;
 use std::net::{Shutdown, TcpStream};
 use std::sync::{Mutex, PoisonError};
 
-/// The side of a try that others hold: it stops the try by closing its connection, which
-/// wakes the thread that reads it.
+/// Cancels an attempt from another thread by closing its connection, which wakes the thread that
+/// reads from it.
 #[derive(Debug, Default)]
 pub struct CancelHandle {
+    /// Whether the attempt was cancelled, and the connection that it uses.
     state: Mutex<(bool, Option<TcpStream>)>,
 }
 
 impl CancelHandle {
-    /// Creates the handle of a try that has no connection yet.
+    /// Creates the handle of an attempt without a connection.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes the connection that the try uses. Returns whether the try still runs.
+    /// Stores the connection that the attempt uses. Returns `false` if the attempt was cancelled.
     ///
     /// # Errors
     ///
-    /// Returns an error if the system has no descriptor for a second handle of the socket.
+    /// Returns an error if the socket cannot be duplicated.
     pub fn attach(&self, stream: &TcpStream) -> io::Result<bool> {
-        let twin = stream.try_clone()?;
+        let duplicate = stream.try_clone()?;
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.1 = Some(twin);
+        state.1 = Some(duplicate);
         Ok(!state.0)
     }
 
-    /// Lets go of the connection, which then is the pool's. Returns whether the try still ran.
+    /// Removes the connection from the handle, so that it can return to the pool. Returns `false`
+    /// if the attempt was cancelled.
     pub fn detach(&self) -> bool {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.1 = None;
         !state.0
     }
 
-    /// Stops the try.
+    /// Cancels the attempt.
     pub fn cancel(&self) {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.0 = true;
         if let Some(stream) = state.1.take() {
-            // A connection that is closed already needs nothing.
+            // An error means that the connection is closed already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Tells whether the try was stopped.
+    /// Returns whether the attempt was cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.state.lock().unwrap_or_else(PoisonError::into_inner).0
     }
--- a/azureway-entry/src/exchange/eof_as_error.rs
+++ b/azureway-entry/src/exchange/eof_as_error.rs
@@ -1,9 +1,9 @@
-//! A reader for which the end of the connection is an error.
+//! A reader that reports the end of its source as an error.
 
 use std::io::{self, Read};
 
-/// A reader for which the end of the connection is an error, as it is within a body whose end
-/// is marked.
+/// A reader that reports the end of its source as an error, for bodies that end before the
+/// connection does.
 #[derive(Debug)]
 pub struct EofAsError<R>(pub R);
 
--- a/azureway-entry/src/exchange/exchange_attempt.rs
+++ b/azureway-entry/src/exchange/exchange_attempt.rs
@@ -1,4 +1,4 @@
-//! One try at a backend server.
+//! One attempt at a request whose bytes are forwarded unchanged.
 
 use std::io::{self, Read};
 use std::sync::Arc;
@@ -17,44 +17,44 @@
 use crate::decide::DecideMessage;
 use crate::relay::AttemptError;
 
-/// One try at a backend server: sends the request as it came and passes the answer on.
+/// One attempt at a request: sends it unchanged to a backend server and forwards the answer.
 #[derive(Debug)]
 pub struct ExchangeAttempt<D> {
-    /// What is to be sent where.
+    /// The routing decision: the server and the state of the request.
     pub dispatch: Dispatch,
-    /// The request's bytes.
+    /// The request to send.
     pub upstream: Arc<UpstreamRequest>,
-    /// The ring to the caller's connection.
+    /// The ring of answer chunks to the caller's connection.
     pub chunks: Sender<AnswerChunk>,
-    /// The deciding duty.
+    /// The ring to the deciding duty.
     pub decide: Sender<DecideMessage>,
-    /// How the backend server is spoken to.
+    /// The headers of the site's backend servers.
     pub dialect: D,
-    /// The connections that wait for a request.
+    /// The idle connections to backend servers.
     pub pool: ConnectionPool,
-    /// The side of the try that others hold.
+    /// The handle through which the attempt is cancelled.
     pub handle: Arc<CancelHandle>,
-    /// The time in which a connection must be made.
+    /// The time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// The clock.
+    /// The clock that the deadline refers to.
     pub clock: Clock,
-    /// The position of the next event that the caller has not got.
+    /// The position of the next event that the caller has not received.
     pub next_position: StreamPosition,
-    /// The events that were passed on.
+    /// The number of events forwarded, counted as output tokens.
     pub output: TokenCount,
 }
 
-/// The bytes of a whole answer at most.
-const WHOLE_MAX: u64 = 16 * 1024 * 1024;
-/// The bytes of a stream that are read at once.
+/// The largest body of an answer that is not streamed, in bytes.
+const MAX_BODY_SIZE: u64 = 16 * 1024 * 1024;
+/// The size of the buffer for reads from a stream, in bytes.
 const READ_SIZE: usize = 16 * 1024;
 
 impl<D: BackendDialect> ExchangeAttempt<D> {
-    /// Runs the try and reports how it ended.
+    /// Runs the attempt and reports its outcome to the deciding duty.
     pub fn run(mut self) {
         let attempt = self.dispatch.attempt;
         let result = match self.upstream.passthrough.clone() {
-            Some(passthrough) => self.serve(&passthrough),
+            Some(passthrough) => self.exchange(&passthrough),
             None => Err(AttemptError::Server(FailureKind::Faulty, SendState::Unsent)),
         };
         let message = match result {
@@ -63,18 +63,19 @@
                 cached: TokenCount::ZERO,
                 output: self.output,
             }),
-            // Whoever stopped the try, or the connection itself, has reported it.
+            // The caller's connection, or whoever cancelled the attempt, has reported this.
             Err(_) if self.handle.is_cancelled() => return,
             Err(AttemptError::CallerDisconnected) => return,
-            Err(AttemptError::Server(kind, sent)) => self.failure(kind, sent),
+            Err(AttemptError::Server(kind, sent)) => self.failure_message(kind, sent),
         };
-        // Only a deciding duty that has ended takes no message.
+        // The send fails only if the deciding duty has ended.
         let _ = self.decide.send(message);
     }
 
-    fn failure(&self, kind: FailureKind, sent: SendState) -> DecideMessage {
+    /// Returns the report of a failure and drops idle connections that it likely affects.
+    fn failure_message(&self, kind: FailureKind, sent: SendState) -> DecideMessage {
         if matches!(kind, FailureKind::Unreachable | FailureKind::Broken) {
-            // Whatever lost this connection has most likely lost the idle ones too.
+            // The cause has most likely broken the idle connections to the server as well.
             self.pool.purge(self.dispatch.address);
         }
         DecideMessage::Failed(Failure {
@@ -85,8 +86,8 @@
         })
     }
 
-    fn serve(&mut self, passthrough: &Passthrough) -> Result<(), AttemptError> {
-        let (mut connection, head) = self.ask(passthrough)?;
+    fn exchange(&mut self, passthrough: &Passthrough) -> Result<(), AttemptError> {
+        let (mut connection, head) = self.send_request(passthrough)?;
         let metadata = self.dialect.read(&head);
         let (load, weights) = (metadata.load, metadata.weights);
         if load.is_some() || weights.is_some() {
@@ -98,61 +99,62 @@
             };
             let _ = self.decide.send(DecideMessage::LoadSample(sample));
         }
-        let framing = Framing::of(&head, &self.upstream.method);
+        let framing = Framing::from_head(&head, &self.upstream.method);
         let framing = framing.ok_or(BROKEN)?;
         if metadata.mismatch || metadata.rejected {
             let kind = match metadata.mismatch {
                 true => FailureKind::Mismatch,
                 false => FailureKind::Busy,
             };
-            if read_whole(connection.body(framing)).is_ok() {
-                self.keep(connection, &head);
+            if read_body(connection.body(framing)).is_ok() {
+                self.release(connection, &head);
             }
             return Err(AttemptError::Server(kind, SendState::Rejected));
         }
         let encoded = head.get("content-encoding").is_some();
         match head.status {
             200..=299 if !metadata.signed || encoded => Err(FAULTY),
-            200..=299 if head.is_event_stream() => self.pass_events(connection, head, framing),
+            200..=299 if head.is_event_stream() => self.forward_stream(connection, head, framing),
             408 | 421 | 429 | 500..=599 => {
                 let signed = metadata.signed;
-                self.hold(connection, head, framing, signed)
+                self.offer_fallback(connection, head, framing, signed)
             }
-            _ => self.pass_whole(connection, head, framing),
+            _ => self.forward_complete(connection, head, framing),
         }
     }
 
-    fn pass_whole(
+    /// Reads the whole answer and forwards it.
+    fn forward_complete(
         &mut self,
         mut connection: BackendConnection,
         head: AnswerHead,
         framing: Framing,
     ) -> Result<(), AttemptError> {
-        self.note_start();
-        let body = read_whole(connection.body(framing)).map_err(|e| AttemptError::from_read(&e))?;
-        self.keep(connection, &head);
-        // The server has run the request to its end, also if the caller is gone.
+        self.report_start();
+        let body = read_body(connection.body(framing)).map_err(|e| AttemptError::from_read(&e))?;
+        self.release(connection, &head);
+        // The server has completed the request even if the caller has disconnected.
         let _ = self
             .chunks
             .send(AnswerChunk::Forwarded(Box::new(head), body));
         Ok(())
     }
 
-    /// Hands a failure of the server's own to the connection, which gives it to the caller if
-    /// no other server does better.
-    fn hold(
+    /// Passes an error answer of the server to the caller's connection, which returns it to the
+    /// caller if no later attempt succeeds.
+    fn offer_fallback(
         &mut self,
         mut connection: BackendConnection,
         head: AnswerHead,
         framing: Framing,
         signed: bool,
     ) -> Result<(), AttemptError> {
-        let body = read_whole(connection.body(framing)).map_err(|e| AttemptError::from_read(&e))?;
-        self.keep(connection, &head);
-        // These statuses would tell the caller that the request did not run, which the server
-        // has not said.
-        let promise = matches!(head.status, 408 | 421 | 429 | 503);
-        if signed && !promise {
+        let body = read_body(connection.body(framing)).map_err(|e| AttemptError::from_read(&e))?;
+        self.release(connection, &head);
+        // These statuses would tell the caller that the request did not run, which the server has
+        // not stated.
+        let implies_not_run = matches!(head.status, 408 | 421 | 429 | 503);
+        if signed && !implies_not_run {
             let _ = self
                 .chunks
                 .send(AnswerChunk::Fallback(Box::new(head), body));
@@ -163,13 +165,14 @@
         ))
     }
 
-    fn pass_events(
+    /// Forwards the events of a stream as they become complete.
+    fn forward_stream(
         &mut self,
         mut connection: BackendConnection,
         head: AnswerHead,
         framing: Framing,
     ) -> Result<(), AttemptError> {
-        self.pass(AnswerChunk::StreamHead(Box::new(head.clone())))?;
+        self.send_chunk(AnswerChunk::StreamHead(Box::new(head.clone())))?;
         let mut body = connection.body(framing);
         let mut splitter = EventSplitter::new();
         let mut buffer = vec![0; READ_SIZE];
@@ -181,21 +184,21 @@
                 break;
             }
             splitter.push(&buffer[..count]);
-            let events = self.take_events(&mut splitter);
+            let events = self.new_events(&mut splitter);
             if !events.is_empty() {
-                self.pass(AnswerChunk::StreamBytes(events))?;
+                self.send_chunk(AnswerChunk::StreamBytes(events))?;
             }
         }
-        if !splitter.rest().is_empty() {
+        if !splitter.remainder().is_empty() {
             return Err(BROKEN);
         }
         drop(body);
-        self.keep(connection, &head);
-        self.pass(AnswerChunk::End)
+        self.release(connection, &head);
+        self.send_chunk(AnswerChunk::End)
     }
 
-    /// Returns the bytes of the whole events that the caller has not got.
-    fn take_events(&mut self, splitter: &mut EventSplitter) -> Vec<u8> {
+    /// Returns the bytes of the complete events that the caller has not received yet.
+    fn new_events(&mut self, splitter: &mut EventSplitter) -> Vec<u8> {
         let mut bytes = Vec::new();
         while let Some(event) = splitter.next_event() {
             let position = event.id.map(StreamPosition::new);
@@ -203,7 +206,7 @@
                 continue;
             }
             if self.output == TokenCount::ZERO {
-                self.note_start();
+                self.report_start();
             }
             bytes.extend_from_slice(event.bytes);
             self.next_position = position.map_or(self.next_position, StreamPosition::next);
@@ -212,37 +215,38 @@
         bytes
     }
 
-    fn note_start(&self) {
+    fn report_start(&self) {
         let _ = self
             .decide
             .send(DecideMessage::Started(self.dispatch.attempt));
     }
 
-    fn pass(&self, chunk: AnswerChunk) -> Result<(), AttemptError> {
+    fn send_chunk(&self, chunk: AnswerChunk) -> Result<(), AttemptError> {
         self.chunks
             .send(chunk)
             .map_err(|_| AttemptError::CallerDisconnected)
     }
 
-    /// Gives a connection back, unless the try was stopped and the connection with it.
-    fn keep(&self, connection: BackendConnection, head: &AnswerHead) {
+    /// Returns the connection to the pool, unless the attempt was cancelled.
+    fn release(&self, connection: BackendConnection, head: &AnswerHead) {
         if self.handle.detach() {
             self.pool.put(self.dispatch.address, connection, head);
         }
     }
 }
 
-/// The answer broke off or its end cannot be found.
+/// The answer was cut short, or its end cannot be determined.
 pub(super) const BROKEN: AttemptError =
     AttemptError::Server(FailureKind::Broken, SendState::MaybeRun);
-/// The answer is not what the server's interface allows.
+/// The answer violates the interface of backend servers.
 const FAULTY: AttemptError = AttemptError::Server(FailureKind::Faulty, SendState::MaybeRun);
 
-pub(super) fn read_whole(body: BodyStream<'_>) -> io::Result<Vec<u8>> {
+/// Reads a body of at most [`MAX_BODY_SIZE`] bytes.
+pub(super) fn read_body(body: BodyStream<'_>) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    body.take(WHOLE_MAX + 1).read_to_end(&mut bytes)?;
-    if bytes.len() as u64 > WHOLE_MAX {
-        return Err(io::Error::other("the answer is too large"));
+    body.take(MAX_BODY_SIZE + 1).read_to_end(&mut bytes)?;
+    if bytes.len() as u64 > MAX_BODY_SIZE {
+        return Err(io::Error::other("the body of the answer is too large"));
     }
     Ok(bytes)
 }
--- a/azureway-entry/src/exchange/framing.rs
+++ b/azureway-entry/src/exchange/framing.rs
@@ -1,22 +1,22 @@
-//! How the end of an answer's body is found.
+//! The message framing of an answer's body.
 
 use super::AnswerHead;
 
-/// How the end of an answer's body is found.
+/// How the end of an answer's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// The body has this many bytes.
+    /// The body has a known length in bytes.
     Sized(u64),
-    /// The body comes in chunks.
+    /// The body has the chunked transfer coding.
     Chunked,
-    /// The body ends with the connection.
+    /// The body ends when the connection closes.
     Closing,
 }
 
 impl Framing {
-    /// Reads the framing of the answer to a request with `method`. Returns `None` if the head
-    /// is ambiguous.
-    pub fn of(head: &AnswerHead, method: &str) -> Option<Self> {
+    /// Returns the framing of the answer to a request with `method`, or `None` if the head is
+    /// ambiguous.
+    pub fn from_head(head: &AnswerHead, method: &str) -> Option<Self> {
         if method == "HEAD" || matches!(head.status, 204 | 304) {
             return Some(Self::Sized(0));
         }
@@ -24,8 +24,8 @@
         match (length, head.get("transfer-encoding")) {
             (None, None) => Some(Self::Closing),
             (Some(length), None) => {
-                let plain = length.bytes().all(|b| b.is_ascii_digit());
-                length.parse().ok().filter(|_| plain).map(Self::Sized)
+                let digits_only = length.bytes().all(|b| b.is_ascii_digit());
+                length.parse().ok().filter(|_| digits_only).map(Self::Sized)
             }
             (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => Some(Self::Chunked),
             (_, Some(_)) => None,
--- a/azureway-entry/src/exchange/idle_connection.rs
+++ b/azureway-entry/src/exchange/idle_connection.rs
@@ -1,16 +1,16 @@
-//! A connection that waits for its next request.
+//! An idle connection in the pool.
 
 use std::time::Instant;
 
 use super::BackendConnection;
 
-/// A connection that waits for its next request.
+/// An idle connection to a backend server, kept for the next request.
 #[derive(Debug)]
 pub struct IdleConnection {
     /// The connection.
     pub connection: BackendConnection,
-    /// Since when it waits.
-    pub since: Instant,
-    /// When the server may close it.
-    pub until: Instant,
+    /// When the connection became idle.
+    pub idle_since: Instant,
+    /// When the connection is no longer used, since the server may close it.
+    pub expires: Instant,
 }
--- a/azureway-entry/src/exchange/launcher.rs
+++ b/azureway-entry/src/exchange/launcher.rs
@@ -1,4 +1,4 @@
-//! Starting tries.
+//! Starting the attempts of the exchange.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Weak};
@@ -15,8 +15,8 @@
 use crate::decide::DecideMessage;
 use crate::relay::{Launch, report_unsent};
 
-/// Starts a thread for each try that passes a request on. The decisions bound how many there
-/// are by the slots of the backend servers.
+/// Starts a thread for each attempt at a request that is forwarded unchanged. The router bounds
+/// their number by the slots of the backend servers.
 #[derive(Debug)]
 pub struct ExchangeLauncher<D> {
     dialect: D,
@@ -24,20 +24,20 @@
     decide: Sender<DecideMessage>,
     bounds: Bounds,
     clock: Clock,
-    tries: HashMap<RequestId, Weak<CancelHandle>>,
-    swept: usize,
+    handles: HashMap<RequestId, Weak<CancelHandle>>,
+    sweep_at: usize,
 }
 
-/// The chunks that wait for a caller's connection; a try that finds the ring full waits, and
-/// the backend server is held back by its connection.
-const CHUNKS: usize = 64;
-/// The stack of a try's thread, in bytes.
+/// The capacity of the ring to a caller's connection. An attempt that finds it full blocks, which
+/// slows the backend server down through TCP flow control.
+const CHUNK_CAPACITY: usize = 64;
+/// The stack size of an attempt's thread, in bytes.
 const STACK_SIZE: usize = 128 * 1024;
-/// The number of tries below which those that have ended are not swept.
-const SWEEP_MIN: usize = 64;
+/// The smallest number of handles at which those of ended attempts are removed.
+const MIN_SWEEP: usize = 64;
 
 impl<D: BackendDialect> ExchangeLauncher<D> {
-    /// Creates a launcher whose tries report to `decide`.
+    /// Creates a launcher whose attempts report to `decide`.
     pub fn new(dialect: D, decide: Sender<DecideMessage>, bounds: Bounds, clock: Clock) -> Self {
         Self {
             dialect,
@@ -45,18 +45,19 @@
             decide,
             bounds,
             clock,
-            tries: HashMap::new(),
-            swept: SWEEP_MIN,
+            handles: HashMap::new(),
+            sweep_at: MIN_SWEEP,
         }
     }
 
-    /// Notes a try, and forgets those that have ended once they are half of all.
+    /// Stores the handle of an attempt. Once the number of handles has doubled since the last
+    /// sweep, those of ended attempts are removed.
     fn track(&mut self, id: RequestId, handle: &Arc<CancelHandle>) {
-        if self.tries.len() >= self.swept {
-            self.tries.retain(|_, h| h.strong_count() > 0);
-            self.swept = (self.tries.len() * 2).max(SWEEP_MIN);
+        if self.handles.len() >= self.sweep_at {
+            self.handles.retain(|_, h| h.strong_count() > 0);
+            self.sweep_at = (self.handles.len() * 2).max(MIN_SWEEP);
         }
-        self.tries.insert(id, Arc::downgrade(handle));
+        self.handles.insert(id, Arc::downgrade(handle));
     }
 }
 
@@ -66,11 +67,11 @@
         dispatch: Dispatch,
         upstream: Arc<UpstreamRequest>,
     ) -> Receiver<AnswerChunk> {
-        let (sender, chunks) = flume::bounded(CHUNKS);
+        let (sender, chunks) = flume::bounded(CHUNK_CAPACITY);
         let attempt = dispatch.attempt;
         let handle = Arc::new(CancelHandle::new());
         self.track(attempt.id, &handle);
-        let job = ExchangeAttempt {
+        let exchange = ExchangeAttempt {
             next_position: dispatch.position,
             dispatch,
             upstream,
@@ -86,15 +87,15 @@
         let thread = thread::Builder::new()
             .name("exchange".to_owned())
             .stack_size(STACK_SIZE);
-        if let Err(e) = thread.spawn(move || job.run()) {
-            log::error!(request:% = attempt.id, step = "exchange", error:% = e; "no thread");
+        if let Err(e) = thread.spawn(move || exchange.run()) {
+            log::error!(request:% = attempt.id, step = "exchange", error:% = e; "starting a thread failed");
             report_unsent(&self.decide, attempt);
         }
         chunks
     }
 
     fn cancel(&mut self, attempt: Attempt) {
-        let handle = self.tries.remove(&attempt.id);
+        let handle = self.handles.remove(&attempt.id);
         if let Some(handle) = handle.and_then(|h| h.upgrade()) {
             handle.cancel();
         }
--- a/azureway-entry/src/exchange/mod.rs
+++ b/azureway-entry/src/exchange/mod.rs
@@ -1,7 +1,7 @@
-//! One try of a request that is passed on unchanged, and the connections that it uses.
+//! Attempts at requests that are forwarded unchanged, and their connections to backend servers.
 //!
-//! What differs between sites is how a try and its answer spell what the decisions need: a
-//! [`BackendDialect`] knows that. Sending, framing, judging and pooling are the same everywhere.
+//! Sites differ only in the headers that carry what the router needs: a [`BackendDialect`] writes
+//! and reads those. Sending, framing, classifying failures and pooling are the same for all sites.
 
 mod answer_head;
 mod answer_metadata;
--- a/azureway-entry/src/exchange/pool.rs
+++ b/azureway-entry/src/exchange/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to backend servers that wait for their next request.
+//! A pool of idle connections to backend servers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,87 +7,91 @@
 
 use super::{AnswerHead, BackendConnection, IdleConnection};
 
-/// The connections to backend servers that wait for their next request, the newest last.
+/// A pool of idle connections to backend servers. The most recently used one is taken first.
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>>,
-    bound: usize,
+    max_idle: usize,
 }
 
-/// How long a connection is kept where the server names no time: servers close idle ones.
-const KEEP_TIME: Duration = Duration::from_secs(4);
-/// How long before the server's own time a connection is no longer used, so that a request
-/// does not cross the close.
-const KEEP_MARGIN: Duration = Duration::from_millis(500);
-/// The age up to which a request that may not run twice uses an idle connection: the older it
-/// is, the likelier it has been lost, and then nobody can tell whether the request has run.
-const FRESH_TIME: Duration = Duration::from_secs(1);
+/// How long an idle connection is kept if the server states no keep-alive time: servers close
+/// idle connections.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// How long before the server's keep-alive time ends a connection is no longer used, so that a
+/// request does not race with the close.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
+/// The longest idle time of a connection for a request that may run only once. The longer a
+/// connection is idle, the likelier it is broken, and then whether the request ran is unknown.
+const MAX_IDLE_ONCE: Duration = Duration::from_secs(1);
 
 impl ConnectionPool {
-    /// Creates a pool that keeps `bound` idle connections to a server at most.
-    pub fn new(bound: usize) -> Self {
+    /// Creates a pool that keeps at most `max_idle` idle connections to each server.
+    pub fn new(max_idle: usize) -> Self {
         Self {
             idle: Arc::default(),
-            bound,
+            max_idle,
         }
     }
 
-    /// Takes out a connection to a server. One for a request that runs `once` at most has been
-    /// in use a moment ago.
+    /// Removes and returns a usable connection to a server, if there is one. With `once`, the
+    /// request may run only once, and the connection is one that was in use within the last second.
     pub fn take(&self, address: SocketAddr, once: bool) -> Option<BackendConnection> {
         let now = Instant::now();
         loop {
-            let idle = self.with(|all| all.get_mut(&address).and_then(Vec::pop))?;
-            let fresh = !once || now.duration_since(idle.since) < FRESH_TIME;
-            if now < idle.until && fresh && idle.connection.is_reusable() {
+            let idle = self.with_idle(|all| all.get_mut(&address).and_then(Vec::pop))?;
+            let fresh = !once || now.duration_since(idle.idle_since) < MAX_IDLE_ONCE;
+            if now < idle.expires && fresh && idle.connection.is_reusable() {
                 return Some(idle.connection);
             }
         }
     }
 
-    /// Keeps a connection on which `head` was the last answer, if it can be used again.
+    /// Stores a connection on which `head` was the last answer, if it can be reused.
     pub fn put(&self, address: SocketAddr, connection: BackendConnection, head: &AnswerHead) {
         if head.closes_connection() || !connection.is_reusable() {
             return;
         }
         let now = Instant::now();
-        let kept = keep_alive(head).unwrap_or(KEEP_TIME);
-        let Some(kept) = kept.checked_sub(KEEP_MARGIN).filter(|t| !t.is_zero()) else {
+        let lifetime = keep_alive(head).unwrap_or(DEFAULT_KEEP_ALIVE);
+        let Some(lifetime) = lifetime
+            .checked_sub(KEEP_ALIVE_MARGIN)
+            .filter(|t| !t.is_zero())
+        else {
             return;
         };
         let idle = IdleConnection {
             connection,
-            since: now,
-            until: now + kept,
+            idle_since: now,
+            expires: now + lifetime,
         };
-        self.with(|all| {
+        self.with_idle(|all| {
             let list = all.entry(address).or_default();
-            list.retain(|i| i.until > now);
-            if list.len() < self.bound {
+            list.retain(|i| i.expires > now);
+            if list.len() < self.max_idle {
                 list.push(idle);
             }
         });
     }
 
-    /// Drops the idle connections to a server that was lost.
+    /// Drops all idle connections to a server.
     pub fn purge(&self, address: SocketAddr) {
-        self.with(|all| all.remove(&address));
+        self.with_idle(|all| all.remove(&address));
     }
 
-    fn with<T>(
+    fn with_idle<T>(
         &self,
         change: impl FnOnce(&mut HashMap<SocketAddr, Vec<IdleConnection>>) -> T,
     ) -> T {
-        // A thread that panicked while it held the lock left whole connections behind.
+        // The map is consistent even if a thread panicked while it held the lock.
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut idle)
     }
 }
 
-/// Returns how long the server keeps an idle connection, where it says so.
+/// Returns the time for which the server keeps an idle connection, if the answer states it.
 fn keep_alive(head: &AnswerHead) -> Option<Duration> {
     let parts = head.get("keep-alive")?.split(',');
-    let mut named = parts.filter_map(|p| p.trim().split_once('='));
-    let (_, seconds) = named.find(|(name, _)| name.eq_ignore_ascii_case("timeout"))?;
+    let mut parameters = parts.filter_map(|p| p.trim().split_once('='));
+    let (_, seconds) = parameters.find(|(name, _)| name.eq_ignore_ascii_case("timeout"))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
--- a/azureway-entry/src/exchange/raw_event.rs
+++ b/azureway-entry/src/exchange/raw_event.rs
@@ -1,10 +1,10 @@
-//! An event of a stream as it was sent.
+//! The unparsed bytes of a stream's event.
 
-/// An event of a stream as it was sent: its bytes, with the number that it carries.
+/// The unparsed bytes of a server-sent event, with its numeric ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RawEvent<'a> {
-    /// The number, where the event carries one.
+    /// The ID, if the event has a numeric one.
     pub id: Option<u64>,
-    /// The bytes with the blank line that ends them.
+    /// The bytes of the event up to and including the blank line that ends it.
     pub bytes: &'a [u8],
 }
--- a/azureway-entry/src/exchange/send_request.rs
+++ b/azureway-entry/src/exchange/send_request.rs
@@ -1,4 +1,4 @@
-//! Sending the request of a try and waiting for the head of its answer.
+//! Sending the request of an attempt and receiving the head of its answer.
 
 use std::fmt::Write as _;
 use std::io;
@@ -6,48 +6,48 @@
 
 use azureway_core::prelude::*;
 
-use super::exchange_attempt::{BROKEN, read_whole};
+use super::exchange_attempt::{BROKEN, read_body};
 use super::{AnswerHead, BackendConnection, BackendDialect, ExchangeAttempt, Framing};
 use crate::admit::Passthrough;
 use crate::relay::AttemptError;
 
-/// How many times the estimated time to the first token a server may be silent.
-const PATIENCE: u32 = 4;
-/// The answers to other requests that are passed over on one connection.
-const FOREIGN_MAX: u32 = 4;
-/// How long a server that stopped reading a body is given to say why.
-const EARLY_ANSWER: Duration = Duration::from_millis(50);
-/// The header by which a stream is resumed after the last event that was received.
-const LAST_EVENT: &str = "last-event-id";
+/// The read timeout is at least this multiple of the expected time to the first token.
+const TTFT_FACTOR: u32 = 4;
+/// How many answers may be read on one connection in search of the one to this attempt.
+const MAX_ANSWERS: u32 = 4;
+/// How long to wait for an early answer from a server that stopped reading the request.
+const EARLY_ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
+/// The header that resumes a stream after the last event received.
+const LAST_EVENT_ID: &str = "last-event-id";
 
 impl<D: BackendDialect> ExchangeAttempt<D> {
-    /// Sends the request and waits for the head of its answer.
-    pub(super) fn ask(
+    /// Sends the request and returns the connection with the head of its answer.
+    pub(super) fn send_request(
         &self,
         passthrough: &Passthrough,
     ) -> Result<(BackendConnection, AnswerHead), AttemptError> {
         let once = passthrough.once;
         let address = self.dispatch.address;
         if let Some(connection) = self.pool.take(address, once) {
-            match self.ask_on(connection, passthrough) {
-                // The server closed the connection before the request came. It is sent again
-                // only where it may run twice: nobody can tell whether it was read.
+            match self.send_on(connection, passthrough) {
+                // The server closed the idle connection as the request was sent. Whether it read
+                // the request is unknown, so it is sent again only if it may run more than once.
                 Err(AttemptError::Server(FailureKind::Broken, _))
                     if !once && !self.handle.is_cancelled() => {}
                 result => return result,
             }
         }
-        let limit = self.connect_timeout.min(self.left(passthrough));
+        let limit = self.connect_timeout.min(self.time_left(passthrough));
         let opened = BackendConnection::open(address, limit);
         let unreachable = AttemptError::Server(FailureKind::Unreachable, SendState::Unsent);
         let connection = opened.map_err(|e| {
-            log::debug!(request:% = self.dispatch.attempt.id, step = "connect", peer:% = address, error:% = e; "no connection");
+            log::debug!(request:% = self.dispatch.attempt.id, step = "connect", peer:% = address, error:% = e; "connecting failed");
             unreachable
         })?;
-        self.ask_on(connection, passthrough)
+        self.send_on(connection, passthrough)
     }
 
-    fn ask_on(
+    fn send_on(
         &self,
         mut connection: BackendConnection,
         passthrough: &Passthrough,
@@ -60,61 +60,62 @@
         {
             return Err(AttemptError::CallerDisconnected);
         }
-        let left = self.left(passthrough);
+        let left = self.time_left(passthrough);
         let last = self.dispatch.attempt.number >= passthrough.max_attempts;
-        // A busy server is silent for long and works all the same: asking another one as well
-        // would double the work when there is most of it.
-        let patience = passthrough
+        // A busy server may be silent for long and still work on the request: sending it to
+        // another one as well would double the work when the load is highest.
+        let timeout = passthrough
             .read_timeout
-            .max(self.dispatch.expected_ttft * PATIENCE);
-        let patience = if last { left } else { left.min(patience) };
+            .max(self.dispatch.expected_ttft * TTFT_FACTOR);
+        let timeout = if last { left } else { left.min(timeout) };
         let failed = |e: &io::Error| AttemptError::from_read(e);
         connection
-            .set_read_timeout(patience)
+            .set_read_timeout(timeout)
             .map_err(|e| failed(&e))?;
-        let bytes = self.request(passthrough, left);
-        if let Err(e) = connection.send(&bytes, patience) {
-            // A server that rejects a long request may answer before it has read it all.
+        let bytes = self.encode(passthrough, left);
+        if let Err(e) = connection.send(&bytes, timeout) {
+            // A server that rejects a long request may answer before it has read all of it.
             connection
-                .set_read_timeout(EARLY_ANSWER)
+                .set_read_timeout(EARLY_ANSWER_TIMEOUT)
                 .map_err(|_| failed(&e))?;
             let head = connection.read_head().map_err(|_| failed(&e))?;
-            return Ok((connection, closing(head)));
+            return Ok((connection, with_connection_close(head)));
         }
-        for _ in 0..FOREIGN_MAX {
+        for _ in 0..MAX_ANSWERS {
             let head = connection.read_head().map_err(|e| failed(&e))?;
-            let attempt = self.dialect.read(&head).attempt_id;
-            if attempt.is_none_or(|a| Some(a) == self.attempt(passthrough)) {
+            let attempt_id = self.dialect.read(&head).attempt_id;
+            if attempt_id.is_none_or(|a| Some(a) == self.attempt_id(passthrough)) {
                 return Ok((connection, head));
             }
-            log::warn!(request:% = self.dispatch.attempt.id, step = "exchange", peer:% = self.dispatch.server; "an answer to another request was dropped");
-            let framing = Framing::of(&head, &self.upstream.method);
+            log::warn!(request:% = self.dispatch.attempt.id, step = "exchange", peer:% = self.dispatch.server; "dropped an answer to another request");
+            let framing = Framing::from_head(&head, &self.upstream.method);
             let framing = framing.filter(|f| *f != Framing::Closing).ok_or(BROKEN)?;
-            read_whole(connection.body(framing)).map_err(|e| failed(&e))?;
+            read_body(connection.body(framing)).map_err(|e| failed(&e))?;
         }
         Err(BROKEN)
     }
 
-    fn attempt<'a>(&self, passthrough: &'a Passthrough) -> Option<&'a str> {
+    fn attempt_id<'a>(&self, passthrough: &'a Passthrough) -> Option<&'a str> {
         passthrough.attempt_id.as_deref()
     }
 
-    fn left(&self, passthrough: &Passthrough) -> Duration {
+    fn time_left(&self, passthrough: &Passthrough) -> Duration {
         passthrough.deadline.since(self.clock.now())
     }
 
-    fn request(&self, passthrough: &Passthrough, left: Duration) -> Vec<u8> {
+    /// Returns the bytes of the request. The caller waits for `left`.
+    fn encode(&self, passthrough: &Passthrough, left: Duration) -> Vec<u8> {
         let upstream = &self.upstream;
         let mut head = format!("{} {} HTTP/1.1\r\n", upstream.method, upstream.path);
         let resumed = self.dispatch.position > StreamPosition::ZERO;
         for (name, value) in &passthrough.headers {
-            if !(resumed && name.as_ref() == LAST_EVENT) {
+            if !(resumed && name.as_ref() == LAST_EVENT_ID) {
                 let _ = write!(head, "{name}: {value}\r\n");
             }
         }
         if resumed {
             let last = self.dispatch.position.get() - 1;
-            let _ = write!(head, "{LAST_EVENT}: {last}\r\n");
+            let _ = write!(head, "{LAST_EVENT_ID}: {last}\r\n");
         }
         if !upstream.body.is_empty() || upstream.method.as_ref() != "GET" {
             let _ = write!(head, "content-length: {}\r\n", upstream.body.len());
@@ -128,8 +129,8 @@
     }
 }
 
-/// Returns a head with the note that the connection cannot be used again.
-fn closing(mut head: AnswerHead) -> AnswerHead {
+/// Returns the head with `connection: close`, so that the connection is not reused.
+fn with_connection_close(mut head: AnswerHead) -> AnswerHead {
     head.headers
         .retain(|(n, _)| !n.eq_ignore_ascii_case("connection"));
     head.headers.push(("connection".into(), "close".into()));
