--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -1,4 +1,4 @@
-//! One entry daemon.
+//! The entry daemon that serves the product's own interface.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use flume::{Receiver, Sender};
 use tiny_http::Server;
 
-use super::parts::{process_mark, talk};
+use super::parts::{process_id, spawn_peer};
 use super::{Rings, spawn};
 use crate::admin::{AdminDuty, AdminHandles};
 use crate::admit::{Admitter, ChatCalls, RequestIds};
@@ -25,10 +25,10 @@
 use crate::relay::RelayLauncher;
 use crate::watch::{ConfigWatcher, WatchMessage};
 
-/// One entry daemon, running.
+/// A running entry daemon that serves the product's own interface.
 pub struct Entry {
     address: SocketAddr,
-    operators: Arc<Server>,
+    admin: Arc<Server>,
     decide: Sender<DecideMessage>,
     peer: Sender<PeerMessage>,
     watch: Sender<WatchMessage>,
@@ -38,13 +38,14 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-/// The threads that make the calls of claims, so that a slow call does not hold up the others.
+/// Number of threads that call the platform for claims. With several, a slow call does not delay
+/// the others.
 const CLAIM_THREADS: u64 = 4;
-/// The limit of one call for a claim, in seconds; the platform answers in milliseconds.
+/// Timeout of a platform call for a claim, in seconds. The platform answers in milliseconds.
 const CLAIM_TIMEOUT: u64 = 1;
 
 impl Entry {
-    /// Starts every duty of a daemon that operators cannot shut down.
+    /// Starts every duty of a daemon that the admin interface cannot shut down.
     ///
     /// # Errors
     ///
@@ -53,20 +54,20 @@
         Self::start_with(settings, flume::bounded(1).0)
     }
 
-    /// Starts every duty. `stopper` is told when an operator wants the daemon to shut down,
-    /// which is then up to the caller.
+    /// Starts every duty. When an operator requests a shutdown, `shutdown` receives a message;
+    /// the receiver then has to call [`Entry::drain`].
     ///
     /// # Errors
     ///
     /// Returns an error if an address cannot be bound or a thread cannot be started.
-    pub fn start_with(settings: &EntrySettings, stopper: Sender<()>) -> Result<Self, Error> {
+    pub fn start_with(settings: &EntrySettings, shutdown: Sender<()>) -> Result<Self, Error> {
         const STEP: Step = Step::new("listen to peers");
         let listener = TcpListener::bind(settings.peer);
         let error = |e| Error::new(ErrorKind::System, STEP, e).with_peer(settings.peer);
-        Self::start_on(settings, listener.map_err(error)?, stopper)
+        Self::start_on(settings, listener.map_err(error)?, shutdown)
     }
 
-    /// Starts every duty. Peers reach the entry on `peers`, whose address they know already.
+    /// Starts every duty, with a listener for peers that is already bound.
     ///
     /// # Errors
     ///
@@ -74,25 +75,25 @@
     pub fn start_on(
         settings: &EntrySettings,
         peers: TcpListener,
-        stopper: Sender<()>,
+        shutdown: Sender<()>,
     ) -> Result<Self, Error> {
-        let mark = process_mark(settings);
+        let process_id = process_id(settings);
         let rings = Rings::new(settings.bounds.ring);
         let stop = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
-        let ids = RequestIds::new(mark);
+        let ids = RequestIds::new(process_id);
         let (handles, limits) = (rings.handles(&ids), settings.bounds.clone());
         let listener = Listener::new(settings.listen, handles, limits, Arc::clone(&stop))?;
         let address = listener.address()?;
-        // Before any duty starts: what the duties log comes after it.
+        // Logged before any duty starts, so that it precedes the log lines of the duties.
         log::info!(step = "start", peer:% = address, instance:% = settings.instance; "listening");
-        let operators = admin(settings, &rings, &ids, stopper)?;
+        let admin = spawn_admin(settings, &rings, &ids, shutdown)?;
         let api = HttpObjects::new(settings.platform);
         let calls = api.calls().clone();
-        claim(&api, &rings, mark)?;
-        let orderer = orderer(settings, &rings, api.clone(), mark);
-        let views = rings.views();
-        threads.push(talk(settings, &rings, peers, mark)?);
+        spawn_claimers(&api, &rings, process_id)?;
+        let orderer = orderer(settings, &rings, api.clone(), process_id);
+        let monitor = rings.monitor();
+        threads.push(spawn_peer(settings, &rings, peers, process_id)?);
         let decider = decider(settings, &rings);
         let admitter = Admitter::new(
             ChatCalls,
@@ -106,20 +107,20 @@
             rings.decide.clone(),
             rings.peer.clone(),
             rings.watch_messages,
-            mark,
+            process_id,
         );
-        let meter = MeterDuty::new(rings.measures, views, calls);
+        let meter = MeterDuty::new(rings.metric_events, monitor, calls);
         threads.push(spawn("decide", move || decider.run())?);
         threads.push(spawn("accept", move || listener.run())?);
-        // These hold nothing that has to be finished, and a watch may wait for some seconds:
-        // a shutdown leaves them to end by themselves.
+        // A shutdown does not join these threads: they have no work to finish, and a watch call
+        // may block for some seconds.
         spawn("meter", move || meter.run())?;
         spawn("admit", move || admitter.run())?;
         spawn("watch", move || watcher.run())?;
         spawn("order", move || orderer.run())?;
         Ok(Self {
             address,
-            operators,
+            admin,
             decide: rings.decide,
             peer: rings.peer,
             watch: rings.watch,
@@ -130,14 +131,14 @@
         })
     }
 
-    /// Returns the address that callers reach.
+    /// Returns the address that callers connect to.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the address that operators reach.
+    /// Returns the address of the admin interface.
     pub fn admin_address(&self) -> Option<SocketAddr> {
-        self.operators.server_addr().to_ip()
+        self.admin.server_addr().to_ip()
     }
 
     /// Waits until the first configuration is in force.
@@ -145,27 +146,27 @@
         let _ = self.ready_rx.recv();
     }
 
-    /// Waits until a version of the configuration, or a later one, is in force.
+    /// Waits until `version` of the configuration, or a later one, is in force.
     pub fn wait_version(&self, version: ConfigVersion) {
-        let (reply, reached) = flume::bounded(1);
+        let (reply, response) = flume::bounded(1);
         let _ = self
             .decide
             .send(DecideMessage::Query(Query::AwaitVersion(version, reply)));
-        let _ = reached.recv();
+        let _ = response.recv();
     }
 
-    /// Shuts down: refuses new requests, finishes every stream, then stops all duties.
+    /// Shuts down: refuses new requests, finishes every stream, then stops the duties.
     pub fn drain(self) {
-        let (drained, done) = flume::bounded(1);
+        let (drained_tx, drained_rx) = flume::bounded(1);
         let _ = self.peer.send(PeerMessage::Leave);
-        let _ = self.decide.send(DecideMessage::Drain(Some(drained)));
-        let _ = done.recv();
+        let _ = self.decide.send(DecideMessage::Drain(Some(drained_tx)));
+        let _ = drained_rx.recv();
         self.stop.store(true, Ordering::Release);
-        // Wakes the accepting duty, which then sees that it has to stop.
+        // Unblocks the accepting duty, which then reads `stop`.
         let _ = TcpStream::connect(self.address);
         let _ = self.watch.try_send(WatchMessage::Stop);
-        self.operators.unblock();
-        // The ring ends when the last connection has written its answer.
+        self.admin.unblock();
+        // Disconnects when the last connection has written its answer and closed.
         let _ = self.closed.recv();
         let _ = self.peer.send(PeerMessage::Stop);
         for thread in self.threads {
@@ -174,12 +175,12 @@
     }
 }
 
-/// Starts the operators' duty and returns its server.
-fn admin(
+/// Starts the admin duty and returns its server.
+fn spawn_admin(
     settings: &EntrySettings,
     rings: &Rings,
     ids: &RequestIds,
-    stopper: Sender<()>,
+    shutdown: Sender<()>,
 ) -> Result<Arc<Server>, Error> {
     let handles = AdminHandles {
         ids: ids.clone(),
@@ -188,7 +189,7 @@
         operator_key: settings.operator,
         admit: rings.admit.clone(),
         decide: rings.decide.clone(),
-        shutdown: stopper,
+        shutdown,
         clock: rings.clock,
     };
     let duty = AdminDuty::new(settings.admin, handles)?;
@@ -218,23 +219,23 @@
     settings: &EntrySettings,
     rings: &Rings,
     api: HttpObjects,
-    mark: u64,
+    process_id: u64,
 ) -> Orderer<HttpObjects, HttpOrders> {
-    let lease = Lease::new(LeaseConfig::new(), settings.instance.clone(), mark);
+    let lease = Lease::new(LeaseConfig::new(), settings.instance.clone(), process_id);
     let config = OrderConfig::new().with_store_rate(settings.bounds.loads);
     let (link, messages) = (HttpOrders::new(), rings.order_messages.clone());
     let orderer = Orderer::new(api.clone(), link, messages, rings.clock, lease, config);
-    orderer.with_sweeps(api, mark)
+    orderer.with_sweeps(api, process_id)
 }
 
-/// Starts the claiming threads. They end with the deciding duty, which waits for their news.
-fn claim(api: &HttpObjects, rings: &Rings, mark: u64) -> Result<(), Error> {
+/// Starts the claiming threads. They end with the deciding duty, which waits for their outcomes.
+fn spawn_claimers(api: &HttpObjects, rings: &Rings, process_id: u64) -> Result<(), Error> {
     for thread in 0..CLAIM_THREADS {
         let (api, decide) = (
             api.clone().with_timeout(CLAIM_TIMEOUT),
             rings.decide.clone(),
         );
-        let claimer = Claimer::new(api, &rings.claims, decide, rings.clock, mark ^ thread);
+        let claimer = Claimer::new(api, &rings.claims, decide, rings.clock, process_id ^ thread);
         spawn("claim", move || claimer.run())?;
     }
     Ok(())
--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -1,4 +1,4 @@
-//! One entry daemon that serves a site.
+//! The entry daemon that serves a site.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use azureway_wire::instance::{InstanceBody, InstanceRole};
 use flume::Sender;
 
-use super::parts::{process_mark, talk};
+use super::parts::{process_id, spawn_peer};
 use super::{ReadyDuty, Rings, Site, spawn};
 use crate::admit::{Admitter, RequestIds};
 use crate::decide::{DecideMessage, Decider};
@@ -20,10 +20,10 @@
 use crate::order::{OrderLink, Orderer};
 use crate::peer::PeerMessage;
 use crate::routed::{DisconnectWatcher, RoutedCallReader, RoutedListener, ServingState};
-use crate::site::{SITE_WAIT, SiteDuty, SiteKind, SiteNews, SiteWatcher};
+use crate::site::{POLL_TIMEOUT, SiteDuty, SiteKind, SiteUpdate, SiteWatcher};
 use crate::watch::Registrar;
 
-/// One entry daemon that serves a site, running.
+/// A running entry daemon that serves a [`Site`].
 pub struct Gateway {
     address: SocketAddr,
     ready: Option<SocketAddr>,
@@ -33,49 +33,50 @@
     grace: Duration,
 }
 
-/// The limit of a call to the platform, in seconds; it answers in milliseconds.
+/// Timeout of a platform call, in seconds. The platform answers in milliseconds.
 const CALL_TIMEOUT: u64 = 1;
-/// How long changes are gathered before the next watch: a watch for each single change would
-/// cost a call each, and every bound on a change is seconds long.
-const WATCH_GAP: Duration = Duration::from_millis(200);
-/// The longest wait before the platform is asked again: changes must be in force within
-/// seconds of its return.
-const WATCH_CAP: Duration = Duration::from_millis(500);
-/// The news of a site that wait to be composed.
+/// Time for which changes accumulate before the next watch call. A watch for each single change
+/// would cost a call each, and every bound on a change is seconds long.
+const BATCH_DELAY: Duration = Duration::from_millis(200);
+/// Longest backoff before the platform is called again. Changes must be in force within seconds
+/// of its recovery.
+const BACKOFF_CAP: Duration = Duration::from_millis(500);
+/// Capacity of the ring from the site watchers to the site duty, in updates.
 const SITE_RING: usize = 256;
-/// How long requests are still taken after the signal to stop. The balancer asks each second and
-/// takes an instance out after two answers; what comes later than three seconds after the signal
-/// has to end within the grace.
-const LINGER: Duration = Duration::from_millis(2_900);
-/// What is left of the grace when the last answers are given up.
-const MARGIN: Duration = Duration::from_millis(500);
-/// The time in which a request that crosses the end is read and refused.
-const CROSSING: Duration = Duration::from_millis(50);
-/// The margin within which the holder of the lease no longer gives orders, as a part of the
-/// term. An order call takes less.
-const MARGIN_PART: u32 = 3;
-/// How long a request waits for a server of its region while another one has a free server:
-/// short against every target, since the traffic costs less than being late.
-const ABROAD_WAIT: Duration = Duration::from_millis(25);
-/// The prompt tokens whose traffic to another region weighs a second: the volume costs little
-/// beside computing a prompt again.
-const ABROAD_TOLL: TokenRate = TokenRate::new(100_000);
-/// How long a load holds up the next one if nothing is heard of its end: a load takes as long as
-/// several when many load at once.
-const LOAD_TIME: Duration = Duration::from_millis(3_000);
-/// The margin before the bound of a rollout, or before a process is held to it, within which no
-/// older weights are asked: a request may wait in a busy server before it begins.
+/// Time after the stop signal in which requests are still accepted. The balancer polls readiness
+/// each second and removes an instance after two failures. A request that arrives more than three
+/// seconds after the signal has to end within the grace period.
+const ACCEPT_TIME: Duration = Duration::from_millis(2_900);
+/// Remainder of the grace period at which the last answers are abandoned.
+const GRACE_MARGIN: Duration = Duration::from_millis(500);
+/// Time for reading and refusing a request that arrives just as accepting ends.
+const REFUSE_TIME: Duration = Duration::from_millis(50);
+/// Divisor of the lease term that gives the safety margin before expiry. Within the margin the
+/// holder issues no more orders; an order call takes less time than the margin.
+const MARGIN_DIVISOR: u32 = 3;
+/// How long a request waits for a server of its own region while another region has a free one.
+/// This is short against every latency target, since the traffic costs less than being late.
+const REMOTE_DELAY: Duration = Duration::from_millis(25);
+/// Prompt tokens whose traffic to another region costs as much as a second of delay. The traffic
+/// costs little compared with recomputing a prompt.
+const TRAFFIC_RATE: TokenRate = TokenRate::new(100_000);
+/// How long a load of weights occupies its slot if its end is not reported. When many servers
+/// load at once, one load takes as long as several.
+const SLOT_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Safety margin by which older weights are given up before a rollout's time limit, or before the
+/// limit applies to a process that has just started. A request may wait in a busy server before
+/// it begins.
 const ROLLOUT_MARGIN: Duration = Duration::from_millis(2_000);
 
 impl Gateway {
-    /// Starts every duty of an entry that serves a site.
+    /// Starts every duty of an entry that serves `site`.
     ///
     /// # Errors
     ///
     /// Returns an error if an address cannot be bound or a thread cannot be started.
     pub fn start<S: Site, F, L, N: FeedSource>(
         settings: &EntrySettings,
-        served: &SiteSettings,
+        site_settings: &SiteSettings,
         site: S,
         form: F,
         link: L,
@@ -89,9 +90,9 @@
         let peers = TcpListener::bind(settings.peer);
         let error = |e| Error::new(ErrorKind::System, STEP, e).with_peer(settings.peer);
         let peers = peers.map_err(error)?;
-        let mark = process_mark(settings);
+        let process_id = process_id(settings);
         let rings = Rings::new(settings.bounds.ring);
-        let ids = RequestIds::new(mark);
+        let ids = RequestIds::new(process_id);
         let (serving, ready) = (ServingState::new(), Arc::clone(&rings.ready));
         let watcher = DisconnectWatcher::new(rings.decide.clone())?;
         let listener = RoutedListener::new(
@@ -104,17 +105,26 @@
         )?;
         let address = listener.address()?;
         log::info!(step = "start", peer:% = address, instance:% = settings.instance, zone:% = settings.zone; "listening");
-        let balancer = ReadyDuty::new(served.ready, ready, serving.clone(), rings.meter.clone())?;
-        let told = balancer.address();
+        let balancer = ReadyDuty::new(
+            site_settings.ready,
+            ready,
+            serving.clone(),
+            rings.meter.clone(),
+        )?;
+        let ready_address = balancer.address();
         let api = HttpObjects::with_form(settings.platform, form).with_timeout(CALL_TIMEOUT);
-        talk(settings, &rings, peers, mark)?;
-        let decider = decider(settings, served, &rings, site.clone(), news);
+        spawn_peer(settings, &rings, peers, process_id)?;
+        let decider = decider(settings, site_settings, &rings, site.clone(), news);
         spawn("decide", move || decider.run())?;
-        watch(served, &rings, &api, &site, &serving, mark)?;
-        order(settings, served, &rings, &api, link, mark)?;
-        register(settings, &rings, &api)?;
+        spawn_watchers(site_settings, &rings, &api, &site, &serving, process_id)?;
+        spawn_orderer(settings, site_settings, &rings, &api, link, process_id)?;
+        spawn_registrar(settings, &rings, &api)?;
         let calls = RoutedCallReader::new(site);
-        let meter = MeterDuty::new(rings.measures.clone(), rings.views(), api.calls().clone());
+        let meter = MeterDuty::new(
+            rings.metric_events.clone(),
+            rings.monitor(),
+            api.calls().clone(),
+        );
         let admitter = Admitter::new(
             calls,
             rings.admit_messages,
@@ -128,65 +138,65 @@
         spawn("accept", move || listener.run())?;
         Ok(Self {
             address,
-            ready: told,
+            ready: ready_address,
             serving,
             decide: rings.decide,
             peer: rings.peer,
-            grace: served.grace,
+            grace: site_settings.grace,
         })
     }
 
-    /// Returns the address that callers reach.
+    /// Returns the address that callers connect to.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the address on which readiness and metrics are told.
+    /// Returns the address that serves readiness and metrics.
     pub const fn ready_address(&self) -> Option<SocketAddr> {
         self.ready
     }
 
-    /// Shuts down: is no longer ready, serves what the balancer still sends, then finishes what
-    /// is being answered.
+    /// Shuts down: reports that it is not ready, serves the requests that the balancer still
+    /// sends, then finishes the requests in flight within the grace period.
     pub fn drain(self) {
-        let began = Instant::now();
+        let start = Instant::now();
         self.serving.start_draining();
-        // Both duties end only with the process.
+        // Sending cannot fail: the peer and deciding duties run until the process ends.
         let _ = self.peer.send(PeerMessage::Leave);
-        std::thread::park_timeout(LINGER);
-        // From here on a request that still comes is told that it has not run: a stream that
-        // begins now may outlast the grace.
+        std::thread::park_timeout(ACCEPT_TIME);
+        // From here on, new requests are refused as not run: a stream that starts now may outlast
+        // the grace period.
         let _ = self.decide.send(DecideMessage::Drain(None));
-        std::thread::park_timeout(CROSSING);
-        let left = self.serving.in_flight.wait(self.rest(began));
+        std::thread::park_timeout(REFUSE_TIME);
+        let left = self.serving.in_flight.wait(self.remaining_grace(start));
         if left > 0 {
-            log::warn!(step = "stop", left = left; "the grace ends before the last answers");
+            log::warn!(step = "stop", left = left; "the grace period ends with requests in flight");
         }
     }
 
-    /// Returns what is left of the grace for the last answers.
-    fn rest(&self, began: Instant) -> Duration {
-        self.grace.saturating_sub(began.elapsed() + MARGIN)
+    /// Returns the time that is left for the requests in flight.
+    fn remaining_grace(&self, start: Instant) -> Duration {
+        self.grace.saturating_sub(start.elapsed() + GRACE_MARGIN)
     }
 }
 
 /// Returns the deciding duty.
 fn decider<S: Site, N: FeedSource>(
     settings: &EntrySettings,
-    served: &SiteSettings,
+    site_settings: &SiteSettings,
     rings: &Rings,
     site: S,
     news: N,
 ) -> Decider<PrefixLoad, ExchangeLauncher<S>, FeedReaders<N>> {
     let slack = RetrySlack {
-        count: served.slack,
-        window: served.window,
+        count: site_settings.slack,
+        window: site_settings.window,
     };
     let config = RouterConfig::new(settings.zone.clone())
         .with_queue_limit(settings.bounds.queue)
-        .with_retry_budget(served.retries, slack)
-        .with_remote_delay(ABROAD_WAIT)
-        .with_traffic_rate(ABROAD_TOLL)
+        .with_retry_budget(site_settings.retries, slack)
+        .with_remote_delay(REMOTE_DELAY)
+        .with_traffic_rate(TRAFFIC_RATE)
         .with_shared_servers();
     let router = Router::new(config, PrefixLoad::new());
     let (decide, bounds) = (rings.decide.clone(), settings.bounds.clone());
@@ -195,31 +205,40 @@
     Decider::new(router, rings, launcher, readers, settings.instance.clone())
 }
 
-/// Starts the duties that hear the site.
-fn watch<S: Site, F: ObjectForm + Send + 'static>(
-    served: &SiteSettings,
+/// Starts the duties that read the site from the platform.
+fn spawn_watchers<S: Site, F: ObjectForm + Send + 'static>(
+    site_settings: &SiteSettings,
     rings: &Rings,
     api: &HttpObjects<F>,
     site: &S,
     serving: &ServingState,
-    mark: u64,
+    process_id: u64,
 ) -> Result<(), Error> {
-    let (news, messages): (Sender<SiteNews>, _) = flume::bounded(SITE_RING);
-    let grace = served.rollout.saturating_sub(ROLLOUT_MARGIN);
-    let state = SiteState::new(served.zones.clone(), grace);
-    let first = state.named_since(
+    let (update_tx, update_rx): (Sender<SiteUpdate>, _) = flume::bounded(SITE_RING);
+    let rollout_grace = site_settings.rollout.saturating_sub(ROLLOUT_MARGIN);
+    let state = SiteState::new(site_settings.zones.clone(), rollout_grace);
+    let named_since = state.named_since(
         rings.clock.now(),
-        served.settle.saturating_sub(ROLLOUT_MARGIN),
+        site_settings.settle.saturating_sub(ROLLOUT_MARGIN),
     );
     for kind in SiteKind::ALL {
-        let plan = WatchSchedule::new(mark).with_timing(SITE_WAIT, WATCH_GAP, WATCH_CAP);
-        let (api, news) = (api.clone(), news.clone());
-        let watcher = SiteWatcher::new(api, site.clone(), kind, news, rings.clock, plan, first);
+        let schedule =
+            WatchSchedule::new(process_id).with_timing(POLL_TIMEOUT, BATCH_DELAY, BACKOFF_CAP);
+        let (api, updates) = (api.clone(), update_tx.clone());
+        let watcher = SiteWatcher::new(
+            api,
+            site.clone(),
+            kind,
+            updates,
+            rings.clock,
+            schedule,
+            named_since,
+        );
         spawn(kind.as_str(), move || watcher.run())?;
     }
     let duty = SiteDuty::new(
         state,
-        messages,
+        update_rx,
         rings.admit.clone(),
         rings.decide.clone(),
         serving.clone(),
@@ -229,8 +248,8 @@
     Ok(())
 }
 
-/// Starts the duty that tells the platform of this instance.
-fn register<F: ObjectForm + Send + 'static>(
+/// Starts the duty that registers this instance at the platform.
+fn spawn_registrar<F: ObjectForm + Send + 'static>(
     settings: &EntrySettings,
     rings: &Rings,
     api: &HttpObjects<F>,
@@ -248,23 +267,23 @@
 }
 
 /// Starts the ordering duty.
-fn order<F: ObjectForm + Send + 'static, L: OrderLink + Send + 'static>(
+fn spawn_orderer<F: ObjectForm + Send + 'static, L: OrderLink + Send + 'static>(
     settings: &EntrySettings,
-    served: &SiteSettings,
+    site_settings: &SiteSettings,
     rings: &Rings,
     api: &HttpObjects<F>,
     link: L,
-    mark: u64,
+    process_id: u64,
 ) -> Result<(), Error> {
-    let margin = served.term / MARGIN_PART;
+    let margin = site_settings.term / MARGIN_DIVISOR;
     let config = LeaseConfig::new()
-        .with_term(served.term, margin)
-        .with_cooldown(served.term)
+        .with_term(site_settings.term, margin)
+        .with_cooldown(site_settings.term)
         .with_single_process();
-    let lease = Lease::new(config, settings.instance.clone(), mark);
+    let lease = Lease::new(config, settings.instance.clone(), process_id);
     let config = OrderConfig::new()
         .with_store_rate(settings.bounds.loads)
-        .with_slot_timeout(LOAD_TIME)
+        .with_slot_timeout(SLOT_TIMEOUT)
         .with_mode(LoadMode::Swap);
     let messages = rings.order_messages.clone();
     let orderer = Orderer::new(api.clone(), link, messages, rings.clock, lease, config);
--- a/azureway-entry/src/daemon/handles.rs
+++ b/azureway-entry/src/daemon/handles.rs
@@ -1,4 +1,4 @@
-//! What a connection reaches of the daemon.
+//! The daemon's side of a caller's connection.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,27 +10,27 @@
 use crate::decide::DecideMessage;
 use crate::meter::MetricEvent;
 
-/// What a connection reaches of the daemon: the rings of the other duties.
+/// The rings and shared state of the daemon that a connection uses.
 #[derive(Clone, Debug)]
 pub struct Handles {
-    /// The admitting duty.
+    /// The ring to the admitting duty.
     pub admit: Sender<AdmitMessage>,
-    /// The deciding duty.
+    /// The ring to the deciding duty.
     pub decide: Sender<DecideMessage>,
-    /// The measuring duty.
+    /// The ring to the measuring duty.
     pub meter: Sender<MetricEvent>,
-    /// The identities of requests.
+    /// The generator of request IDs.
     pub ids: RequestIds,
-    /// The clock.
+    /// The daemon's monotonic clock.
     pub clock: Clock,
-    /// A ring that ends when the last connection does; nothing is ever sent on it.
+    /// A ring on which nothing is sent. It disconnects when the last connection is closed.
     pub guard: Sender<()>,
-    /// Whether the daemon serves.
+    /// Whether the daemon is ready to serve requests.
     pub ready: Arc<AtomicBool>,
 }
 
 impl Handles {
-    /// Tells whether the daemon serves: it has a configuration and is not shutting down.
+    /// Returns whether the daemon is ready: it has a configuration and is not shutting down.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
--- a/azureway-entry/src/daemon/mod.rs
+++ b/azureway-entry/src/daemon/mod.rs
@@ -1,7 +1,7 @@
 //! The daemon: its duties and the rings between them.
 //!
-//! [`Entry`] serves the product's own interface, [`Gateway`] a [`Site`]. Both are made of the
-//! same duties around the same decisions.
+//! [`Entry`] serves the product's own interface, [`Gateway`] a [`Site`]. Both run the same duties
+//! around the same routing core.
 
 mod entry;
 mod gateway;
--- a/azureway-entry/src/daemon/parts.rs
+++ b/azureway-entry/src/daemon/parts.rs
@@ -1,4 +1,4 @@
-//! The duties that every daemon has.
+//! The parts that [`Entry`](super::Entry) and [`Gateway`](super::Gateway) share.
 
 use std::net::TcpListener;
 use std::thread::JoinHandle;
@@ -11,12 +11,12 @@
 use crate::peer::PeerDuty;
 use crate::watch::SelectionNotifier;
 
-/// Starts the peer duty.
-pub(super) fn talk(
+/// Starts the peer duty, which exchanges heartbeats with the other entries.
+pub(super) fn spawn_peer(
     settings: &EntrySettings,
     rings: &Rings,
     listener: TcpListener,
-    mark: u64,
+    process_id: u64,
 ) -> Result<JoinHandle<()>, Error> {
     const STEP: Step = Step::new("listen to peers");
     let address = listener.local_addr();
@@ -28,16 +28,23 @@
     let me = me.with_incarnation(incarnation);
     let selection = SelectionNotifier::new(me.id.clone(), rings.watch.clone(), rings.order.clone());
     let now = rings.clock.now();
-    let core = Membership::new(MembershipConfig::new(), me, &settings.peers, mark, now);
+    let membership = Membership::new(
+        MembershipConfig::new(),
+        me,
+        &settings.peers,
+        process_id,
+        now,
+    );
     let (runtime, duty) = (
         PeerDuty::runtime()?,
-        PeerDuty::new(core, rings.peers(selection)),
+        PeerDuty::new(membership, rings.peers(selection)),
     );
     spawn("peer", move || duty.run(&runtime, listener))
 }
 
-/// Returns a number that differs between processes, to mark the identities of requests.
-pub(super) fn process_mark(settings: &EntrySettings) -> u64 {
+/// Returns a number that differs between processes. It makes request IDs and lease records unique
+/// to this process.
+pub(super) fn process_id(settings: &EntrySettings) -> u64 {
     let start = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/azureway-entry/src/daemon/ready_duty.rs
+++ b/azureway-entry/src/daemon/ready_duty.rs
@@ -1,4 +1,4 @@
-//! Telling the balancer whether the daemon serves.
+//! Readiness and metrics over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::meter::MetricEvent;
 use crate::routed::ServingState;
 
-/// The duty that tells the balancer whether the daemon serves, and gives the metrics.
+/// The duty that answers the balancer's readiness checks and serves the metrics.
 pub struct ReadyDuty {
     server: Server,
     ready: Arc<AtomicBool>,
@@ -48,13 +48,13 @@
         self.server.server_addr().to_ip()
     }
 
-    /// Runs for as long as the process does.
+    /// Runs until the process ends.
     pub fn run(self) {
         for request in self.server.incoming_requests() {
             let (status, body) = self.answer(&request);
             let response = Response::from_string(body).with_status_code(status);
             if let Err(e) = request.respond(response) {
-                log::debug!(step = "ready", error:% = e; "whoever asked is gone");
+                log::debug!(step = "ready", error:% = e; "the client disconnected before the response");
             }
         }
     }
--- a/azureway-entry/src/daemon/rings.rs
+++ b/azureway-entry/src/daemon/rings.rs
@@ -15,61 +15,62 @@
 use crate::peer::{PeerMessage, PeerRings};
 use crate::watch::{SelectionNotifier, WatchMessage};
 
-/// Both ends of every ring between the duties, and what the duties share.
+/// Both ends of every ring between the duties, and the state that the duties share.
 #[derive(Debug)]
 pub struct Rings {
-    /// To the admitting duty.
+    /// The ring to the admitting duty.
     pub admit: Sender<AdmitMessage>,
-    /// At the admitting duty.
+    /// The messages that the admitting duty receives.
     pub admit_messages: Receiver<AdmitMessage>,
-    /// To the deciding duty.
+    /// The ring to the deciding duty.
     pub decide: Sender<DecideMessage>,
-    /// At the deciding duty.
+    /// The messages that the deciding duty receives.
     pub decide_messages: Receiver<DecideMessage>,
-    /// Between the deciding duty and the claiming threads.
+    /// The rings between the deciding duty and the claiming threads.
     pub claims: ClaimRings,
-    /// To the ordering duty.
+    /// The ring to the ordering duty.
     pub order: Sender<OrderMessage>,
-    /// At the ordering duty.
+    /// The messages that the ordering duty receives.
     pub order_messages: Receiver<OrderMessage>,
-    /// To the peer duty.
+    /// The ring to the peer duty.
     pub peer: Sender<PeerMessage>,
-    /// At the peer duty.
+    /// The messages that the peer duty receives.
     pub peer_messages: Receiver<PeerMessage>,
-    /// To the measuring duty.
+    /// The ring to the measuring duty.
     pub meter: Sender<MetricEvent>,
-    /// At the measuring duty.
-    pub measures: Receiver<MetricEvent>,
-    /// To the watching duty.
+    /// The events that the measuring duty receives.
+    pub metric_events: Receiver<MetricEvent>,
+    /// The ring to the watching duty.
     pub watch: Sender<WatchMessage>,
-    /// At the watching duty.
+    /// The messages that the watching duty receives.
     pub watch_messages: Receiver<WatchMessage>,
-    /// Held by every connection; nothing is sent on it.
+    /// A ring on which nothing is sent; every connection holds a clone of this end.
     pub guard: Sender<()>,
-    /// Ends when the last connection does.
+    /// The other end of `guard`, which disconnects when the last connection is closed.
     pub closed: Receiver<()>,
-    /// Told when the first configuration is in force.
+    /// Signals that the first configuration is in force.
     pub ready_tx: Sender<()>,
-    /// Hears when the first configuration is in force.
+    /// Receives the signal that the first configuration is in force.
     pub ready_rx: Receiver<()>,
-    /// Whether the daemon serves.
+    /// Whether the daemon is ready to serve requests.
     pub ready: Arc<AtomicBool>,
-    /// The clock.
+    /// The daemon's monotonic clock.
     pub clock: Clock,
 }
 
-/// The messages to the watching duty that wait; a watch holds them up for some seconds.
-const WATCH_NOTES: usize = 8;
+/// Capacity of the ring to the watching duty, in messages. They wait while a watch call blocks,
+/// which may take some seconds.
+const WATCH_RING: usize = 8;
 
 impl Rings {
-    /// Creates rings of `size` messages.
+    /// Creates rings that hold `size` messages each.
     pub fn new(size: usize) -> Self {
         let (admit, admit_messages) = flume::bounded(size);
         let (decide, decide_messages) = flume::bounded(size);
         let (order, order_messages) = flume::bounded(size);
         let (peer, peer_messages) = flume::bounded(size);
-        let (meter, measures) = flume::bounded(size);
-        let (watch, watch_messages) = flume::bounded(WATCH_NOTES);
+        let (meter, metric_events) = flume::bounded(size);
+        let (watch, watch_messages) = flume::bounded(WATCH_RING);
         let (guard, closed) = flume::bounded(0);
         let (ready_tx, ready_rx) = flume::bounded(1);
         Self {
@@ -83,7 +84,7 @@
             peer,
             peer_messages,
             meter,
-            measures,
+            metric_events,
             watch,
             watch_messages,
             guard,
@@ -95,15 +96,15 @@
         }
     }
 
-    /// Returns how full the rings are, for the measuring duty.
-    pub fn views(&self) -> RingMonitor {
+    /// Returns the rings whose depth the measuring duty reports.
+    pub fn monitor(&self) -> RingMonitor {
         RingMonitor {
             admit: self.admit.downgrade(),
             decide: self.decide.downgrade(),
         }
     }
 
-    /// Returns what the peer duty reaches.
+    /// Returns the rings of the peer duty.
     pub fn peers(&self, selection: SelectionNotifier) -> PeerRings {
         PeerRings {
             peer: self.peer.clone(),
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Returns what a connection reaches.
+    /// Returns the handles of a connection.
     pub fn handles(&self, ids: &RequestIds) -> Handles {
         Handles {
             ids: ids.clone(),
--- a/azureway-entry/src/daemon/site.rs
+++ b/azureway-entry/src/daemon/site.rs
@@ -1,10 +1,10 @@
-//! What varies between sites.
+//! The protocol of a site.
 
 use crate::exchange::BackendDialect;
 use crate::routed::CallerDialect;
 use crate::site::SiteCodec;
 
-/// How a site's callers, backend servers and platform spell what they say.
+/// The protocols of a site's callers, backend servers and platform.
 pub trait Site: CallerDialect + BackendDialect + SiteCodec {}
 
 impl<S: CallerDialect + BackendDialect + SiteCodec> Site for S {}
--- a/azureway-entry/src/site/codec.rs
+++ b/azureway-entry/src/site/codec.rs
@@ -1,33 +1,33 @@
-//! How a site's platform spells what it holds.
+//! The decoding of the objects that a site's platform holds.
 
 use azureway_core::prelude::{Error, ListedServer, NamedWeights, SiteDocument};
 use azureway_wire::object::ObjectBody;
 
 use super::SiteKind;
 
-/// How a site's platform spells what it holds for the system.
+/// Decodes the objects that a site's platform holds for the system.
 pub trait SiteCodec: Clone + Send + 'static {
-    /// Returns the platform's name of a kind.
+    /// Returns the platform's name for `kind`.
     fn kind(&self, kind: SiteKind) -> &'static str;
 
-    /// Reads a version of the configuration, or `None` for an object of another purpose.
+    /// Decodes a version of the configuration. Returns `None` if the object has another purpose.
     ///
     /// # Errors
     ///
-    /// Returns an error if the object is no configuration.
+    /// Returns an error if the object is not a valid configuration.
     fn document(&self, object: &ObjectBody) -> Result<Option<SiteDocument>, Error>;
 
-    /// Reads the entry of a backend server.
+    /// Decodes the entry of a backend server.
     ///
     /// # Errors
     ///
-    /// Returns an error if the object names no server that can be used.
+    /// Returns an error if the object does not describe a usable server.
     fn server(&self, object: &ObjectBody) -> Result<ListedServer, Error>;
 
-    /// Reads weights that an operator named.
+    /// Decodes the weights that an operator named.
     ///
     /// # Errors
     ///
-    /// Returns an error if the object names none.
+    /// Returns an error if the object names no weights.
     fn weights(&self, object: &ObjectBody) -> Result<NamedWeights, Error>;
 }
--- a/azureway-entry/src/site/duty.rs
+++ b/azureway-entry/src/site/duty.rs
@@ -1,21 +1,21 @@
-//! The duty that composes what was read of a site.
+//! The site duty, which builds the fleet.
 
 use std::sync::Arc;
 
 use azureway_core::prelude::*;
 use flume::{Receiver, RecvTimeoutError, Sender};
 
-use super::SiteNews;
+use super::SiteUpdate;
 use crate::admit::AdmitMessage;
 use crate::clock::Clock;
 use crate::decide::DecideMessage;
 use crate::routed::ServingState;
 
-/// The duty that composes what was read of a site into one fleet and passes it on.
+/// The duty that builds the fleet from the updates of a site and sends it to the other duties.
 #[derive(Debug)]
 pub struct SiteDuty {
     state: SiteState,
-    news: Receiver<SiteNews>,
+    updates: Receiver<SiteUpdate>,
     admit: Sender<AdmitMessage>,
     decide: Sender<DecideMessage>,
     serving: ServingState,
@@ -23,10 +23,10 @@
 }
 
 impl SiteDuty {
-    /// Creates the duty over the news of the watching duties.
+    /// Creates the duty, which receives the updates of the site watchers.
     pub const fn new(
         state: SiteState,
-        news: Receiver<SiteNews>,
+        updates: Receiver<SiteUpdate>,
         admit: Sender<AdmitMessage>,
         decide: Sender<DecideMessage>,
         serving: ServingState,
@@ -34,7 +34,7 @@
     ) -> Self {
         Self {
             state,
-            news,
+            updates,
             admit,
             decide,
             serving,
@@ -42,45 +42,48 @@
         }
     }
 
-    /// Runs until every watching duty has ended.
+    /// Runs until every site watcher has ended.
     pub fn run(mut self) {
         loop {
             let first = match self.state.next_wakeup() {
-                Some(time) => self.news.recv_deadline(self.clock.instant(time)),
-                None => self.news.recv().map_err(|_| RecvTimeoutError::Disconnected),
+                Some(time) => self.updates.recv_deadline(self.clock.instant(time)),
+                None => self
+                    .updates
+                    .recv()
+                    .map_err(|_| RecvTimeoutError::Disconnected),
             };
             let now = self.clock.now();
             let mut changed = self.state.remove_expired(now);
             match first {
-                Ok(news) => changed |= self.take(news, now),
+                Ok(update) => changed |= self.apply(update, now),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            // What has come meanwhile is composed in one step.
-            let more: Vec<_> = self.news.drain().collect();
-            for news in more {
-                changed |= self.take(news, now);
+            // Applies all updates that are waiting, so that the fleet is built once for them.
+            let waiting: Vec<_> = self.updates.drain().collect();
+            for update in waiting {
+                changed |= self.apply(update, now);
             }
             if changed {
-                self.pass_on();
+                self.publish();
             }
         }
     }
 
-    /// Takes in news. Returns whether the fleet changed.
-    fn take(&mut self, news: SiteNews, now: Timestamp) -> bool {
-        match news {
-            SiteNews::Document(document) => {
+    /// Applies an update. Returns whether the fleet may have changed.
+    fn apply(&mut self, update: SiteUpdate, now: Timestamp) -> bool {
+        match update {
+            SiteUpdate::Document(document) => {
                 let (version, known) = (document.version, self.state.version());
                 let newer = self.state.configure(*document);
                 log::info!(step = "read site", version:% = version, known:? = known, newer = newer; "a configuration was read");
                 return newer;
             }
-            SiteNews::Servers(entries, back) => {
+            SiteUpdate::Servers(entries, recovered) => {
                 log::info!(step = "read site", servers = entries.len(); "the list of servers was read");
-                self.state.set_servers(entries, back, now);
+                self.state.set_servers(entries, recovered, now);
             }
-            SiteNews::Server(entry) => {
+            SiteUpdate::Server(entry) => {
                 log::info!(
                     step = "read site", peer:% = entry.id, service:% = entry.service,
                     leaving = entry.leaving, incarnation:% = entry.incarnation,
@@ -88,11 +91,11 @@
                 );
                 self.state.update_server(*entry);
             }
-            SiteNews::Gone(id, back) => {
+            SiteUpdate::Removed(id, recovered) => {
                 log::info!(step = "read site", peer:% = id; "a server is no longer listed");
-                self.state.remove_server(&id, back, now);
+                self.state.remove_server(&id, recovered, now);
             }
-            SiteNews::Weights(named, since) => {
+            SiteUpdate::Weights(named, since) => {
                 let age = u64::try_from(now.since(since).as_millis()).unwrap_or(u64::MAX);
                 log::info!(step = "read site", model:% = named.model, weights:% = named.version, age_ms = age; "weights were named");
                 return self.state.add_named(named, since);
@@ -101,13 +104,14 @@
         true
     }
 
-    fn pass_on(&mut self) {
+    /// Builds the fleet and sends it to the other duties.
+    fn publish(&mut self) {
         let Some(fleet) = self.state.build_fleet() else {
             return;
         };
         self.serving.set_limits(fleet.limits);
         let fleet = Arc::new(fleet);
-        // Both duties end only with the process.
+        // Sending cannot fail: both duties run until the process ends.
         let _ = self
             .admit
             .send(AdmitMessage::Configured(Arc::clone(&fleet)));
--- a/azureway-entry/src/site/kind.rs
+++ b/azureway-entry/src/site/kind.rs
@@ -1,21 +1,21 @@
-//! The kinds of objects that a site's platform holds for the system.
+//! The kinds of platform objects that describe a site.
 
 /// The kinds of objects that a site's platform holds for the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiteKind {
-    /// The configuration.
+    /// Versions of the configuration.
     Document,
-    /// The backend servers.
+    /// The entries of the backend servers.
     Servers,
-    /// The weights that operators name.
+    /// The weights that operators have named.
     Weights,
 }
 
 impl SiteKind {
-    /// Every kind.
+    /// Every kind, each of which has a watcher of its own.
     pub const ALL: [Self; 3] = [Self::Document, Self::Servers, Self::Weights];
 
-    /// Returns the name of the kind, for logs and threads.
+    /// Returns the name of the kind in logs and thread names.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Document => "document",
--- a/azureway-entry/src/site/mod.rs
+++ b/azureway-entry/src/site/mod.rs
@@ -1,16 +1,17 @@
-//! Hearing a site whose platform lists its backend servers and holds its configuration.
+//! Reading a site whose platform lists its backend servers and holds its configuration.
 //!
-//! A [`SiteWatcher`] a kind keeps a watch and reads what it brings by the site's
-//! [`SiteCodec`]; the [`SiteDuty`] composes all that was read into one fleet and passes it on.
+//! One [`SiteWatcher`] for each [`SiteKind`] watches the platform and decodes the objects with the
+//! site's [`SiteCodec`]. The [`SiteDuty`] builds one fleet from their updates and sends it to the
+//! other duties.
 
 mod codec;
 mod duty;
 mod kind;
-mod news;
+mod update;
 mod watcher;
 
 pub use codec::SiteCodec;
 pub use duty::SiteDuty;
 pub use kind::SiteKind;
-pub use news::SiteNews;
-pub use watcher::{SITE_WAIT, SiteWatcher};
+pub use update::SiteUpdate;
+pub use watcher::{POLL_TIMEOUT, SiteWatcher};
--- a/azureway-entry/src/site/watcher.rs
+++ b/azureway-entry/src/site/watcher.rs
@@ -1,4 +1,4 @@
-//! Watching one kind of objects of a site.
+//! Watching one kind of platform object of a site.
 
 use std::thread;
 use std::time::Duration;
@@ -8,62 +8,63 @@
 use azureway_wire::object::{ObjectBody, ObjectList};
 use flume::Sender;
 
-use super::{SiteCodec, SiteKind, SiteNews};
+use super::{SiteCodec, SiteKind, SiteUpdate};
 use crate::clock::Clock;
 
-/// Watches one kind of objects of a site and passes on what it reads.
+/// Watches one kind of platform object of a site and sends the decoded updates to the site duty.
 #[derive(Debug)]
 pub struct SiteWatcher<A, C> {
     api: A,
     codec: C,
     kind: SiteKind,
-    news: Sender<SiteNews>,
+    updates: Sender<SiteUpdate>,
     clock: Clock,
-    plan: WatchSchedule,
-    /// Since when the platform cannot be asked.
-    away: Option<Timestamp>,
-    /// When the platform was last back.
-    back: Option<Timestamp>,
+    schedule: WatchSchedule,
+    /// When the current outage of the platform began.
+    lost: Option<Timestamp>,
+    /// When the platform last recovered from an outage.
+    recovered: Option<Timestamp>,
+    /// Whether the last call was a list call, and not a watch call.
     listed: bool,
     /// When the platform last answered.
     answered: Timestamp,
-    /// The earliest time at which what the last answer tells can have happened.
-    since: Timestamp,
+    /// The earliest time at which the changes in the last answer can have happened.
+    earliest: Timestamp,
 }
 
 impl<A: ObjectApi, C: SiteCodec> SiteWatcher<A, C> {
-    /// Creates the duty of a kind. What the first answer tells counts as having happened at
-    /// `first` at the earliest.
+    /// Creates the watcher of `kind`. The content of the first answer counts as having changed at
+    /// `named_since` at the earliest.
     pub fn new(
         api: A,
         codec: C,
         kind: SiteKind,
-        news: Sender<SiteNews>,
+        updates: Sender<SiteUpdate>,
         clock: Clock,
-        plan: WatchSchedule,
-        first: Timestamp,
+        schedule: WatchSchedule,
+        named_since: Timestamp,
     ) -> Self {
         Self {
             api,
             codec,
             kind,
-            news,
+            updates,
             clock,
-            plan,
-            away: None,
-            back: None,
+            schedule,
+            lost: None,
+            recovered: None,
             listed: false,
-            answered: first,
-            since: first,
+            answered: named_since,
+            earliest: named_since,
         }
     }
 
-    /// Runs for as long as the process does.
+    /// Runs until the site duty ends.
     pub fn run(mut self) {
         let kind = self.codec.kind(self.kind);
         loop {
-            let asked = self.clock.now();
-            let answer = match self.plan.next(self.clock.now()) {
+            let start = self.clock.now();
+            let answer = match self.schedule.next(self.clock.now()) {
                 WatchStep::Wait(until) => {
                     thread::park_timeout(until.since(self.clock.now()));
                     continue;
@@ -78,98 +79,102 @@
                 }
             };
             let now = self.clock.now();
-            // A watch that had to wait has told of a change at once.
-            let waited = !self.listed && now.since(asked) > WAITED;
-            self.since = if waited { now } else { self.answered };
-            if !self.take(answer, now) {
+            // A watch call that blocked returned at the moment of the change.
+            let blocked = !self.listed && now.since(start) > BLOCKED_MIN;
+            self.earliest = if blocked { now } else { self.answered };
+            if !self.handle_answer(answer, now) {
                 return;
             }
         }
     }
 
-    /// Takes in an answer. Returns whether anybody still hears the news.
-    fn take(&mut self, answer: Result<ObjectList, Error>, now: Timestamp) -> bool {
+    /// Handles an answer. Returns whether the site duty still receives updates.
+    fn handle_answer(&mut self, answer: Result<ObjectList, Error>, now: Timestamp) -> bool {
         match answer {
             Ok(list) => {
-                self.note_back(now);
+                self.record_recovery(now);
                 self.answered = now;
-                self.plan.record_success(list.version, now);
-                self.pass_on(&list)
+                self.schedule.record_success(list.version, now);
+                self.send_updates(&list)
             }
             Err(e) => {
-                self.note_away(&e, now);
-                self.plan.record_failure(e.kind(), now);
+                self.record_outage(&e, now);
+                self.schedule.record_failure(e.kind(), now);
                 true
             }
         }
     }
 
-    fn note_away(&mut self, error: &Error, now: Timestamp) {
-        if self.away.is_none() {
+    fn record_outage(&mut self, error: &Error, now: Timestamp) {
+        if self.lost.is_none() {
             log::warn!(step = "watch site", kind = self.kind.as_str(), error:% = error; "the platform is lost");
-            self.away = Some(now);
+            self.lost = Some(now);
         }
     }
 
-    fn note_back(&mut self, now: Timestamp) {
-        if let Some(since) = self.away.take() {
+    fn record_recovery(&mut self, now: Timestamp) {
+        if let Some(since) = self.lost.take() {
             let millis = u64::try_from(now.since(since).as_millis()).unwrap_or(u64::MAX);
             log::info!(step = "watch site", kind = self.kind.as_str(), away_ms = millis; "the platform is back");
-            self.back = Some(now);
+            self.recovered = Some(now);
         }
     }
 
-    fn pass_on(&self, list: &ObjectList) -> bool {
+    fn send_updates(&self, list: &ObjectList) -> bool {
         match self.kind {
             SiteKind::Servers if self.listed => {
                 let entries = list.objects.iter().filter(|o| !o.deleted);
-                let entries = entries.filter_map(|o| self.read(o, self.codec.server(o)));
-                self.tell(SiteNews::Servers(entries.collect(), self.back))
+                let entries = entries.filter_map(|o| self.check(o, self.codec.server(o)));
+                self.send(SiteUpdate::Servers(entries.collect(), self.recovered))
             }
-            _ => list.objects.iter().all(|o| self.pass_one(o)),
+            _ => list.objects.iter().all(|o| self.send_update(o)),
         }
     }
 
-    fn pass_one(&self, object: &ObjectBody) -> bool {
-        let news = match self.kind {
-            SiteKind::Servers if object.deleted => {
-                Some(SiteNews::Gone(ServerId::new(&object.name), self.back))
-            }
-            // What cannot be read names no server to use, whatever stood there before.
-            SiteKind::Servers => Some(self.read(object, self.codec.server(object)).map_or_else(
-                || SiteNews::Gone(ServerId::new(&object.name), None),
-                |entry| SiteNews::Server(Box::new(entry)),
+    fn send_update(&self, object: &ObjectBody) -> bool {
+        let update = match self.kind {
+            SiteKind::Servers if object.deleted => Some(SiteUpdate::Removed(
+                ServerId::new(&object.name),
+                self.recovered,
+            )),
+            // An entry that cannot be decoded describes no usable server, so that the server is
+            // removed even if its previous entry was valid.
+            SiteKind::Servers => Some(self.check(object, self.codec.server(object)).map_or_else(
+                || SiteUpdate::Removed(ServerId::new(&object.name), None),
+                |entry| SiteUpdate::Server(Box::new(entry)),
             )),
-            // Neither a configuration nor weights are ever taken back.
+            // Deleting a configuration or weights does not undo them.
             _ if object.deleted => None,
             SiteKind::Document => self
-                .read(object, self.codec.document(object))
+                .check(object, self.codec.document(object))
                 .flatten()
-                .map(|d| SiteNews::Document(Box::new(d))),
+                .map(|d| SiteUpdate::Document(Box::new(d))),
             SiteKind::Weights => self
-                .read(object, self.codec.weights(object))
-                .map(|named| SiteNews::Weights(named, self.since)),
+                .check(object, self.codec.weights(object))
+                .map(|named| SiteUpdate::Weights(named, self.earliest)),
         };
-        news.is_none_or(|n| self.tell(n))
+        update.is_none_or(|u| self.send(u))
     }
 
-    fn read<T>(&self, object: &ObjectBody, read: Result<T, Error>) -> Option<T> {
-        read.inspect_err(|e| {
-            log::warn!(
-                step = "read site", kind = self.kind.as_str(), name = object.name.as_str(),
-                revision = object.version, error:% = e; "an object is not understood"
-            );
-        })
-        .ok()
+    /// Returns the decoded object, or logs the error.
+    fn check<T>(&self, object: &ObjectBody, decoded: Result<T, Error>) -> Option<T> {
+        decoded
+            .inspect_err(|e| {
+                log::warn!(
+                    step = "read site", kind = self.kind.as_str(), name = object.name.as_str(),
+                    revision = object.version, error:% = e; "an object cannot be decoded"
+                );
+            })
+            .ok()
     }
 
-    fn tell(&self, news: SiteNews) -> bool {
-        self.news.send(news).is_ok()
+    fn send(&self, update: SiteUpdate) -> bool {
+        self.updates.send(update).is_ok()
     }
 }
 
-/// The time of a call beyond which it has waited for a change.
-const WAITED: Duration = Duration::from_millis(100);
-/// How long the platform keeps a watch of a site that has no news: a connection that goes
-/// silent is then noticed within the time that a change may take.
-pub const SITE_WAIT: Duration = Duration::from_secs(2);
+/// Duration of a watch call above which it is taken to have blocked until a change.
+const BLOCKED_MIN: Duration = Duration::from_millis(100);
+/// How long the platform holds a watch call open when nothing changes. It is short enough that a
+/// connection that fails silently is noticed within the time limit of a change.
+pub const POLL_TIMEOUT: Duration = Duration::from_secs(2);
