--- a/azureway-entry/src/relay/attempt_error.rs
+++ b/azureway-entry/src/relay/attempt_error.rs
@@ -1,23 +1,23 @@
-//! Why a try did not end well.
+//! The error of an attempt.
 
 use std::io;
 
 use azureway_core::prelude::{FailureKind, SendState};
 
-/// Why a try did not end well.
+/// The reason why an attempt did not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptError {
-    /// The caller is gone, and nobody waits for the answer.
+    /// The caller has disconnected, so the answer is not needed.
     CallerDisconnected,
-    /// The backend server failed or refused.
+    /// The backend server failed or rejected the request.
     Server(FailureKind, SendState),
 }
 
 impl AttemptError {
-    /// Reads the error of a request that could not be sent or whose head did not come.
+    /// Returns the error of a request that was not sent or whose answer's head was not received.
     pub fn from_send(error: &attohttpc::Error) -> Self {
         match error.kind() {
-            // Only a refused connection proves that no byte has arrived.
+            // Only a refused connection proves that the server received nothing.
             attohttpc::ErrorKind::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
                 Self::Server(FailureKind::Unreachable, SendState::Unsent)
             }
@@ -26,16 +26,16 @@
         }
     }
 
-    /// Reads the error of an answer that broke off.
+    /// Returns the error of an answer that was cut short.
     pub fn from_read(error: &io::Error) -> Self {
-        // The system gives up a connection whose other end acknowledges nothing: it is lost,
-        // while one that only stayed silent for as long as a read waits may still work.
-        let given_up = error.raw_os_error() == Some(rustix::io::Errno::TIMEDOUT.raw_os_error());
-        let waited = matches!(
+        // ETIMEDOUT means that the peer no longer acknowledges bytes: the connection is lost. A
+        // read that only reached its timeout leaves a connection that may still work.
+        let lost = error.raw_os_error() == Some(rustix::io::Errno::TIMEDOUT.raw_os_error());
+        let timed_out = matches!(
             error.kind(),
             io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock
         );
-        let silent = waited && !given_up;
+        let silent = timed_out && !lost;
         let kind = if silent {
             FailureKind::Silent
         } else {
@@ -44,7 +44,7 @@
         Self::Server(kind, SendState::MaybeRun)
     }
 
-    /// Reads the error that a model engine's status tells, if it tells one.
+    /// Returns the error that a status code of a model engine stands for, if any.
     pub const fn from_status(status: u16) -> Option<Self> {
         match status {
             409 => Some(Self::Server(FailureKind::Mismatch, SendState::Rejected)),
--- a/azureway-entry/src/relay/gap_meter.rs
+++ b/azureway-entry/src/relay/gap_meter.rs
@@ -1,4 +1,4 @@
-//! The time between the events of a stream.
+//! Measuring the time between the events of a stream.
 
 use std::time::{Duration, Instant};
 
@@ -7,42 +7,44 @@
 
 use crate::meter::MetricEvent;
 
-/// The time between the events of a stream, told to the measuring duty some at a time.
+/// Measures the time between the events of a stream and reports it in batches to the metering
+/// duty.
 #[derive(Debug)]
 pub struct GapMeter {
     rank: Rank,
-    last: Option<Instant>,
+    last_event: Option<Instant>,
     gaps: Vec<Duration>,
     meter: Sender<MetricEvent>,
 }
 
-/// The gaps that are told at once.
-const BATCH: usize = 32;
+/// The number of gaps that are reported together.
+const BATCH_SIZE: usize = 32;
 
 impl GapMeter {
-    /// Creates the pace of a stream of `rank` that has not begun.
+    /// Creates the meter of a stream of `rank` that has no events yet.
     pub const fn new(rank: Rank, meter: Sender<MetricEvent>) -> Self {
         Self {
             rank,
-            last: None,
+            last_event: None,
             gaps: Vec::new(),
             meter,
         }
     }
 
-    /// Notes an event.
-    pub fn tick(&mut self) {
+    /// Records an event.
+    pub fn record_event(&mut self) {
         let now = Instant::now();
-        if let Some(last) = self.last.replace(now) {
+        if let Some(last) = self.last_event.replace(now) {
             self.gaps.push(now.duration_since(last));
         }
-        if self.gaps.len() >= BATCH {
-            self.tell();
+        if self.gaps.len() >= BATCH_SIZE {
+            self.flush();
         }
     }
 
-    /// Tells what has been noted. Gaps that find the ring full are lost: streams do not wait.
-    fn tell(&mut self) {
+    /// Reports the recorded gaps. They are dropped if the ring is full, so that a stream never
+    /// waits for its metrics.
+    fn flush(&mut self) {
         if !self.gaps.is_empty() {
             let gaps = std::mem::take(&mut self.gaps);
             let _ = self.meter.try_send(MetricEvent::TokenGaps(self.rank, gaps));
@@ -52,6 +54,6 @@
 
 impl Drop for GapMeter {
     fn drop(&mut self) {
-        self.tell();
+        self.flush();
     }
 }
--- a/azureway-entry/src/relay/launch.rs
+++ b/azureway-entry/src/relay/launch.rs
@@ -1,4 +1,4 @@
-//! The way of a try to a backend server.
+//! Starting and cancelling attempts at backend servers.
 
 use std::sync::Arc;
 
@@ -8,11 +8,15 @@
 use crate::admit::UpstreamRequest;
 use crate::caller::AnswerChunk;
 
-/// Starts a duty for each try, and stops those whose callers are gone.
+/// Starts a thread for each attempt and cancels attempts whose callers have disconnected.
 pub trait Launch {
-    /// Starts a try and returns the ring of its answer.
-    fn launch(&mut self, order: Dispatch, upstream: Arc<UpstreamRequest>) -> Receiver<AnswerChunk>;
+    /// Starts an attempt and returns the ring of its answer's chunks.
+    fn launch(
+        &mut self,
+        dispatch: Dispatch,
+        upstream: Arc<UpstreamRequest>,
+    ) -> Receiver<AnswerChunk>;
 
-    /// Stops a try, if it still runs.
+    /// Cancels an attempt if it still runs.
     fn cancel(&mut self, attempt: Attempt);
 }
--- a/azureway-entry/src/relay/mod.rs
+++ b/azureway-entry/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! The relaying duty: one thread for each try at a backend server.
+//! The relaying duty: one thread for each attempt at a backend server.
 
 mod attempt_error;
 mod gap_meter;
--- a/azureway-entry/src/relay/relay_attempt.rs
+++ b/azureway-entry/src/relay/relay_attempt.rs
@@ -1,4 +1,4 @@
-//! One try at a backend server.
+//! One attempt of the relay at a backend server.
 
 use std::io::{BufRead, BufReader, Read};
 use std::sync::Arc;
@@ -16,101 +16,103 @@
 use crate::caller::AnswerChunk;
 use crate::decide::DecideMessage;
 
-/// One try at a backend server: sends the request and passes the answer on.
+/// One attempt at a backend server: sends the request and forwards the answer.
 #[derive(Debug)]
 pub struct RelayAttempt {
-    order: Dispatch,
+    dispatch: Dispatch,
     upstream: Arc<UpstreamRequest>,
     bounds: Bounds,
     chunks: Sender<AnswerChunk>,
     decide: Sender<DecideMessage>,
-    pace: GapMeter,
-    next: StreamPosition,
+    gap_meter: GapMeter,
+    next_position: StreamPosition,
     cached: TokenCount,
     output: TokenCount,
-    kept: Option<ShortAnswer>,
+    stored_answer: Option<ShortAnswer>,
 }
 
-/// The bytes of a whole answer at most.
-const WHOLE_MAX: u64 = 16 * 1024 * 1024;
-/// The bytes of a line of a stream at most.
-const LINE_MAX: u64 = 1024 * 1024;
+/// The largest body of an answer that is not streamed, in bytes.
+const MAX_BODY_SIZE: u64 = 16 * 1024 * 1024;
+/// The longest line of a stream, in bytes.
+const MAX_LINE_SIZE: u64 = 1024 * 1024;
 
 impl RelayAttempt {
-    /// Creates a try.
+    /// Creates an attempt that has not sent anything.
     pub fn new(
-        order: Dispatch,
+        dispatch: Dispatch,
         upstream: Arc<UpstreamRequest>,
         bounds: Bounds,
         chunks: Sender<AnswerChunk>,
         decide: Sender<DecideMessage>,
-        pace: GapMeter,
+        gap_meter: GapMeter,
     ) -> Self {
-        let next = order.position;
+        let next_position = dispatch.position;
         let (cached, output) = (TokenCount::ZERO, TokenCount::ZERO);
         Self {
-            order,
+            dispatch,
             upstream,
             bounds,
             chunks,
             decide,
-            pace,
-            next,
+            gap_meter,
+            next_position,
             cached,
             output,
-            kept: None,
+            stored_answer: None,
         }
     }
 
-    /// Runs the try and reports how it ended.
+    /// Runs the attempt and reports its outcome to the deciding duty.
     pub fn run(mut self) {
-        let attempt = self.order.attempt;
-        match self.serve() {
+        let attempt = self.dispatch.attempt;
+        match self.relay() {
             Ok(()) => {
                 let finish = Finish {
                     attempt,
                     cached: self.cached,
                     output: self.output,
                 };
-                let _ = self.decide.send(match self.kept {
+                let _ = self.decide.send(match self.stored_answer {
                     Some(answer) => DecideMessage::Answered(finish, answer),
                     None => DecideMessage::Finished(finish),
                 });
             }
-            // The connection itself has reported that its caller is gone.
+            // The caller's connection has reported the disconnect.
             Err(AttemptError::CallerDisconnected) => {}
             Err(AttemptError::Server(kind, sent)) => {
                 let failure = Failure {
                     attempt,
                     kind,
                     sent,
-                    position: self.next,
+                    position: self.next_position,
                 };
                 let _ = self.decide.send(DecideMessage::Failed(failure));
             }
         }
     }
 
-    fn serve(&mut self) -> Result<(), AttemptError> {
+    fn relay(&mut self) -> Result<(), AttemptError> {
         let answer = self
-            .request()?
+            .build_request()?
             .send()
             .map_err(|e| AttemptError::from_send(&e))?;
         match self.upstream.kind {
-            ServiceKind::Plain => self.pass_whole(answer),
+            ServiceKind::Plain => self.forward_complete(answer),
             ServiceKind::Model => match AttemptError::from_status(answer.status().as_u16()) {
                 Some(error) => Err(error),
-                None if answer.is_success() => self.pass_stream(answer),
-                None => self.pass_whole(answer),
+                None if answer.is_success() => self.forward_stream(answer),
+                None => self.forward_complete(answer),
             },
         }
     }
 
-    fn request(&self) -> Result<RequestBuilder<attohttpc::body::Bytes<Arc<[u8]>>>, AttemptError> {
+    fn build_request(
+        &self,
+    ) -> Result<RequestBuilder<attohttpc::body::Bytes<Arc<[u8]>>>, AttemptError> {
         let faulty = AttemptError::Server(FailureKind::Faulty, SendState::Unsent);
         let method = Method::from_bytes(self.upstream.method.as_bytes()).map_err(|_| faulty)?;
-        let url = format!("http://{}{}", self.order.address, self.upstream.path);
-        let order = &self.order;
+        let url = format!("http://{}{}", self.dispatch.address, self.upstream.path);
+        let dispatch = &self.dispatch;
         let request = RequestBuilder::try_new(method, url).map_err(|_| faulty)?;
         let mut request = request
             .connect_timeout(self.bounds.connect)
@@ -119,12 +121,12 @@
             .proxy_settings(attohttpc::ProxySettings::builder().build())
             .try_header("content-type", self.upstream.content_type.as_ref())
             .map_err(|_| faulty)?
-            .header(header::ATTEMPT, order.attempt.to_string())
-            .header(header::RANK, order.rank.as_str())
-            .header(header::SALT, order.salt.number().to_string())
-            .header(header::WEIGHTS, order.weights.to_string())
-            .header(header::RESUME, order.position.to_string());
-        if let Some(incarnation) = order.incarnation {
+            .header(header::ATTEMPT, dispatch.attempt.to_string())
+            .header(header::RANK, dispatch.rank.as_str())
+            .header(header::SALT, dispatch.salt.number().to_string())
+            .header(header::WEIGHTS, dispatch.weights.to_string())
+            .header(header::RESUME, dispatch.position.to_string());
+        if let Some(incarnation) = dispatch.incarnation {
             request = request.header(header::INCARNATION, incarnation.to_string());
         }
         let account = self.upstream.account.as_str();
@@ -141,40 +143,45 @@
         Ok(request.bytes(Arc::clone(&self.upstream.body)))
     }
 
-    fn pass_whole(&mut self, answer: Response) -> Result<(), AttemptError> {
+    fn forward_complete(&mut self, answer: Response) -> Result<(), AttemptError> {
         let (status, headers, reader) = answer.split();
-        let media = headers.get("content-type").and_then(|v| v.to_str().ok());
-        let media = media.unwrap_or("application/octet-stream");
+        let content_type = headers.get("content-type").and_then(|v| v.to_str().ok());
+        let content_type = content_type.unwrap_or("application/octet-stream");
         let mut body = Vec::new();
-        let read = reader.take(WHOLE_MAX + 1).read_to_end(&mut body);
+        let read = reader.take(MAX_BODY_SIZE + 1).read_to_end(&mut body);
         read.map_err(|e| AttemptError::from_read(&e))?;
         let length = headers.get("content-length").and_then(|v| v.to_str().ok());
-        let cut = length.is_some_and(|l| l.parse() != Ok(body.len()));
-        if cut || body.len() as u64 > WHOLE_MAX {
+        let cut_short = length.is_some_and(|l| l.parse() != Ok(body.len()));
+        if cut_short || body.len() as u64 > MAX_BODY_SIZE {
             return Err(AttemptError::Server(
                 FailureKind::Broken,
                 SendState::MaybeRun,
             ));
         }
-        self.note_start();
-        self.kept = self.keep(status.as_u16(), media, &body);
-        // The server has run the request to its end, also if the caller is gone.
-        let _ = self.pass(AnswerChunk::Complete(status.as_u16(), media.into(), body));
+        self.report_start();
+        self.stored_answer = self.storable(status.as_u16(), content_type, &body);
+        // The server has completed the request even if the caller has disconnected.
+        let _ = self.send_chunk(AnswerChunk::Complete(
+            status.as_u16(),
+            content_type.into(),
+            body,
+        ));
         Ok(())
     }
 
-    /// Returns the answer if its claim may keep it.
-    fn keep(&self, status: u16, media: &str, body: &[u8]) -> Option<ShortAnswer> {
+    /// Returns the answer as the request's claim stores it, or `None` if the request has no
+    /// idempotency key or the answer cannot be stored.
+    fn storable(&self, status: u16, content_type: &str, body: &[u8]) -> Option<ShortAnswer> {
         self.upstream.idempotency_key.as_ref()?;
-        ShortAnswer::new(status, media, body)
+        ShortAnswer::new(status, content_type, body)
     }
 
-    fn pass_stream(&mut self, answer: Response) -> Result<(), AttemptError> {
+    fn forward_stream(&mut self, answer: Response) -> Result<(), AttemptError> {
         let (_, headers, reader) = answer.split();
-        // An answer to another request must not reach this caller.
+        // The answer to another request must not reach this caller.
         if headers
             .get(header::ATTEMPT)
-            .is_some_and(|a| *a != self.order.attempt.to_string())
+            .is_some_and(|a| *a != self.dispatch.attempt.to_string())
         {
             return Err(AttemptError::Server(
                 FailureKind::Faulty,
@@ -183,7 +190,7 @@
         }
         let mut reader = BufReader::new(reader);
         let mut line = String::new();
-        let mut position = self.next;
+        let mut position = self.next_position;
         let mut data = String::new();
         loop {
             read_line(&mut reader, &mut line)?;
@@ -195,45 +202,48 @@
                 SseLine::Data(text) => data.push_str(text),
                 SseLine::End if data.is_empty() => {}
                 SseLine::End => {
-                    self.event(position, &data)?;
+                    self.forward_event(position, &data)?;
                     if data == SseLine::DONE {
-                        return self.pass(AnswerChunk::End);
+                        return self.send_chunk(AnswerChunk::End);
                     }
                     data.clear();
-                    position = self.next;
+                    position = self.next_position;
                 }
                 SseLine::Other => {}
             }
         }
     }
 
-    fn event(&mut self, position: StreamPosition, data: &str) -> Result<(), AttemptError> {
-        if position < self.next {
+    /// Forwards an event, unless the caller has already received it.
+    fn forward_event(&mut self, position: StreamPosition, data: &str) -> Result<(), AttemptError> {
+        if position < self.next_position {
             return Ok(());
         }
-        if position > self.next {
-            // Events are missing: the stream is resumed where it stopped.
+        if position > self.next_position {
+            // Events are missing: the next attempt resumes the stream at the first missing one.
             return Err(AttemptError::Server(
                 FailureKind::Broken,
                 SendState::MaybeRun,
             ));
         }
-        if self.next == self.order.position {
-            self.note_start();
+        if self.next_position == self.dispatch.position {
+            self.report_start();
         }
-        self.pace.tick();
-        self.note_usage(data);
-        self.pass(AnswerChunk::Event(position, data.into()))?;
-        self.next = position.next();
+        self.gap_meter.record_event();
+        self.record_usage(data);
+        self.send_chunk(AnswerChunk::Event(position, data.into()))?;
+        self.next_position = position.next();
         self.output += TokenCount::new(1);
         Ok(())
     }
 
-    fn note_start(&self) {
-        let _ = self.decide.send(DecideMessage::Started(self.order.attempt));
+    fn report_start(&self) {
+        let _ = self
+            .decide
+            .send(DecideMessage::Started(self.dispatch.attempt));
     }
 
-    fn note_usage(&mut self, data: &str) {
+    fn record_usage(&mut self, data: &str) {
         if !data.contains("\"usage\"") {
             return;
         }
@@ -243,21 +253,21 @@
         }
     }
 
-    fn pass(&self, chunk: AnswerChunk) -> Result<(), AttemptError> {
+    fn send_chunk(&self, chunk: AnswerChunk) -> Result<(), AttemptError> {
         self.chunks
             .send(chunk)
             .map_err(|_| AttemptError::CallerDisconnected)
     }
 }
 
-/// Reads one line. The end of the answer before its last event is a failure.
+/// Reads one line. The end of the answer before its last event is an error.
 fn read_line(
     reader: &mut BufReader<ResponseReader>,
     line: &mut String,
 ) -> Result<(), AttemptError> {
     line.clear();
     let count = reader
-        .take(LINE_MAX)
+        .take(MAX_LINE_SIZE)
         .read_line(line)
         .map_err(|e| AttemptError::from_read(&e))?;
     if count == 0 || !line.ends_with('\n') {
@@ -269,7 +279,7 @@
     Ok(())
 }
 
-/// Tells whether a name can be sent in a header. One that cannot is left out.
+/// Returns whether a name can be sent in a header. Others are left out.
 fn is_header_text(name: &str) -> bool {
     name.bytes().all(|b| (b' '..=b'~').contains(&b))
 }
--- a/azureway-entry/src/relay/relay_launcher.rs
+++ b/azureway-entry/src/relay/relay_launcher.rs
@@ -1,4 +1,4 @@
-//! Starting relays.
+//! Starting the attempts of the relay.
 
 use std::sync::Arc;
 use std::thread;
@@ -13,8 +13,8 @@
 use crate::decide::DecideMessage;
 use crate::meter::MetricEvent;
 
-/// Starts a relay for each try. The decisions bound how many there are by the slots of the
-/// backend servers.
+/// Starts a thread for each attempt. The router bounds their number by the slots of the backend
+/// servers.
 #[derive(Clone, Debug)]
 pub struct RelayLauncher {
     decide: Sender<DecideMessage>,
@@ -22,14 +22,14 @@
     bounds: Bounds,
 }
 
-/// The chunks that wait for a caller's connection; a relay that finds the ring full waits,
-/// and the backend server is held back by its connection.
-const CHUNKS: usize = 64;
-/// The stack of a relay's thread, in bytes.
+/// The capacity of the ring to a caller's connection. An attempt that finds it full blocks, which
+/// slows the backend server down through TCP flow control.
+const CHUNK_CAPACITY: usize = 64;
+/// The stack size of an attempt's thread, in bytes.
 const STACK_SIZE: usize = 256 * 1024;
 
 impl RelayLauncher {
-    /// Creates a launcher whose relays report to `decide` and measure to `meter`.
+    /// Creates a launcher whose attempts report to `decide` and send metrics to `meter`.
     pub const fn new(
         decide: Sender<DecideMessage>,
         meter: Sender<MetricEvent>,
@@ -44,22 +44,26 @@
 }
 
 impl Launch for RelayLauncher {
-    fn launch(&mut self, order: Dispatch, upstream: Arc<UpstreamRequest>) -> Receiver<AnswerChunk> {
-        let (sender, chunks) = flume::bounded(CHUNKS);
-        let attempt = order.attempt;
-        let pace = GapMeter::new(order.rank, self.meter.clone());
+    fn launch(
+        &mut self,
+        dispatch: Dispatch,
+        upstream: Arc<UpstreamRequest>,
+    ) -> Receiver<AnswerChunk> {
+        let (sender, chunks) = flume::bounded(CHUNK_CAPACITY);
+        let attempt = dispatch.attempt;
+        let gap_meter = GapMeter::new(dispatch.rank, self.meter.clone());
         let (bounds, decide) = (self.bounds.clone(), self.decide.clone());
-        let relay = RelayAttempt::new(order, upstream, bounds, sender, decide, pace);
+        let relay = RelayAttempt::new(dispatch, upstream, bounds, sender, decide, gap_meter);
         let thread = thread::Builder::new()
             .name("relay".to_owned())
             .stack_size(STACK_SIZE);
         if let Err(e) = thread.spawn(move || relay.run()) {
-            log::error!(request:% = attempt.id, step = "relay", error:% = e; "no thread");
+            log::error!(request:% = attempt.id, step = "relay", error:% = e; "starting a thread failed");
             report_unsent(&self.decide, attempt);
         }
         chunks
     }
 
-    /// The relay has lost its ring with the caller and stops by itself.
+    /// Does nothing: an attempt ends by itself when the receiver of its chunks is dropped.
     fn cancel(&mut self, _: Attempt) {}
 }
--- a/azureway-entry/src/relay/report_unsent.rs
+++ b/azureway-entry/src/relay/report_unsent.rs
@@ -1,12 +1,12 @@
-//! Reporting a try that never began.
+//! Reporting an attempt that was not started.
 
 use azureway_core::prelude::*;
 use flume::Sender;
 
 use crate::decide::DecideMessage;
 
-/// Reports a try of which no byte was sent, from the deciding duty itself, which must not wait
-/// for its own ring. If the message is lost, the request's deadline ends it.
+/// Reports an attempt that sent nothing. The deciding duty itself calls this and must not block on
+/// its own ring. If the ring is full, the message is lost and the request ends at its deadline.
 pub fn report_unsent(decide: &Sender<DecideMessage>, attempt: Attempt) {
     let failure = Failure {
         attempt,
@@ -15,6 +15,6 @@
         position: StreamPosition::ZERO,
     };
     if decide.try_send(DecideMessage::Failed(failure)).is_err() {
-        log::error!(request:% = attempt.id, step = "relay"; "a failure found the ring full");
+        log::error!(request:% = attempt.id, step = "relay"; "the ring is full, the failure of an attempt was dropped");
     }
 }
