--- a/azureway-core/tests/claims/world.rs
+++ b/azureway-core/tests/claims/world.rs
@@ -5,7 +5,7 @@
 
 use azureway_core::prelude::*;
 
-use crate::support::{Bench, fleet};
+use crate::support::{RouterFixture, fleet};
 
 /// The result of a submission, as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 /// An entry with its pending platform calls and its attempts at the backend server.
 struct Entry {
-    bench: Bench,
+    fixture: RouterFixture,
     calls: VecDeque<(ClaimOperation, ClaimCommand, ClaimStep)>,
     attempts: VecDeque<Attempt>,
     cut_off: bool,
@@ -56,7 +56,7 @@
     /// Creates a simulation of two entries, each with one slot at the backend server.
     pub fn new() -> Self {
         let entry = |_| Entry {
-            bench: bench(),
+            fixture: fixture(),
             calls: VecDeque::new(),
             attempts: VecDeque::new(),
             cut_off: false,
@@ -80,7 +80,7 @@
             return;
         }
         let sequence = self.submissions.len() as u64 + 1;
-        let mut request = self.entries[at].bench.request("small", &[body]);
+        let mut request = self.entries[at].fixture.request("small", &[body]);
         request.id = RequestId::new(at as u64 + 1, sequence);
         request.kind = RequestKind::AtMostOnce;
         request.idempotency_key = Some(IdempotencyKey::new(key));
@@ -91,7 +91,7 @@
             ran: false,
         };
         self.submissions.insert(request.id, submission);
-        self.tell(at, Event::Arrived(&request));
+        self.handle(at, Event::Arrived(&request));
     }
 
     /// Serves every pending platform call of an entry.
@@ -106,7 +106,7 @@
         };
         let reply = self.serve_step(at, &call, &step);
         match operation.next(reply) {
-            ClaimStep::Done(outcome) => self.tell(at, Event::Claim(&outcome)),
+            ClaimStep::Done(outcome) => self.handle(at, Event::Claim(&outcome)),
             next => self.entries[at].calls.push_front((operation, call, next)),
         }
         true
@@ -135,7 +135,7 @@
                 cached: TokenCount::ZERO,
                 output: TokenCount::ZERO,
             };
-            return self.tell(at, Event::Finished(&finish));
+            return self.handle(at, Event::Finished(&finish));
         };
         let kind = if sent == SendState::Unsent {
             FailureKind::Unreachable
@@ -148,7 +148,7 @@
             sent,
             position: StreamPosition::ZERO,
         };
-        self.tell(at, Event::Failed(&failure));
+        self.handle(at, Event::Failed(&failure));
     }
 
     /// Disconnects the caller of an entry's last request.
@@ -159,7 +159,7 @@
             if submission.result == CallerResult::None {
                 submission.result = CallerResult::Disconnected;
             }
-            self.tell(at, Event::CallerDisconnected(id));
+            self.handle(at, Event::CallerDisconnected(id));
         }
     }
 
@@ -192,9 +192,9 @@
     /// Advances the time of every entry.
     pub fn advance(&mut self, millis: u64) {
         for at in 0..self.entries.len() {
-            let bench = &mut self.entries[at].bench;
-            bench.now = bench.now + std::time::Duration::from_millis(millis);
-            self.tell(at, Event::Tick);
+            let fixture = &mut self.entries[at].fixture;
+            fixture.now = fixture.now + std::time::Duration::from_millis(millis);
+            self.handle(at, Event::Tick);
         }
     }
 
@@ -204,11 +204,11 @@
         ran.count()
     }
 
-    fn tell(&mut self, at: usize, event: Event<'_>) {
+    fn handle(&mut self, at: usize, event: Event<'_>) {
         if self.entries[at].crashed {
             return;
         }
-        for action in self.entries[at].bench.tell(event) {
+        for action in self.entries[at].fixture.handle(event) {
             self.perform(at, action);
         }
     }
@@ -282,15 +282,15 @@
 }
 
 /// Creates a router for a service of kind [`ServiceKind::Plain`].
-fn bench() -> Bench {
-    let mut bench = Bench::new(1, 1);
+fn fixture() -> RouterFixture {
+    let mut fixture = RouterFixture::new(1, 1);
     let (id, pool) = (ServiceId::new("advice"), PoolId::new("engines"));
     let service = ModelService::new(id, pool).with_kind(ServiceKind::Plain);
     let fleet = fleet(1, 1).with_service(service);
-    bench.tell(Event::Configured(
+    fixture.handle(Event::Configured(
         &fleet.with_version(ConfigVersion::new(2)),
     ));
-    bench
+    fixture
 }
 
 fn write_of(call: &ClaimCommand) -> (ClaimName, ClaimRecord) {
--- a/azureway-core/tests/farm/mod.rs
+++ b/azureway-core/tests/farm/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use azureway_core::prelude::*;
-use support::{Bench, failure, fleet};
+use support::{RouterFixture, failure, fleet};
 
 /// A try that runs: at which entry, of which body.
 type Try = (usize, String, Dispatch);
@@ -18,7 +18,7 @@
     pub crashes: usize,
     pub finished: usize,
     pub refused: Vec<Refusal>,
-    entries: Vec<Bench>,
+    entries: Vec<RouterFixture>,
     bodies: BTreeMap<(usize, RequestId), String>,
     running: Vec<Try>,
     lives: BTreeMap<ServerId, u64>,
@@ -33,7 +33,9 @@
             crashes: 0,
             finished: 0,
             refused: Vec::new(),
-            entries: (0..entries).map(|_| Bench::new(servers, 32)).collect(),
+            entries: (0..entries)
+                .map(|_| RouterFixture::new(servers, 32))
+                .collect(),
             bodies: BTreeMap::new(),
             running: Vec::new(),
             lives: lives.collect(),
@@ -48,7 +50,7 @@
         let mut request = self.entries[entry].request("small", &["house", "shop", body]);
         request.deadline = Deadline::new(self.entries[entry].now + Duration::from_secs(120));
         self.bodies.insert((entry, request.id), body.to_owned());
-        self.tell(entry, Event::Arrived(&request));
+        self.handle(entry, Event::Arrived(&request));
     }
 
     /// Lets the server of every try with a body crash, again and again until none runs.
@@ -125,7 +127,7 @@
                 pending: TokenCount::ZERO,
                 leaving: false,
             };
-            (0..self.entries.len()).for_each(|e| self.tell(e, Event::Load(&report)));
+            (0..self.entries.len()).for_each(|e| self.handle(e, Event::Load(&report)));
         }
     }
 
@@ -140,7 +142,7 @@
                     weights: None,
                 });
             }
-            self.tell(entry, Event::Configured(&fleet));
+            self.handle(entry, Event::Configured(&fleet));
         }
     }
 
@@ -151,15 +153,15 @@
             others
                 .collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|e| self.tell(e, Event::Strike(&strike)));
+                .for_each(|e| self.handle(e, Event::Strike(&strike)));
         }
     }
 
     /// Lets time pass.
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         for entry in 0..self.entries.len() {
             self.entries[entry].now = self.entries[entry].now + time;
-            self.tell(entry, Event::Tick);
+            self.handle(entry, Event::Tick);
         }
     }
 
@@ -167,8 +169,8 @@
     pub fn standing(&self, entry: usize, body: &str) -> SuspectStatus {
         let text = ["house", "shop", body].concat();
         let print = Fingerprint::of("small", "advice", text.as_bytes());
-        let bench = &self.entries[entry];
-        bench.router.suspect_status(&print, bench.now)
+        let fixture = &self.entries[entry];
+        fixture.router.suspect_status(&print, fixture.now)
     }
 
     /// Tells whether two suspects of an entry run on one server.
@@ -197,28 +199,28 @@
         let (hit, kept): (Vec<Try>, Vec<Try>) =
             std::mem::take(&mut self.running).into_iter().partition(hit);
         self.running = kept;
-        for (entry, _, order) in hit {
-            let failure = failure(&order, kind, SendState::MaybeRun, position);
-            self.tell(entry, Event::Failed(&failure));
+        for (entry, _, dispatch) in hit {
+            let failure = failure(&dispatch, kind, SendState::MaybeRun, position);
+            self.handle(entry, Event::Failed(&failure));
         }
     }
 
-    fn finish(&mut self, (entry, _, order): &Try) {
+    fn finish(&mut self, (entry, _, dispatch): &Try) {
         self.finished += 1;
         let finish = Finish {
-            attempt: order.attempt,
+            attempt: dispatch.attempt,
             cached: TokenCount::ZERO,
             output: TokenCount::new(1),
         };
-        self.tell(*entry, Event::Finished(&finish));
+        self.handle(*entry, Event::Finished(&finish));
     }
 
-    fn tell(&mut self, entry: usize, event: Event<'_>) {
-        for action in self.entries[entry].tell(event) {
+    fn handle(&mut self, entry: usize, event: Event<'_>) {
+        for action in self.entries[entry].handle(event) {
             match action {
-                Action::Dispatch(order) => {
-                    let body = self.bodies[&(entry, order.attempt.id)].clone();
-                    self.running.push((entry, body, order));
+                Action::Dispatch(dispatch) => {
+                    let body = self.bodies[&(entry, dispatch.attempt.id)].clone();
+                    self.running.push((entry, body, dispatch));
                 }
                 Action::Refuse(_, refusal) => self.refused.push(refusal),
                 Action::Cancel(attempt) => {
--- a/azureway-core/tests/floods.rs
+++ b/azureway-core/tests/floods.rs
@@ -7,7 +7,7 @@
 
 use azureway_core::prelude::*;
 use googletest::prelude::*;
-use support::{Bench, fleet, orders, refusals};
+use support::{RouterFixture, dispatches, fleet, refusals};
 
 /// The table of floods and of the bounds that must hold.
 const TABLE: &str = include_str!("../testdata/floods.txt");
@@ -55,7 +55,7 @@
 
 /// Runs a flood and returns its result.
 fn run_flood(sources: &[Vec<&str>]) -> FloodResult {
-    let mut bench = Bench::new(1, SLOTS);
+    let mut fixture = RouterFixture::new(1, SLOTS);
     let mut fleet = fleet(1, SLOTS).with_version(ConfigVersion::new(2));
     for source in sources.iter().filter(|s| s[0] == "limit") {
         let limit = TokenRate::new(source[2].parse().expect("a rate"));
@@ -66,11 +66,11 @@
         let account = fleet.accounts.get(&name).cloned();
         fleet = fleet.with_account(account.unwrap_or_else(|| ClientAccount::new(name)));
     }
-    bench.tell(Event::Configured(&fleet));
+    fixture.handle(Event::Configured(&fleet));
     let (mut result, mut open) = (FloodResult::default(), BTreeMap::new());
     let mut ends: Vec<(u64, Attempt)> = Vec::new();
     for millis in 0..FLOOD_MS {
-        let mut actions = bench.pass(Duration::from_millis(1));
+        let mut actions = fixture.advance(Duration::from_millis(1));
         let done = ends.iter().filter(|(at, _)| *at == millis);
         for attempt in done.map(|(_, a)| *a).collect::<Vec<_>>() {
             let (cached, output) = (TokenCount::ZERO, TokenCount::new(100));
@@ -79,21 +79,21 @@
                 cached,
                 output,
             };
-            actions.extend(bench.tell(Event::Finished(&finish)));
+            actions.extend(fixture.handle(Event::Finished(&finish)));
         }
         ends.retain(|(at, _)| *at > millis);
         for source in sources.iter().filter(|s| s[0] != "limit") {
             let rate: u64 = source[2].parse().expect("a rate");
             if millis * rate / 1_000 != (millis + 1) * rate / 1_000 {
-                let request = new_request(&mut bench, source[0], source[1]);
+                let request = new_request(&mut fixture, source[0], source[1]);
                 open.insert(request.id, (request.rank, source[1].to_owned()));
-                actions.extend(bench.tell(Event::Arrived(&request)));
+                actions.extend(fixture.handle(Event::Arrived(&request)));
             }
         }
-        for order in orders(&actions) {
-            let key = open.remove(&order.attempt.id).expect("sent once");
+        for dispatch in dispatches(&actions) {
+            let key = open.remove(&dispatch.attempt.id).expect("sent once");
             *result.tokens.entry(key).or_default() += COST;
-            ends.push((millis + SERVICE_MS, order.attempt));
+            ends.push((millis + SERVICE_MS, dispatch.attempt));
         }
         for action in &actions {
             if let Action::Refuse(id, _) = action {
@@ -105,14 +105,14 @@
     result
 }
 
-fn new_request(bench: &mut Bench, rank: &str, account: &str) -> Request {
-    let mut request = bench.request(account, &[&"p".repeat(400)]);
+fn new_request(fixture: &mut RouterFixture, rank: &str, account: &str) -> Request {
+    let mut request = fixture.request(account, &[&"p".repeat(400)]);
     request.rank = Rank::parse(rank).expect("a rank");
     let due = match request.rank {
         Rank::Urgent => 1,
         Rank::Drafting => 30,
     };
-    request.deadline = Deadline::new(bench.now + Duration::from_secs(due));
+    request.deadline = Deadline::new(fixture.now + Duration::from_secs(due));
     request
 }
 
@@ -137,46 +137,51 @@
 
 #[gtest]
 fn a_request_that_cannot_meet_its_deadline_is_refused_on_arrival() {
-    let mut bench = Bench::new(1, 1);
+    let mut fixture = RouterFixture::new(1, 1);
     let requests: Vec<_> = (0..40)
-        .map(|_| new_request(&mut bench, "drafting", "small"))
+        .map(|_| new_request(&mut fixture, "drafting", "small"))
         .collect();
     let mut sent = Vec::new();
     for request in &requests {
-        sent.extend(bench.tell(Event::Arrived(request)));
+        sent.extend(fixture.handle(Event::Arrived(request)));
     }
     // One request per second is served, which is a rate of 200 tokens per second.
     for _ in 0..3 {
-        let attempt = orders(&sent)[0].attempt;
-        bench.now = bench.now + Duration::from_secs(1);
+        let attempt = dispatches(&sent)[0].attempt;
+        fixture.now = fixture.now + Duration::from_secs(1);
         let (cached, output) = (TokenCount::ZERO, TokenCount::new(100));
-        sent = bench.tell(Event::Finished(&Finish {
+        sent = fixture.handle(Event::Finished(&Finish {
             attempt,
             cached,
             output,
         }));
     }
-    let early_deadline = new_request(&mut bench, "drafting", "small");
-    let refused = bench.tell(Event::Arrived(&early_deadline));
+    let early_deadline = new_request(&mut fixture, "drafting", "small");
+    let refused = fixture.handle(Event::Arrived(&early_deadline));
     expect_that!(refusals(&refused)[0].reason, eq(RefusalReason::Deadline));
     expect_that!(refusals(&refused)[0].not_run, eq(true));
-    let mut late_deadline = new_request(&mut bench, "drafting", "small");
-    late_deadline.deadline = Deadline::new(bench.now + Duration::from_secs(60));
-    expect_that!(bench.tell(Event::Arrived(&late_deadline)), is_empty());
+    let mut late_deadline = new_request(&mut fixture, "drafting", "small");
+    late_deadline.deadline = Deadline::new(fixture.now + Duration::from_secs(60));
+    expect_that!(fixture.handle(Event::Arrived(&late_deadline)), is_empty());
     // A request of another account does not wait behind these.
-    let other = new_request(&mut bench, "drafting", "large");
-    expect_that!(bench.tell(Event::Arrived(&other)), is_empty());
+    let other = new_request(&mut fixture, "drafting", "large");
+    expect_that!(fixture.handle(Event::Arrived(&other)), is_empty());
 }
 
 #[gtest]
 fn a_server_without_capacity_is_avoided_for_100_ms() {
-    let mut bench = Bench::new(1, 4);
-    let request = bench.request("small", &["house"]);
-    let sent = bench.tell(Event::Arrived(&request));
-    let busy = support::failure(orders(&sent)[0], FailureKind::Busy, SendState::Rejected, 0);
-    expect_that!(bench.tell(Event::Failed(&busy)), is_empty());
-    let wakeup = bench.router.next_wakeup().expect("something waits");
-    expect_that!(wakeup, eq(bench.now + Duration::from_millis(100)));
-    let again = bench.pass(Duration::from_millis(101));
-    expect_that!(orders(&again)[0].attempt.number, eq(2));
+    let mut fixture = RouterFixture::new(1, 4);
+    let request = fixture.request("small", &["house"]);
+    let sent = fixture.handle(Event::Arrived(&request));
+    let busy = support::failure(
+        dispatches(&sent)[0],
+        FailureKind::Busy,
+        SendState::Rejected,
+        0,
+    );
+    expect_that!(fixture.handle(Event::Failed(&busy)), is_empty());
+    let wakeup = fixture.router.next_wakeup().expect("something waits");
+    expect_that!(wakeup, eq(fixture.now + Duration::from_millis(100)));
+    let again = fixture.advance(Duration::from_millis(101));
+    expect_that!(dispatches(&again)[0].attempt.number, eq(2));
 }
--- a/azureway-core/tests/leaving.rs
+++ b/azureway-core/tests/leaving.rs
@@ -5,7 +5,7 @@
 
 use azureway_core::prelude::*;
 use googletest::prelude::*;
-use support::{Bench, orders};
+use support::{RouterFixture, dispatches};
 
 fn report(incarnation: u64, leaving: bool) -> LoadReport {
     LoadReport {
@@ -39,16 +39,16 @@
         (2, 2, Some(3), true),
     ];
     for (known, updated, later, serves) in rows {
-        let mut bench = Bench::new(1, 4);
-        bench.tell(Event::Load(&report(known, false)));
-        bench.tell(Event::Server(&leaving_update(updated)));
+        let mut fixture = RouterFixture::new(1, 4);
+        fixture.handle(Event::Load(&report(known, false)));
+        fixture.handle(Event::Server(&leaving_update(updated)));
         if let Some(incarnation) = later {
-            bench.tell(Event::Load(&report(incarnation, false)));
+            fixture.handle(Event::Load(&report(incarnation, false)));
         }
-        let request = bench.request("small", &["house"]);
-        let sent = bench.tell(Event::Arrived(&request));
+        let request = fixture.request("small", &["house"]);
+        let sent = fixture.handle(Event::Arrived(&request));
         expect_that!(
-            orders(&sent).len(),
+            dispatches(&sent).len(),
             eq(usize::from(serves)),
             "{known} {updated} {later:?}"
         );
@@ -57,43 +57,43 @@
 
 #[gtest]
 fn a_leaving_server_is_broadcast_once() {
-    let mut bench = Bench::new(1, 4);
-    bench.tell(Event::Load(&report(2, false)));
-    let actions = bench.tell(Event::Load(&report(2, true)));
+    let mut fixture = RouterFixture::new(1, 4);
+    fixture.handle(Event::Load(&report(2, false)));
+    let actions = fixture.handle(Event::Load(&report(2, true)));
     expect_that!(
         actions,
         elements_are![eq(&Action::BroadcastServer(leaving_update(2)))]
     );
-    expect_that!(bench.tell(Event::Load(&report(2, true))), is_empty());
+    expect_that!(fixture.handle(Event::Load(&report(2, true))), is_empty());
 }
 
 /// The platform's list lags behind, so it can add a leaving mark but clears only its own.
 #[gtest]
 fn the_platform_list_clears_only_its_own_leaving_marks() {
     let listed = [ServerId::new("engine-1")];
-    let serves = |bench: &mut Bench| {
-        let request = bench.request("small", &["house"]);
-        let sent = bench.tell(Event::Arrived(&request));
-        let count = orders(&sent).len();
-        bench.tell(Event::CallerDisconnected(request.id));
+    let serves = |fixture: &mut RouterFixture| {
+        let request = fixture.request("small", &["house"]);
+        let sent = fixture.handle(Event::Arrived(&request));
+        let count = dispatches(&sent).len();
+        fixture.handle(Event::CallerDisconnected(request.id));
         count == 1
     };
-    let mut bench = Bench::new(1, 4);
-    bench.tell(Event::Leaving(&listed));
-    expect_false!(serves(&mut bench));
-    bench.tell(Event::Leaving(&[]));
-    expect_true!(serves(&mut bench));
-    bench.tell(Event::Load(&report(2, true)));
-    bench.tell(Event::Leaving(&[]));
-    expect_false!(serves(&mut bench));
+    let mut fixture = RouterFixture::new(1, 4);
+    fixture.handle(Event::Leaving(&listed));
+    expect_false!(serves(&mut fixture));
+    fixture.handle(Event::Leaving(&[]));
+    expect_true!(serves(&mut fixture));
+    fixture.handle(Event::Load(&report(2, true)));
+    fixture.handle(Event::Leaving(&[]));
+    expect_false!(serves(&mut fixture));
 }
 
 #[gtest]
 fn a_queued_request_is_dispatched_once_the_list_drops_its_server() {
-    let mut bench = Bench::new(1, 4);
-    bench.tell(Event::Leaving(&[ServerId::new("engine-1")]));
-    let request = bench.request("small", &["house"]);
-    expect_that!(bench.tell(Event::Arrived(&request)), is_empty());
-    let sent = bench.tell(Event::Leaving(&[]));
-    expect_that!(orders(&sent).len(), eq(1));
+    let mut fixture = RouterFixture::new(1, 4);
+    fixture.handle(Event::Leaving(&[ServerId::new("engine-1")]));
+    let request = fixture.request("small", &["house"]);
+    expect_that!(fixture.handle(Event::Arrived(&request)), is_empty());
+    let sent = fixture.handle(Event::Leaving(&[]));
+    expect_that!(dispatches(&sent).len(), eq(1));
 }
--- a/azureway-core/tests/promises.rs
+++ b/azureway-core/tests/promises.rs
@@ -8,7 +8,7 @@
 use azureway_core::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
-use support::{Bench, fleet};
+use support::{RouterFixture, fleet};
 
 /// The seed of the randomized runs.
 const SEED: [u8; 32] = *b"azureway promises, first seed   ";
@@ -58,7 +58,7 @@
 
 /// A run of the router with the model that its actions are checked against.
 struct Run {
-    bench: Bench,
+    fixture: RouterFixture,
     records: BTreeMap<RequestId, Record>,
     in_flight: Vec<Dispatch>,
     failures: Vec<Failure>,
@@ -84,7 +84,7 @@
 impl Run {
     fn new() -> Self {
         Self {
-            bench: Bench::new(SERVERS, SLOTS),
+            fixture: RouterFixture::new(SERVERS, SLOTS),
             records: BTreeMap::new(),
             in_flight: Vec::new(),
             failures: Vec::new(),
@@ -113,11 +113,11 @@
             Step::Disconnect(which) => self.disconnect(which),
             Step::Restart(number) => self.report(number, true, false),
             Step::Leave(number) => self.report(number, false, true),
-            Step::Pass(millis) => self.bench.pass(Duration::from_millis(millis)),
+            Step::Pass(millis) => self.fixture.advance(Duration::from_millis(millis)),
             Step::Configure(newer) => self.configure(newer),
             Step::Drain => {
                 self.draining = true;
-                self.bench.tell(Event::Draining)
+                self.fixture.handle(Event::Draining)
             }
         };
         self.check(&actions)
@@ -125,7 +125,7 @@
 
     fn arrive(&mut self, urgent: bool, once: bool, large: bool) -> Vec<Action> {
         let mut request = self
-            .bench
+            .fixture
             .request(if large { "large" } else { "small" }, &["house"]);
         request.rank = if urgent { Rank::Urgent } else { Rank::Drafting };
         request.kind = if once {
@@ -140,7 +140,7 @@
                 ..Record::default()
             },
         );
-        self.bench.tell(Event::Arrived(&request))
+        self.fixture.handle(Event::Arrived(&request))
     }
 
     fn pick(&mut self, which: usize) -> Option<Dispatch> {
@@ -154,7 +154,7 @@
         };
         self.end(dispatch.attempt.id);
         let (cached, output) = (TokenCount::ZERO, TokenCount::new(3));
-        self.bench.tell(Event::Finished(&Finish {
+        self.fixture.handle(Event::Finished(&Finish {
             attempt: dispatch.attempt,
             cached,
             output,
@@ -166,7 +166,7 @@
             return Vec::new();
         };
         let attempt = self.in_flight[index].attempt;
-        self.bench.tell(Event::Started(attempt))
+        self.fixture.handle(Event::Started(attempt))
     }
 
     fn fail(&mut self, which: usize, kind: usize, sent: usize, gained: u64) -> Vec<Action> {
@@ -191,7 +191,7 @@
             position,
         };
         self.failures.push(failure);
-        self.bench.tell(Event::Failed(&failure))
+        self.fixture.handle(Event::Failed(&failure))
     }
 
     /// Repeats an earlier failure event, which must have no effect.
@@ -200,7 +200,7 @@
             return Vec::new();
         };
         let failure = self.failures[index];
-        self.bench.tell(Event::Failed(&failure))
+        self.fixture.handle(Event::Failed(&failure))
     }
 
     fn disconnect(&mut self, which: usize) -> Vec<Action> {
@@ -215,7 +215,7 @@
         };
         self.end(live[index]);
         self.in_flight.retain(|d| d.attempt.id != live[index]);
-        self.bench.tell(Event::CallerDisconnected(live[index]))
+        self.fixture.handle(Event::CallerDisconnected(live[index]))
     }
 
     fn report(&mut self, number: usize, restart: bool, leaving: bool) -> Vec<Action> {
@@ -234,20 +234,20 @@
             queued: 0,
             pending: TokenCount::ZERO,
         };
-        self.bench.tell(Event::Load(&report))
+        self.fixture.handle(Event::Load(&report))
     }
 
     fn configure(&mut self, newer: bool) -> Vec<Action> {
-        let version = self.bench.router.fleet().version.get();
+        let version = self.fixture.router.fleet().version.get();
         let next = if newer {
             version + 1
         } else {
             version.saturating_sub(1)
         };
         let fleet = fleet(SERVERS, SLOTS).with_version(ConfigVersion::new(next));
-        let actions = self.bench.tell(Event::Configured(&fleet));
+        let actions = self.fixture.handle(Event::Configured(&fleet));
         assert!(
-            self.bench.router.fleet().version.get() >= version,
+            self.fixture.router.fleet().version.get() >= version,
             "the configuration version decreased"
         );
         actions
@@ -265,7 +265,7 @@
                 _ => {}
             }
         }
-        for state in self.bench.router.servers().iter() {
+        for state in self.fixture.router.servers().iter() {
             let in_flight = self
                 .in_flight
                 .iter()
@@ -340,7 +340,7 @@
                 self.step(&Step::Finish(0))?;
             }
         }
-        prop_assert_eq!(self.bench.router.active(), 0, "no request is left active");
+        prop_assert_eq!(self.fixture.router.active(), 0, "no request is left active");
         prop_assert!(
             self.records.values().all(|r| r.ended),
             "every request has ended"
--- a/azureway-core/tests/quarantine.rs
+++ b/azureway-core/tests/quarantine.rs
@@ -35,7 +35,7 @@
                 farm.share();
             }
             farm.report_all();
-            farm.pass(Duration::from_secs(3));
+            farm.advance(Duration::from_secs(3));
         }
         farm.crash_all(POISON);
         expect_that!(farm.crashes, le(number(6)), "{case}");
@@ -52,7 +52,7 @@
         farm.crash_one(POISON);
         farm.list_all();
         farm.share();
-        farm.pass(Duration::from_secs(3));
+        farm.advance(Duration::from_secs(3));
     }
     farm.crash_all(POISON);
     expect_that!(farm.crashes, le(3));
@@ -68,7 +68,7 @@
         farm.send(0, POISON);
         farm.break_links(POISON);
         farm.list_all();
-        farm.pass(Duration::from_secs(3));
+        farm.advance(Duration::from_secs(3));
     }
     expect_that!(
         farm.standing(0, POISON),
@@ -87,7 +87,7 @@
         farm.crash_all(POISON);
         farm.report_all();
         farm.finish_all();
-        farm.pass(Duration::from_millis(500));
+        farm.advance(Duration::from_millis(500));
     }
     expect_that!(farm.crashes, eq(2));
     expect_that!(farm.finished, eq(20));
@@ -105,11 +105,11 @@
         farm.send(0, &format!("innocent-{number}"));
     }
     farm.crash_busiest();
-    farm.pass(Duration::from_millis(1));
+    farm.advance(Duration::from_millis(1));
     for _ in 0..60 {
         expect_that!(farm.suspects_share_a_server(), eq(false));
         farm.finish_one();
-        farm.pass(Duration::from_millis(500));
+        farm.advance(Duration::from_millis(500));
     }
     expect_that!(farm.finished, eq(12));
 }
@@ -122,7 +122,7 @@
     farm.break_links("innocent");
     farm.break_links("innocent");
     expect_that!(farm.standing(0, "innocent"), eq(SuspectStatus::Quarantined));
-    farm.pass(Duration::from_secs(6));
+    farm.advance(Duration::from_secs(6));
     farm.report_all();
     expect_that!(farm.standing(0, "innocent"), eq(SuspectStatus::Clear));
 }
@@ -163,9 +163,9 @@
     farm.crash_all(POISON);
     farm.report_all();
     expect_that!(farm.standing(0, POISON), eq(SuspectStatus::Quarantined));
-    farm.pass(Duration::from_secs(599));
+    farm.advance(Duration::from_secs(599));
     expect_that!(farm.standing(0, POISON), eq(SuspectStatus::Quarantined));
-    farm.pass(Duration::from_secs(2));
+    farm.advance(Duration::from_secs(2));
     expect_that!(farm.standing(0, POISON), eq(SuspectStatus::Clear));
 }
 
@@ -193,7 +193,7 @@
                 3 => farm.report_all(),
                 4 => farm.break_links(&format!("innocent-{}", draw % 5)),
                 5 => farm.silence(&format!("innocent-{}", draw % 5)),
-                _ => farm.pass(Duration::from_millis(u64::from(draw) * 10)),
+                _ => farm.advance(Duration::from_millis(u64::from(draw) * 10)),
             }
             farm.crash_one(POISON);
             if shared {
--- a/azureway-core/tests/sharing.rs
+++ b/azureway-core/tests/sharing.rs
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
-use support::{Bench, orders};
+use support::{RouterFixture, dispatches};
 
 /// The seed of the random cases.
 const SEED: [u8; 32] = *b"azureway sharing, first seed    ";
@@ -135,19 +135,21 @@
 fn entries_with_the_same_stale_report_do_not_all_choose_one_server() {
     let mut counts: BTreeMap<ServerId, usize> = BTreeMap::new();
     for entry in 1..=4 {
-        let mut bench = Bench::new(3, 16);
-        bench.tell(Event::ZoneEntries(4));
+        let mut fixture = RouterFixture::new(3, 16);
+        fixture.handle(Event::ZoneEntries(4));
         for server in 1..=3 {
             let mut load = report(&[0], 16);
             load.server = ServerId::new(&format!("engine-{server}"));
-            bench.tell(Event::Load(&load));
+            fixture.handle(Event::Load(&load));
         }
         for number in 0..4 {
             let question = format!("{entry}.{number}").repeat(2_000);
-            let mut request = bench.request("small", &["house", "shop", &question]);
+            let mut request = fixture.request("small", &["house", "shop", &question]);
             request.id = RequestId::new(entry, number);
-            let sent = bench.tell(Event::Arrived(&request));
-            *counts.entry(orders(&sent)[0].server.clone()).or_default() += 1;
+            let sent = fixture.handle(Event::Arrived(&request));
+            *counts
+                .entry(dispatches(&sent)[0].server.clone())
+                .or_default() += 1;
         }
     }
     // 16 requests on 3 servers: at most one and a half times an even share each.
--- a/azureway-core/tests/support/mod.rs
+++ b/azureway-core/tests/support/mod.rs
@@ -4,38 +4,38 @@
 
 use azureway_core::prelude::*;
 
-/// A test bench: a router of zone `a` with the product's policy, and its clock.
-pub struct Bench {
+/// A test fixture: a router of zone `a` with the product's policy, and its clock.
+pub struct RouterFixture {
     pub router: Router<PrefixLoad>,
     pub now: Timestamp,
     sequence: u64,
 }
 
-impl Bench {
-    /// Creates a test bench with `servers` engines in zone `a`, each with `slots` slots.
+impl RouterFixture {
+    /// Creates a test fixture with `servers` engines in zone `a`, each with `slots` slots.
     pub fn new(servers: usize, slots: u32) -> Self {
         let config = RouterConfig::new(ZoneId::new("a"));
-        let mut bench = Self {
+        let mut fixture = Self {
             router: Router::new(config, PrefixLoad::new()),
             now: Timestamp::from_millis(1),
             sequence: 0,
         };
         let fleet = fleet(servers, slots);
-        bench.tell(Event::Configured(&fleet));
-        bench
+        fixture.handle(Event::Configured(&fleet));
+        fixture
     }
 
     /// Passes an event to the router and returns the actions that it requests.
-    pub fn tell(&mut self, event: Event<'_>) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(event, self.now, &mut out);
         out
     }
 
     /// Advances the clock by `time`, ticks the router and returns the actions that it requests.
-    pub fn pass(&mut self, time: std::time::Duration) -> Vec<Action> {
+    pub fn advance(&mut self, time: std::time::Duration) -> Vec<Action> {
         self.now = self.now + time;
-        self.tell(Event::Tick)
+        self.handle(Event::Tick)
     }
 
     /// Creates a request of `account` whose prompt consists of the given levels.
@@ -82,8 +82,8 @@
 }
 
 /// Returns the dispatches among `actions`.
-pub fn orders(actions: &[Action]) -> Vec<&Dispatch> {
-    actions.iter().filter_map(as_order).collect()
+pub fn dispatches(actions: &[Action]) -> Vec<&Dispatch> {
+    actions.iter().filter_map(as_dispatch).collect()
 }
 
 /// Returns the refusals among `actions`.
@@ -91,9 +91,9 @@
     actions.iter().filter_map(as_refusal).collect()
 }
 
-fn as_order(action: &Action) -> Option<&Dispatch> {
+fn as_dispatch(action: &Action) -> Option<&Dispatch> {
     match action {
-        Action::Dispatch(order) => Some(order),
+        Action::Dispatch(dispatch) => Some(dispatch),
         _ => None,
     }
 }
@@ -105,10 +105,10 @@
     }
 }
 
-/// Returns a failure of the attempt that `order` dispatched.
-pub fn failure(order: &Dispatch, kind: FailureKind, sent: SendState, position: u64) -> Failure {
+/// Returns a failure of the attempt that `dispatch` dispatched.
+pub fn failure(dispatch: &Dispatch, kind: FailureKind, sent: SendState, position: u64) -> Failure {
     Failure {
-        attempt: order.attempt,
+        attempt: dispatch.attempt,
         kind,
         sent,
         position: StreamPosition::new(position),
--- a/azureway-core/tests/weights.rs
+++ b/azureway-core/tests/weights.rs
@@ -6,7 +6,7 @@
 
 use azureway_core::prelude::*;
 use googletest::prelude::*;
-use support::{Bench, failure, orders};
+use support::{RouterFixture, dispatches, failure};
 
 /// The grace period in which older weights may serve requests.
 const GRACE: Duration = Duration::from_secs(6);
@@ -15,7 +15,7 @@
 
 /// A site with one server, and the router in front of it.
 struct Site {
-    bench: Bench,
+    fixture: RouterFixture,
     state: SiteState,
     incarnation: u64,
 }
@@ -28,10 +28,10 @@
             services: vec![service()],
             ..SiteDocument::default()
         });
-        let mut bench = Bench::new(0, 1);
-        bench.now = START;
+        let mut fixture = RouterFixture::new(0, 1);
+        fixture.now = START;
         let mut site = Self {
-            bench,
+            fixture,
             state,
             incarnation: 1,
         };
@@ -47,10 +47,10 @@
 
     fn reconfigure(&mut self) {
         let fleet = self.state.build_fleet().expect("a configuration");
-        // The initial fleet of the bench has version 1.
+        // The initial fleet of the fixture has version 1.
         let version = ConfigVersion::new(fleet.version.get() + 1);
         let fleet = fleet.with_version(version);
-        self.bench.tell(Event::Configured(&fleet));
+        self.fixture.handle(Event::Configured(&fleet));
     }
 
     fn apply(&mut self, step: &str) {
@@ -62,11 +62,11 @@
                     model: ModelId::new("m"),
                     version: WeightsVersion::new(number(1)),
                 };
-                let since = self.bench.now.as_micros() - number(2) * 1_000;
+                let since = self.fixture.now.as_micros() - number(2) * 1_000;
                 self.state.add_named(named, Timestamp::from_micros(since));
                 self.reconfigure();
             }
-            "pass" => drop(self.bench.pass(Duration::from_millis(number(1)))),
+            "pass" => drop(self.fixture.advance(Duration::from_millis(number(1)))),
             "list" => self.list(number(1)),
             "born" => {
                 self.incarnation += 1;
@@ -78,7 +78,7 @@
                     load: Some((0, 0)),
                     weights: Some(WeightsVersion::new(number(1))),
                 };
-                self.bench.tell(Event::LoadSample(&sample));
+                self.fixture.handle(Event::LoadSample(&sample));
             }
             "busy" => {
                 let sample = LoadSample {
@@ -86,16 +86,16 @@
                     load: Some((number(1) as u32, 0)),
                     weights: None,
                 };
-                self.bench.tell(Event::LoadSample(&sample));
+                self.fixture.handle(Event::LoadSample(&sample));
             }
             "load" => self.load(number(1), number(2)),
             "loaded" => self.load(number(1), 0),
             "reject" => {
                 let dispatch = self.submit().expect("the request is sent");
                 let failed = failure(&dispatch, FailureKind::Busy, SendState::Rejected, 0);
-                self.bench.tell(Event::Failed(&failed));
-                self.bench
-                    .tell(Event::CallerDisconnected(dispatch.attempt.id));
+                self.fixture.handle(Event::Failed(&failed));
+                self.fixture
+                    .handle(Event::CallerDisconnected(dispatch.attempt.id));
             }
             word => panic!("unknown step {word}"),
         }
@@ -107,16 +107,16 @@
             weights: WeightsVersion::new(weights),
             duration: Duration::from_millis(millis),
         };
-        self.bench.tell(Event::Loading(&notice));
+        self.fixture.handle(Event::Loading(&notice));
     }
 
     /// Submits a request. Returns its dispatch if it is sent at once.
     fn submit(&mut self) -> Option<Dispatch> {
-        let mut request = self.bench.request("", &["house"]);
+        let mut request = self.fixture.request("", &["house"]);
         request.service = ServiceId::new("advice");
         request.rank = Rank::Drafting;
-        let actions = self.bench.tell(Event::Arrived(&request));
-        orders(&actions).first().map(|o| (*o).clone())
+        let actions = self.fixture.handle(Event::Arrived(&request));
+        dispatches(&actions).first().map(|o| (*o).clone())
     }
 }
 
