--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -6,7 +6,7 @@
 
 use azureway_config::settings::{EntrySettings, SiteSettings};
 use azureway_core::prelude::*;
-use azureway_objects::{HttpObjects, ObjectForm};
+use azureway_objects::{HttpObjects, ObjectCodec};
 use azureway_wire::instance::{InstanceBody, InstanceRole};
 use flume::Sender;
 
@@ -78,12 +78,12 @@
         settings: &EntrySettings,
         site_settings: &SiteSettings,
         site: S,
-        form: F,
+        codec: F,
         link: L,
         news: N,
     ) -> Result<Self, Error>
     where
-        F: ObjectForm + Send + 'static,
+        F: ObjectCodec + Send + 'static,
         L: OrderLink + Send + 'static,
     {
         const STEP: Step = Step::new("listen to peers");
@@ -112,7 +112,7 @@
             rings.meter.clone(),
         )?;
         let ready_address = balancer.address();
-        let api = HttpObjects::with_form(settings.platform, form).with_timeout(CALL_TIMEOUT);
+        let api = HttpObjects::with_codec(settings.platform, codec).with_timeout(CALL_TIMEOUT);
         spawn_peer(settings, &rings, peers, process_id)?;
         let decider = decider(settings, site_settings, &rings, site.clone(), news);
         spawn("decide", move || decider.run())?;
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -22,7 +22,7 @@
 use azureway_entry::order::HttpOrders;
 use azureway_entry::routed::{CallMetadata, CallerDialect};
 use azureway_entry::site::{SiteCodec, SiteKind};
-use azureway_objects::PlainForm;
+use azureway_objects::PlainCodec;
 use azureway_wire::object::ObjectBody;
 use dialect::TestDialect;
 use flume::{Receiver, Sender};
@@ -278,7 +278,7 @@
             grace: Duration::from_secs(8),
         };
         let gateway = Gateway::start(
-            &settings, &served, TestSite, PlainForm, HttpOrders, HttpFeed,
+            &settings, &served, TestSite, PlainCodec, HttpOrders, HttpFeed,
         );
         let gateway = gateway.map_err(|e| e.to_string())?;
         Ok(Self {
--- a/azureway-objects/src/http_objects.rs
+++ b/azureway-objects/src/http_objects.rs
@@ -7,12 +7,12 @@
 use azureway_wire::object::{ObjectBody, ObjectList};
 use minreq::{Method, Request, Response};
 
-use super::{CallCounter, ObjectApi, ObjectCall, ObjectForm, PlainForm, Put};
+use super::{CallCounter, ObjectApi, ObjectCall, ObjectCodec, PlainCodec, Put};
 
-/// The object API over HTTP, in one form or another. Each call takes a connection of its own.
+/// The object API over HTTP, in one codec or another. Each call takes a connection of its own.
 #[derive(Clone, Debug)]
-pub struct HttpObjects<F = PlainForm> {
-    form: F,
+pub struct HttpObjects<F = PlainCodec> {
+    codec: F,
     address: SocketAddr,
     timeout: u64,
     calls: CallCounter,
@@ -24,15 +24,15 @@
 impl HttpObjects {
     /// Creates a client of the platform at `address` with a limit of 2 s a call.
     pub fn new(address: SocketAddr) -> Self {
-        Self::with_form(address, PlainForm)
+        Self::with_codec(address, PlainCodec)
     }
 }
 
-impl<F: ObjectForm> HttpObjects<F> {
-    /// Creates a client that speaks `form`, with a limit of 2 s a call.
-    pub fn with_form(address: SocketAddr, form: F) -> Self {
+impl<F: ObjectCodec> HttpObjects<F> {
+    /// Creates a client that speaks `codec`, with a limit of 2 s a call.
+    pub fn with_codec(address: SocketAddr, codec: F) -> Self {
         Self {
-            form,
+            codec,
             address,
             timeout: DEFAULT_TIMEOUT,
             calls: CallCounter::new(),
@@ -59,7 +59,7 @@
         let request = Request::new(method(call.method), url).with_header("connection", "close");
         let request = match call.body {
             Some(body) => request
-                .with_header("content-type", F::MEDIA)
+                .with_header("content-type", F::CONTENT_TYPE)
                 .with_body(body),
             None => request,
         };
@@ -83,14 +83,14 @@
     }
 }
 
-impl<F: ObjectForm> ObjectApi for HttpObjects<F> {
+impl<F: ObjectCodec> ObjectApi for HttpObjects<F> {
     fn get(&self, kind: &str, name: &str) -> Result<Option<ObjectBody>, Error> {
         const STEP: Step = Step::new("get object");
-        let answer = self.send(STEP, self.form.get(kind, name), Duration::ZERO)?;
+        let answer = self.send(STEP, self.codec.get(kind, name), Duration::ZERO)?;
         if answer.status_code == 404 {
             return Ok(None);
         }
-        let object = self.form.read_object(answer.as_bytes());
+        let object = self.codec.read_object(answer.as_bytes());
         self.read(STEP, object).map(Some)
     }
 
@@ -99,9 +99,9 @@
         let mut whole = ObjectList::default();
         loop {
             let after = whole.objects.last().map(|o| o.name.as_str());
-            let call = self.form.list(kind, after);
+            let call = self.codec.list(kind, after);
             let answer = self.send(STEP, call, Duration::ZERO)?;
-            let (part, more) = self.read(STEP, self.form.read_list(answer.as_bytes()))?;
+            let (part, more) = self.read(STEP, self.codec.read_list(answer.as_bytes()))?;
             // What changes while the parts are read is seen by a watch from the first part on.
             if whole.objects.is_empty() {
                 whole.version = part.version;
@@ -116,17 +116,17 @@
 
     fn put(&self, put: &Put<'_>) -> Result<u64, Error> {
         const STEP: Step = Step::new("put object");
-        let answer = self.send(STEP, self.form.put(put), Duration::ZERO)?;
+        let answer = self.send(STEP, self.codec.put(put), Duration::ZERO)?;
         if answer.status_code == 404 {
             return Err(self.error(ErrorKind::Conflict, STEP, "the object does not exist"));
         }
-        let object = self.form.read_object(answer.as_bytes());
+        let object = self.codec.read_object(answer.as_bytes());
         Ok(self.read(STEP, object)?.version)
     }
 
     fn delete(&self, kind: &str, name: &str, expected: u64) -> Result<(), Error> {
         const STEP: Step = Step::new("delete object");
-        let call = self.form.delete(kind, name, expected);
+        let call = self.codec.delete(kind, name, expected);
         let answer = self.send(STEP, call, Duration::ZERO)?;
         match answer.status_code {
             404 => Err(self.error(ErrorKind::Conflict, STEP, "the object does not exist")),
@@ -136,8 +136,8 @@
 
     fn watch(&self, kind: &str, after: u64, wait: Duration) -> Result<ObjectList, Error> {
         const STEP: Step = Step::new("watch objects");
-        let answer = self.send(STEP, self.form.watch(kind, after, wait), wait)?;
-        self.read(STEP, self.form.read_changes(answer.as_bytes()))
+        let answer = self.send(STEP, self.codec.watch(kind, after, wait), wait)?;
+        self.read(STEP, self.codec.read_changes(answer.as_bytes()))
     }
 }
 
--- a/azureway-objects/src/lib.rs
+++ b/azureway-objects/src/lib.rs
@@ -10,14 +10,14 @@
 mod http_objects;
 mod object_api;
 mod object_call;
-mod object_form;
-mod plain_form;
+mod object_codec;
+mod plain_codec;
 mod put;
 
 pub use call_counter::CallCounter;
 pub use http_objects::HttpObjects;
 pub use object_api::ObjectApi;
 pub use object_call::ObjectCall;
-pub use object_form::ObjectForm;
-pub use plain_form::PlainForm;
+pub use object_codec::ObjectCodec;
+pub use plain_codec::PlainCodec;
 pub use put::Put;
--- a/azureway-objects/src/object_form.rs
+++ b/azureway-objects/src/object_codec.rs
@@ -7,9 +7,9 @@
 use super::{ObjectCall, Put};
 
 /// How an object API spells its calls and answers. Statuses mean the same in every form.
-pub trait ObjectForm: Clone {
+pub trait ObjectCodec: Clone {
     /// The media type of bodies.
-    const MEDIA: &'static str;
+    const CONTENT_TYPE: &'static str;
 
     /// Returns the call that reads an object.
     fn get(&self, kind: &str, name: &str) -> ObjectCall;
--- a/azureway-objects/src/plain_form.rs
+++ b/azureway-objects/src/plain_codec.rs
@@ -4,14 +4,14 @@
 
 use azureway_wire::object::{ObjectBody, ObjectList};
 
-use super::{ObjectCall, ObjectForm, Put};
+use super::{ObjectCall, ObjectCodec, Put};
 
 /// The product's own form of the object API, as docs/INTERFACES.md gives it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PlainForm;
+pub struct PlainCodec;
 
-impl ObjectForm for PlainForm {
-    const MEDIA: &'static str = "text/plain; charset=UTF-8";
+impl ObjectCodec for PlainCodec {
+    const CONTENT_TYPE: &'static str = "text/plain; charset=UTF-8";
 
     fn get(&self, kind: &str, name: &str) -> ObjectCall {
         ObjectCall::new("GET", format!("objects/{kind}/{name}"))
