--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -206,7 +206,7 @@
 }
 
 /// Starts the duties that read the site from the platform.
-fn spawn_watchers<S: Site, F: ObjectForm + Send + 'static>(
+fn spawn_watchers<S: Site, F: ObjectCodec + Send + 'static>(
     site_settings: &SiteSettings,
     rings: &Rings,
     api: &HttpObjects<F>,
@@ -249,7 +249,7 @@
 }
 
 /// Starts the duty that registers this instance at the platform.
-fn spawn_registrar<F: ObjectForm + Send + 'static>(
+fn spawn_registrar<F: ObjectCodec + Send + 'static>(
     settings: &EntrySettings,
     rings: &Rings,
     api: &HttpObjects<F>,
@@ -267,7 +267,7 @@
 }
 
 /// Starts the ordering duty.
-fn spawn_orderer<F: ObjectForm + Send + 'static, L: OrderLink + Send + 'static>(
+fn spawn_orderer<F: ObjectCodec + Send + 'static, L: OrderLink + Send + 'static>(
     settings: &EntrySettings,
     site_settings: &SiteSettings,
     rings: &Rings,
