--- a/azureway-entry/tests/order.rs
+++ b/azureway-entry/tests/order.rs
@@ -1,4 +1,4 @@
-//! The ordering duty over a platform and servers in memory.
+//! Tests of the ordering duty against an in-memory platform and in-memory servers.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use flume::Sender;
 use googletest::prelude::*;
 
-/// The answer of a call.
-type Answer<T> = std::result::Result<T, Error>;
+/// The result of a platform call.
+type CallResult<T> = std::result::Result<T, Error>;
 
-/// A platform that holds the lease.
+/// An in-memory platform that stores the lease and counts calls.
 #[derive(Clone, Default)]
 struct Platform {
     lease: Arc<Mutex<Option<ObjectBody>>>,
@@ -23,11 +23,11 @@
 }
 
 impl Platform {
-    fn count(&self) {
+    fn count_call(&self) {
         *self.calls.lock().expect("the lock") += 1;
     }
 
-    fn number(&self) -> Option<u64> {
+    fn fencing_number(&self) -> Option<u64> {
         let lease = self.lease.lock().expect("the lock");
         let body: LeaseBody = serde_json::from_str(&lease.as_ref()?.value).expect("a lease");
         Some(body.number)
@@ -35,23 +35,23 @@
 }
 
 impl ObjectApi for Platform {
-    fn get(&self, _: &str, _: &str) -> Answer<Option<ObjectBody>> {
-        self.count();
+    fn get(&self, _: &str, _: &str) -> CallResult<Option<ObjectBody>> {
+        self.count_call();
         Ok(self.lease.lock().expect("the lock").clone())
     }
 
-    fn list(&self, _: &str) -> Answer<ObjectList> {
-        self.count();
+    fn list(&self, _: &str) -> CallResult<ObjectList> {
+        self.count_call();
         Ok(ObjectList::default())
     }
 
-    fn put(&self, put: &Put<'_>) -> Answer<u64> {
-        self.count();
+    fn put(&self, put: &Put<'_>) -> CallResult<u64> {
+        self.count_call();
         let mut lease = self.lease.lock().expect("the lock");
         let version = lease.as_ref().map_or(0, |l| l.version);
         assert_eq!(
             version, put.expected,
-            "the duty writes over what it has read"
+            "the duty expects the version that it has read"
         );
         *lease = Some(ObjectBody {
             name: put.name.to_owned(),
@@ -62,16 +62,16 @@
         Ok(version + 1)
     }
 
-    fn delete(&self, _: &str, _: &str, _: u64) -> Answer<()> {
+    fn delete(&self, _: &str, _: &str, _: u64) -> CallResult<()> {
         unreachable!("no claim is old")
     }
 
-    fn watch(&self, _: &str, _: u64, _: Duration) -> Answer<ObjectList> {
+    fn watch(&self, _: &str, _: u64, _: Duration) -> CallResult<ObjectList> {
         unreachable!("the duty does not watch")
     }
 }
 
-/// Servers that note orders and give one answer to all.
+/// Servers that record the orders they receive and give the same answer to each.
 struct Servers(OrderAnswer, Sender<(ServerId, FencingNumber)>);
 
 impl OrderLink for Servers {
@@ -85,7 +85,7 @@
     }
 }
 
-/// Two servers with weights 1 in a pool that wants weights 2.
+/// Returns a fleet of two servers whose service requires weights version 2.
 fn fleet() -> Fleet {
     let pool = PoolId::new("engines");
     let service = ModelService::new(ServiceId::new("advice"), pool.clone());
@@ -105,6 +105,7 @@
     })
 }
 
+/// Returns the report of a server that has loaded weights version 1.
 fn report(name: &str) -> OrderMessage {
     OrderMessage::Report(LoadReport {
         server: ServerId::new(name),
@@ -117,50 +118,54 @@
     })
 }
 
-/// Gives the duty its notes, lets it end, and returns the orders that came.
-fn run(platform: &Platform, answer: OrderAnswer, chosen: bool) -> Vec<(ServerId, FencingNumber)> {
-    let (notes, received) = flume::bounded(8);
-    let (sent, orders) = flume::bounded(8);
-    let adopt = OrderMessage::Configured(Arc::new(fleet()));
-    for note in [
-        OrderMessage::Selected(chosen),
-        adopt,
+/// Runs the duty on a fixed list of messages and returns the orders that the servers received.
+fn run(platform: &Platform, answer: OrderAnswer, selected: bool) -> Vec<(ServerId, FencingNumber)> {
+    let (sender, messages) = flume::bounded(8);
+    let (received, orders) = flume::bounded(8);
+    let configured = OrderMessage::Configured(Arc::new(fleet()));
+    for message in [
+        OrderMessage::Selected(selected),
+        configured,
         report("one"),
         report("two"),
     ] {
-        notes.try_send(note).expect("room");
+        sender.try_send(message).expect("room");
     }
-    drop(notes);
+    drop(sender);
     let lease = Lease::new(LeaseConfig::new(), InstanceId::new("a-entry-1"), 7);
-    let (api, link, config) = (platform.clone(), Servers(answer, sent), OrderConfig::new());
-    let orderer = Orderer::new(api.clone(), link, received, Clock::new(), lease, config);
+    let (api, link, config) = (
+        platform.clone(),
+        Servers(answer, received),
+        OrderConfig::new(),
+    );
+    let orderer = Orderer::new(api.clone(), link, messages, Clock::new(), lease, config);
     orderer.with_sweeps(api, 7).run();
     orders.drain().collect()
 }
 
 #[gtest]
-fn the_holder_orders_under_its_number() {
+fn lease_holder_sends_orders_with_its_fencing_number() {
     let platform = Platform::default();
     let orders = run(&platform, OrderAnswer::Taken, true);
     expect_that!(
         orders,
         eq(&vec![(ServerId::new("one"), FencingNumber::new(1))])
     );
-    expect_that!(platform.number(), some(eq(1)));
+    expect_that!(platform.fencing_number(), some(eq(1)));
 }
 
 #[gtest]
-fn an_entry_that_is_not_chosen_asks_the_platform_nothing() {
+fn unselected_entry_makes_no_platform_calls() {
     let platform = Platform::default();
     expect_that!(run(&platform, OrderAnswer::Taken, false), is_empty());
     expect_that!(*platform.calls.lock().expect("the lock"), eq(0));
 }
 
 #[gtest]
-fn a_holder_whose_number_is_refused_gives_its_lease_up_and_looks_again() {
+fn fenced_holder_steps_down_and_acquires_the_lease_again() {
     let platform = Platform::default();
     let orders = run(&platform, OrderAnswer::Fenced, true);
     expect_that!(orders.len(), eq(1));
-    // Nobody else has taken it meanwhile, so it goes on under the next number.
-    expect_that!(platform.number(), some(eq(2)));
+    // No other entry has acquired the lease, so this one continues under the next number.
+    expect_that!(platform.fencing_number(), some(eq(2)));
 }
