--- a/azureway-entry/src/admit/admitted_request.rs
+++ b/azureway-entry/src/admit/admitted_request.rs
@@ -1,4 +1,4 @@
-//! A request on its way to the decisions.
+//! A request that was admitted.
 
 use azureway_core::prelude::Request;
 use flume::Sender;
@@ -6,13 +6,13 @@
 use super::UpstreamRequest;
 use crate::caller::RequestUpdate;
 
-/// A request on its way to the decisions, with what the entry keeps of it.
+/// A request that was admitted, on its way to the deciding duty.
 #[derive(Debug)]
-pub struct Admitted {
-    /// The request.
+pub struct AdmittedRequest {
+    /// The properties of the request that decisions depend on.
     pub request: Request,
-    /// What a relay carries.
+    /// The bytes that are sent to a backend server.
     pub upstream: UpstreamRequest,
-    /// Where the outcome goes.
+    /// The ring to the connection of the caller.
     pub updates: Sender<RequestUpdate>,
 }
--- a/azureway-entry/src/admit/admitter.rs
+++ b/azureway-entry/src/admit/admitter.rs
@@ -1,16 +1,16 @@
-//! The admitting duty.
+//! The admitting duty, which turns calls into requests.
 
 use std::sync::Arc;
 
 use azureway_core::prelude::*;
 use flume::{Receiver, Sender};
 
-use super::{AdmitMessage, Admitted, Call, ExplainCall, ReadCall, UpstreamRequest};
+use super::{AdmitMessage, AdmittedRequest, Call, ExplainCall, ReadCall, UpstreamRequest};
 use crate::caller::RequestUpdate;
 use crate::decide::{DecideMessage, Query};
 use crate::meter::MetricEvent;
 
-/// The admitting duty: tells who asks for what and derives the blocks of the prompt.
+/// The admitting duty: authenticates the callers and derives the blocks of the prompts.
 #[derive(Debug)]
 pub struct Admitter<R> {
     reader: R,
@@ -21,7 +21,7 @@
 }
 
 impl<R: ReadCall> Admitter<R> {
-    /// Creates the duty over the interface that `reader` reads.
+    /// Creates the duty for the interface whose calls `reader` reads.
     pub fn new(
         reader: R,
         messages: Receiver<AdmitMessage>,
@@ -42,13 +42,13 @@
         while let Ok(message) = self.messages.recv() {
             match message {
                 AdmitMessage::Call(call) => self.admit(*call),
-                AdmitMessage::Configured(fleet) => self.adopt(fleet),
+                AdmitMessage::Configured(fleet) => self.reconfigure(fleet),
                 AdmitMessage::Explain(call) => self.explain(*call),
             }
         }
     }
 
-    fn adopt(&mut self, fleet: Arc<Fleet>) {
+    fn reconfigure(&mut self, fleet: Arc<Fleet>) {
         if fleet.version > self.fleet.version {
             self.fleet = fleet;
         }
@@ -58,13 +58,13 @@
         let id = call.id;
         match self.read(&mut call) {
             Ok((request, upstream)) => {
-                let admitted = Admitted {
+                let admitted = AdmittedRequest {
                     request,
                     upstream,
                     updates: call.updates,
                 };
-                // Blocks while the decisions are behind, which fills this duty's own ring:
-                // connections then refuse at once.
+                // Blocks while the deciding duty is behind. This duty's own ring then fills up, and
+                // connections refuse further requests at once.
                 let _ = self.decide.send(DecideMessage::Arrived(Box::new(admitted)));
             }
             Err(refusal) => {
--- a/azureway-entry/src/admit/call.rs
+++ b/azureway-entry/src/admit/call.rs
@@ -1,21 +1,21 @@
-//! A call as it came from a caller.
+//! An HTTP call of a caller.
 
 use azureway_core::prelude::{RequestId, Timestamp};
 use flume::Sender;
 
 use crate::caller::{Head, RequestUpdate};
 
-/// A call as it came from a caller, whole and within its bounds.
+/// An HTTP call of a caller, completely read and within the size limits.
 #[derive(Debug)]
 pub struct Call {
-    /// The identity that its request gets.
+    /// The identity that is assigned to its request.
     pub id: RequestId,
-    /// The head.
+    /// The request line and the headers.
     pub head: Head,
     /// The body.
     pub body: Vec<u8>,
-    /// When it arrived.
+    /// The time at which the call arrived.
     pub arrived: Timestamp,
-    /// Where the outcome goes.
+    /// The ring to the connection of the caller.
     pub updates: Sender<RequestUpdate>,
 }
--- a/azureway-entry/src/admit/chat_calls.rs
+++ b/azureway-entry/src/admit/chat_calls.rs
@@ -1,10 +1,10 @@
-//! Calls of the chat interface.
+//! The reader for the chat-completions interface and plain services.
 
 use azureway_core::prelude::{AccountId, Fleet, Refusal, RefusalReason, Request};
 
 use super::{Call, CallReader, ReadCall, UpstreamRequest};
 
-/// Reads calls of the chat interface and of plain services.
+/// Reads calls of the chat-completions interface and of plain services.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChatCalls;
 
--- a/azureway-entry/src/admit/explain_call.rs
+++ b/azureway-entry/src/admit/explain_call.rs
@@ -1,20 +1,21 @@
-//! A question where a request would go.
+//! A query for the servers that a request could be sent to.
 
 use azureway_core::prelude::{AccountId, Refusal, Request, RouteOption};
 use flume::Sender;
 
 use super::Call;
 
-/// The answer to an [`ExplainCall`].
+/// The reply to an [`ExplainCall`]: the request and the candidate servers, or a refusal.
 pub type ExplainReply = Result<(Box<Request>, Vec<RouteOption>), Refusal>;
 
-/// A question where a request of an account would go, and why. Nothing is run.
+/// A query for the servers that a request of an account could be sent to, and their cost. The
+/// request is not run.
 #[derive(Debug)]
 pub struct ExplainCall {
-    /// The client account.
+    /// The client account that would send the request.
     pub account: AccountId,
-    /// The call as the account would make it, but for its API key.
+    /// The call as the account would make it, without its API key.
     pub call: Call,
-    /// Where the answer goes.
+    /// The ring for the reply.
     pub reply: Sender<ExplainReply>,
 }
--- a/azureway-entry/src/admit/message.rs
+++ b/azureway-entry/src/admit/message.rs
@@ -1,4 +1,4 @@
-//! What the admitting duty is told.
+//! The messages to the admitting duty.
 
 use std::sync::Arc;
 
@@ -6,13 +6,13 @@
 
 use super::{Call, ExplainCall};
 
-/// What the admitting duty is told.
+/// A message to the admitting duty.
 #[derive(Debug)]
 pub enum AdmitMessage {
-    /// A call came.
+    /// A call arrived.
     Call(Box<Call>),
     /// A version of the configuration was read.
     Configured(Arc<Fleet>),
-    /// An operator asks where a request would go.
+    /// An operator asks which servers a request could be sent to.
     Explain(Box<ExplainCall>),
 }
--- a/azureway-entry/src/admit/mod.rs
+++ b/azureway-entry/src/admit/mod.rs
@@ -1,6 +1,6 @@
-//! Who asks for what: from a call to a request that the decisions understand.
+//! The admitting duty: authenticates calls and turns them into requests for the router.
 
-mod admitted;
+mod admitted_request;
 mod admitter;
 mod call;
 mod chat_calls;
@@ -12,7 +12,7 @@
 mod request_ids;
 mod upstream_request;
 
-pub use admitted::Admitted;
+pub use admitted_request::AdmittedRequest;
 pub use admitter::Admitter;
 pub use call::Call;
 pub use chat_calls::ChatCalls;
--- a/azureway-entry/src/admit/passthrough.rs
+++ b/azureway-entry/src/admit/passthrough.rs
@@ -1,24 +1,25 @@
-//! What is passed on of a request.
+//! The parts of a request that the gateway forwards.
 
 use std::time::Duration;
 
 use azureway_core::prelude::Timestamp;
 
-/// What is passed on of a request that is not of the product's own interface.
+/// The forwarded parts of a request on a configured route, and the limits of its attempts.
 #[derive(Clone, Debug)]
 pub struct Passthrough {
-    /// The headers that belong to the request and not to its connection.
+    /// The end-to-end headers, without those that concern only the connection.
     pub headers: Vec<(Box<str>, Box<str>)>,
-    /// The caller's own identity of this sending.
+    /// The caller's identifier of this transmission of the request.
     pub attempt_id: Option<Box<str>>,
-    /// Whether it may run only once.
+    /// Whether the request must not run more than once.
     pub once: bool,
-    /// The priority that backend servers are told; lower goes first.
+    /// The priority that is sent to backend servers; lower values go first.
     pub priority: u8,
-    /// When the caller no longer waits.
+    /// The time after which the caller no longer waits.
     pub deadline: Timestamp,
-    /// How long a backend server may be silent while another one could still be asked.
+    /// How long a backend server may be silent before another one is tried. The last attempt may
+    /// take until the deadline.
     pub read_timeout: Duration,
-    /// The backend servers that it may be sent to.
+    /// The largest number of attempts, each at a backend server.
     pub max_attempts: u32,
 }
--- a/azureway-entry/src/admit/reader.rs
+++ b/azureway-entry/src/admit/reader.rs
@@ -1,4 +1,4 @@
-//! Reading a call.
+//! The reader of one call.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::{Call, UpstreamRequest};
 
-/// Reads a call against the configuration in force.
+/// Reads a call against the configuration in effect.
 #[derive(Debug)]
 pub struct CallReader<'a> {
     fleet: &'a Fleet,
@@ -18,9 +18,9 @@
 
 /// The path of the chat-completions interface.
 const CHAT_PATH: &str = "/v1/chat/completions";
-/// What the paths of plain services begin with; the service's name follows.
+/// The path prefix of plain services, which the name of the service follows.
 const PLAIN_PREFIX: &str = "/services/";
-/// The tokens that an answer is taken to have where the caller sets no bound.
+/// The assumed maximum length of an answer if the caller sets none.
 const DEFAULT_OUTPUT: TokenCount = TokenCount::new(512);
 
 impl<'a> CallReader<'a> {
@@ -29,20 +29,20 @@
         Self { fleet, call }
     }
 
-    /// Returns the request with identity `id`, and what a relay carries of it.
+    /// Returns the request with identity `id`, and the bytes to send to a backend server.
     ///
     /// # Errors
     ///
-    /// Returns a refusal that tells the caller what is wrong with the call.
+    /// Returns a refusal whose detail says what is wrong with the call.
     pub fn read(&self, id: RequestId) -> Result<(Request, UpstreamRequest), Refusal> {
         self.read_as(self.account()?, id)
     }
 
-    /// Returns the request as `account` makes it.
+    /// Returns the request as `account` makes it, without checking the API key.
     ///
     /// # Errors
     ///
-    /// Returns a refusal that tells the caller what is wrong with the call.
+    /// Returns a refusal whose detail says what is wrong with the call.
     pub fn read_as(
         &self,
         account: &ClientAccount,
@@ -83,7 +83,7 @@
             return Err(malformed("this path takes POST"));
         }
         let chat: ChatRequest<'_> = serde_json::from_slice(&self.call.body)
-            .map_err(|e| malformed(&format!("the body is no chat-completions request: {e}")))?;
+            .map_err(|e| malformed(&format!("the body is not a chat-completions request: {e}")))?;
         let service = self.service(&chat.model, ServiceKind::Model)?;
         let salt = Salt::new(&account.id, &service.id, service.weights);
         let output = chat.max_tokens.map_or(DEFAULT_OUTPUT, TokenCount::new);
@@ -91,7 +91,7 @@
         let body = if chat.stream {
             self.call.body.clone()
         } else {
-            streamed(&self.call.body)?
+            streaming_body(&self.call.body)?
         };
         let upstream = self.upstream(&request, ServiceKind::Model, CHAT_PATH, body);
         Ok((request, upstream.with_streamed(chat.stream)))
@@ -133,7 +133,8 @@
         let rank = self.header(header::RANK, "`urgent` or `drafting`", Rank::parse)?;
         let rank = rank.unwrap_or(Rank::Drafting);
         let worth = self.header(header::WORTH, "a whole number", |t| u64::from_str(t).ok())?;
-        // The path of a plain call names its service; the body of a chat does.
+        // The target distinguishes services: the path of a plain call names its service, and so
+        // does the body of a chat call.
         let target = format!("{} {}", self.call.head.method, self.call.head.path);
         Ok(Request {
             id,
@@ -147,11 +148,9 @@
             weights: service.weights,
             chain,
             max_output: output,
-            idempotency_key: self.header(
-                header::IDEMPOTENCY_KEY,
-                "a key that is not empty",
-                |t| (!t.is_empty()).then(|| IdempotencyKey::new(t)),
-            )?,
+            idempotency_key: self.header(header::IDEMPOTENCY_KEY, "a non-empty key", |t| {
+                (!t.is_empty()).then(|| IdempotencyKey::new(t))
+            })?,
             fingerprint: Fingerprint::of(account.id.as_str(), &target, &self.call.body),
             max_attempts: None,
         })
@@ -159,15 +158,15 @@
 
     fn kind(&self, service: &ModelService) -> Result<RequestKind, Refusal> {
         let expected = "`repeatable` or `at-most-once`";
-        let asked = self.header(header::KIND, expected, RequestKind::parse)?;
-        let reads = matches!(self.call.head.method.as_ref(), "GET" | "HEAD");
-        let configured = if reads {
+        let requested = self.header(header::KIND, expected, RequestKind::parse)?;
+        let is_read = matches!(self.call.head.method.as_ref(), "GET" | "HEAD");
+        let configured = if is_read {
             RequestKind::Repeatable
         } else {
             service.request_kind
         };
-        // A caller can only make the rule stricter than the operator's.
-        let strict = [asked, Some(configured)].contains(&Some(RequestKind::AtMostOnce));
+        // A caller can only make the configured kind stricter.
+        let strict = [requested, Some(configured)].contains(&Some(RequestKind::AtMostOnce));
         Ok(if strict {
             RequestKind::AtMostOnce
         } else {
@@ -178,7 +177,7 @@
     fn deadline(&self, rank: Rank) -> Result<Deadline, Refusal> {
         let expected = "a whole number of milliseconds";
         let millis = self.header(header::DEADLINE, expected, |t| i64::from_str(t).ok())?;
-        let patience = match millis.map(u64::try_from) {
+        let timeout = match millis.map(u64::try_from) {
             None => self.fleet.rules.default_timeout(rank),
             Some(Ok(millis)) if millis > 0 => Duration::from_millis(millis),
             Some(_) => {
@@ -186,19 +185,19 @@
                 return Err(Refusal::not_run(RefusalReason::Deadline, detail));
             }
         };
-        Ok(Deadline::new(self.call.arrived + patience))
+        Ok(Deadline::new(self.call.arrived + timeout))
     }
 
     fn header<T>(
         &self,
         name: &str,
         expected: &str,
-        read: impl Fn(&str) -> Option<T>,
+        parse: impl Fn(&str) -> Option<T>,
     ) -> Result<Option<T>, Refusal> {
         let Some(text) = self.call.head.get(name) else {
             return Ok(None);
         };
-        match read(text.trim()) {
+        match parse(text.trim()) {
             Some(value) => Ok(Some(value)),
             None => Err(malformed(&format!("header {name}: expected {expected}"))),
         }
@@ -233,8 +232,8 @@
     Refusal::not_run(RefusalReason::Malformed, detail)
 }
 
-/// Returns the body with the answer asked for as a stream.
-fn streamed(body: &[u8]) -> Result<Vec<u8>, Refusal> {
+/// Returns the body changed to request the answer as a stream.
+fn streaming_body(body: &[u8]) -> Result<Vec<u8>, Refusal> {
     let mut value: serde_json::Value =
         serde_json::from_slice(body).map_err(|e| malformed(&e.to_string()))?;
     value["stream"] = true.into();
--- a/azureway-entry/src/admit/request_ids.rs
+++ b/azureway-entry/src/admit/request_ids.rs
@@ -1,11 +1,11 @@
-//! The identities of this process's requests.
+//! The generator of request identities.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use azureway_core::prelude::RequestId;
 
-/// Gives each request of this process an identity. Clones draw from one sequence.
+/// Generates the identities of the requests of this process. Clones share one sequence.
 #[derive(Clone, Debug)]
 pub struct RequestIds {
     entry: u64,
@@ -13,7 +13,7 @@
 }
 
 impl RequestIds {
-    /// Creates the sequence of the process with the mark `entry`.
+    /// Creates the generator of the process with the number `entry`.
     pub fn new(entry: u64) -> Self {
         Self {
             entry,
--- a/azureway-entry/src/admit/upstream_request.rs
+++ b/azureway-entry/src/admit/upstream_request.rs
@@ -1,4 +1,4 @@
-//! What a relay carries to a backend server.
+//! A request as it is sent to a backend server.
 
 use std::sync::Arc;
 
@@ -6,31 +6,31 @@
 
 use super::Passthrough;
 
-/// What a relay carries to a backend server: the bytes that the decisions never see.
+/// A request as it is sent to a backend server. The router never sees these bytes.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
-    /// What stands behind the service.
+    /// Whether a language model or a plain service answers.
     pub kind: ServiceKind,
-    /// Whether the caller asked for a stream.
+    /// Whether the caller requested a stream.
     pub streamed: bool,
-    /// The method.
+    /// The HTTP method.
     pub method: Box<str>,
     /// The path at the backend server.
     pub path: Box<str>,
-    /// The type of the body.
+    /// The content type of the body.
     pub content_type: Box<str>,
     /// The client account, within which the idempotency key is unique.
     pub account: AccountId,
-    /// The idempotency key, which the backend server may check itself.
+    /// The idempotency key, by which the backend server may detect duplicates itself.
     pub idempotency_key: Option<IdempotencyKey>,
     /// The body.
     pub body: Arc<[u8]>,
-    /// What is passed on unchanged, where the interface passes requests on.
+    /// The parts that are forwarded unchanged, if the request arrived on a configured route.
     pub passthrough: Option<Passthrough>,
 }
 
 impl UpstreamRequest {
-    /// Sets whether the caller asked for a stream.
+    /// Sets whether the caller requested a stream.
     #[must_use]
     pub fn with_streamed(mut self, streamed: bool) -> Self {
         self.streamed = streamed;
--- a/azureway-entry/src/claim/claimer.rs
+++ b/azureway-entry/src/claim/claimer.rs
@@ -1,4 +1,4 @@
-//! The claiming duty.
+//! The claiming duty, which carries out claim commands.
 
 use std::time::Duration;
 
--- a/azureway-entry/src/claim/mod.rs
+++ b/azureway-entry/src/claim/mod.rs
@@ -1,5 +1,4 @@
-//! The claiming duty: claims of idempotency keys, stored at the platform so that a request runs
-//! at most once.
+//! The claiming duty: claims at the platform, by which a request runs at most once.
 
 mod claim_client;
 mod claim_rings;
--- a/azureway-entry/src/claim/sweeper.rs
+++ b/azureway-entry/src/claim/sweeper.rs
@@ -40,8 +40,8 @@
         }
         let kind = kind_of(self.sweep.shard());
         if let Some((name, version)) = self.expired.pop() {
-            // The delete fails if the claim has changed since it was listed. The next sweep lists it
-            // again.
+            // The delete fails if the claim has changed since it was listed. The next sweep lists
+            // it again.
             let _ = self.api.delete(&kind, &name, version);
             self.sweep.deleted(now);
         } else if let Ok(list) = self.api.list(&kind) {
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -1,4 +1,4 @@
-//! The deciding duty.
+//! The deciding duty, which drives the router.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,7 +7,7 @@
 use flume::{Receiver, RecvTimeoutError, Sender};
 
 use super::{DaemonStatus, DecideMessage, PeerUpdate, PendingRequests, Query, VersionTracker};
-use crate::admit::Admitted;
+use crate::admit::AdmittedRequest;
 use crate::caller::RequestUpdate;
 use crate::claim::ClaimClient;
 use crate::clock::Clock;
@@ -133,7 +133,7 @@
         }
     }
 
-    fn handle_arrival(&mut self, admitted: Admitted) {
+    fn handle_arrival(&mut self, admitted: AdmittedRequest) {
         let request = admitted.request.clone();
         let wait = self.clock.now().since(request.arrived);
         self.record_metric(MetricEvent::RingWait(wait));
@@ -195,7 +195,7 @@
         self.record_metric(MetricEvent::Configured(fleet.version));
         self.ready.store(self.drained.is_none(), Ordering::Release);
         self.versions.set_current(fleet.version);
-        // The ring holds one signal, and the one receiver needs no more.
+        // The ring holds one signal, which is all that its receiver needs.
         let _ = self.ready_tx.try_send(());
         log::info!(step = "configure", version:% = fleet.version; "a configuration is in force");
     }
@@ -222,7 +222,7 @@
 
     fn execute_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
-        let mut unsubmitted = Vec::new();
+        let mut outcomes = Vec::new();
         for action in actions.drain(..) {
             match action {
                 Action::Dispatch(dispatch) => self.dispatch(dispatch),
@@ -232,7 +232,7 @@
                     self.requests.refuse(id, refusal);
                 }
                 Action::ReplayAnswer(id, answer) => self.requests.replay_answer(id, answer),
-                Action::Claim(command) => unsubmitted.extend(self.claims.submit(command)),
+                Action::Claim(command) => outcomes.extend(self.claims.submit(command)),
                 Action::Cancel(attempt) => {
                     self.launcher.cancel(attempt);
                     self.record_metric(MetricEvent::Cancelled(attempt));
@@ -243,7 +243,7 @@
             }
         }
         self.actions = actions;
-        for outcome in &unsubmitted {
+        for outcome in &outcomes {
             self.handle_event(Event::Claim(outcome));
         }
         if !self.actions.is_empty() {
--- a/azureway-entry/src/decide/message.rs
+++ b/azureway-entry/src/decide/message.rs
@@ -9,13 +9,13 @@
 use flume::Sender;
 
 use super::{OwnedCacheUpdate, PeerUpdate, Query};
-use crate::admit::Admitted;
+use crate::admit::AdmittedRequest;
 
 /// A message to the deciding duty.
 #[derive(Debug)]
 pub enum DecideMessage {
     /// A request was admitted.
-    Arrived(Box<Admitted>),
+    Arrived(Box<AdmittedRequest>),
     /// The caller of a request disconnected.
     CallerDisconnected(RequestId),
     /// A backend server began to answer an attempt.
--- a/azureway-entry/src/decide/pending_requests.rs
+++ b/azureway-entry/src/decide/pending_requests.rs
@@ -8,7 +8,7 @@
 };
 
 use super::PendingRequest;
-use crate::admit::Admitted;
+use crate::admit::AdmittedRequest;
 use crate::caller::{AnswerChunk, RequestUpdate};
 use crate::meter::MetricEvent;
 
@@ -25,8 +25,8 @@
     }
 
     /// Adds an admitted request.
-    pub fn insert(&mut self, admitted: Admitted) {
-        let Admitted {
+    pub fn insert(&mut self, admitted: AdmittedRequest) {
+        let AdmittedRequest {
             request,
             upstream,
             updates,
--- a/azureway-entry/src/order/orderer.rs
+++ b/azureway-entry/src/order/orderer.rs
@@ -1,4 +1,4 @@
-//! The ordering duty.
+//! The ordering duty, which sends load orders.
 
 use std::time::Duration;
 
