--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -20,7 +20,7 @@
 
 /// The deciding duty: passes events to the router and carries out the actions that it returns.
 #[derive(Debug)]
-pub struct Decider<P, L, N> {
+pub struct Decider<P, L, S> {
     router: Router<P>,
     messages: Receiver<DecideMessage>,
     clock: Clock,
@@ -28,7 +28,7 @@
     claims: ClaimClient,
     orders: OrderClient,
     launcher: L,
-    readers: N,
+    feeds: S,
     peers: PeerClient,
     meter: Sender<MetricEvent>,
     ready: Arc<AtomicBool>,
@@ -38,9 +38,9 @@
     versions: VersionTracker,
 }
 
-impl<P: Policy, L: Launch, N: Subscribe> Decider<P, L, N> {
+impl<P: Policy, L: Launch, S: Subscribe> Decider<P, L, S> {
     /// Creates the duty of instance `me`.
-    pub fn new(router: Router<P>, rings: &Rings, launcher: L, readers: N, me: InstanceId) -> Self {
+    pub fn new(router: Router<P>, rings: &Rings, launcher: L, feeds: S, me: InstanceId) -> Self {
         Self {
             router,
             messages: rings.decide_messages.clone(),
@@ -49,7 +49,7 @@
             claims: ClaimClient::new(&rings.claims),
             orders: OrderClient::new(rings.order.clone()),
             launcher,
-            readers,
+            feeds,
             peers: PeerClient::new(me, rings.peer.clone()),
             meter: rings.meter.clone(),
             ready: Arc::clone(&rings.ready),
@@ -70,7 +70,7 @@
             }
             self.execute_actions();
         }
-        self.readers.stop();
+        self.feeds.stop();
         if let Some(drained) = self.drained {
             let _ = drained.try_send(());
         }
@@ -190,7 +190,7 @@
             return;
         }
         self.handle_event(Event::Configured(fleet));
-        self.readers.reconfigure(fleet);
+        self.feeds.reconfigure(fleet);
         self.orders.reconfigure(fleet);
         self.record_metric(MetricEvent::Configured(fleet.version));
         self.ready.store(self.drained.is_none(), Ordering::Release);
@@ -239,7 +239,7 @@
                 }
                 Action::BroadcastServer(update) => self.peers.send_server(update),
                 Action::BroadcastStrike(strike) => self.peers.send_strike(strike),
-                Action::Resync(server) => self.readers.resync(&server),
+                Action::Resync(server) => self.feeds.resync(&server),
             }
         }
         self.actions = actions;
