--- a/azureway-entry/src/routed/answer.rs
+++ b/azureway-entry/src/routed/answer.rs
@@ -13,73 +13,75 @@
 use crate::decide::DecideMessage;
 use crate::exchange::AnswerHead;
 
-/// The answer to one request, over all its tries.
+/// Writes the answer to one request, over all its attempts.
 pub struct RoutedAnswer<'a> {
     stream: &'a TcpStream,
     id: RequestId,
-    limit: Instant,
+    deadline: Instant,
     close: bool,
-    sent: bool,
-    held: Option<(Box<AnswerHead>, Vec<u8>)>,
+    attempted: bool,
+    fallback: Option<(Box<AnswerHead>, Vec<u8>)>,
     writer: Option<Encoder<&'a TcpStream>>,
 }
 
 impl<'a> RoutedAnswer<'a> {
-    /// Creates the answer to request `id`, which is given up at `limit`. `close` tells whether
-    /// the connection ends with it.
-    pub const fn new(stream: &'a TcpStream, id: RequestId, limit: Instant, close: bool) -> Self {
+    /// Creates the writer of the answer to request `id`, which is cancelled at `deadline`. With
+    /// `close`, the answer states that the connection closes after it.
+    pub const fn new(stream: &'a TcpStream, id: RequestId, deadline: Instant, close: bool) -> Self {
         Self {
             stream,
             id,
-            limit,
+            deadline,
             close,
-            sent: false,
-            held: None,
+            attempted: false,
+            fallback: None,
             writer: None,
         }
     }
 
-    /// Writes the answer as the outcomes come. `decide` hears of a request that is given up.
+    /// Writes the answer as the updates of the request arrive. A request that reaches its deadline
+    /// is cancelled through `decide`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller hangs up.
+    /// Returns an error if the caller disconnects.
     pub fn run(
         &mut self,
         updates: &Receiver<RequestUpdate>,
         decide: &flume::Sender<DecideMessage>,
     ) -> io::Result<AnswerEnd> {
         loop {
-            match updates.recv_deadline(self.limit) {
+            match updates.recv_deadline(self.deadline) {
                 Ok(RequestUpdate::Refused(_, refusal)) => return self.refuse(&refusal),
                 Ok(RequestUpdate::AttemptStarted { chunks, .. }) => {
-                    self.sent = true;
+                    self.attempted = true;
                     if !is_open(self.stream)? {
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
-                    if let Some(ending) = self.pass_on(&chunks)? {
-                        return Ok(ending);
+                    if let Some(end) = self.forward(&chunks)? {
+                        return Ok(end);
                     }
                 }
-                Err(RecvTimeoutError::Timeout) => return self.give_up(updates, decide),
-                // The request was taken back because its caller is gone.
-                Err(RecvTimeoutError::Disconnected) => return Ok(AnswerEnd::Broken),
+                Err(RecvTimeoutError::Timeout) => return self.cancel(updates, decide),
+                // The request was cancelled because its caller disconnected.
+                Err(RecvTimeoutError::Disconnected) => return Ok(AnswerEnd::Aborted),
             }
         }
     }
 
-    /// Passes on the chunks of one try. Returns how the answer ended, if it did.
-    fn pass_on(&mut self, chunks: &Receiver<AnswerChunk>) -> io::Result<Option<AnswerEnd>> {
-        // A try that ends without an answer, or that runs out of time, ends the ring or the
-        // wait; what becomes of the request is then told by its updates.
-        while let Ok(chunk) = chunks.recv_deadline(self.limit) {
+    /// Forwards the chunks of one attempt. Returns how the answer ended, or `None` if the attempt
+    /// did not complete it.
+    fn forward(&mut self, chunks: &Receiver<AnswerChunk>) -> io::Result<Option<AnswerEnd>> {
+        // The loop ends if the attempt ends without an answer or the deadline passes. The next
+        // update then states what becomes of the request.
+        while let Ok(chunk) = chunks.recv_deadline(self.deadline) {
             match chunk {
                 AnswerChunk::Forwarded(head, body) => {
-                    RoutedResponder::new(self.stream, self.close).pass(&head, &body)?;
+                    RoutedResponder::new(self.stream, self.close).write_complete(&head, &body)?;
                     return Ok(Some(AnswerEnd::complete(self.close)));
                 }
-                AnswerChunk::Fallback(head, body) => self.held = Some((head, body)),
-                AnswerChunk::StreamHead(head) => self.begin(&head)?,
+                AnswerChunk::Fallback(head, body) => self.fallback = Some((head, body)),
+                AnswerChunk::StreamHead(head) => self.start_stream(&head)?,
                 AnswerChunk::StreamBytes(bytes) => {
                     if let Some(writer) = &mut self.writer {
                         writer.write_all(&bytes)?;
@@ -91,37 +93,37 @@
                     return Ok(Some(AnswerEnd::complete(self.close)));
                 }
                 AnswerChunk::Event(..) | AnswerChunk::Complete(..) => {
-                    return Err(io::Error::other("a chunk of another interface"));
+                    return Err(io::Error::other("unexpected chunk of a relayed answer"));
                 }
             }
         }
         Ok(None)
     }
 
-    /// Writes the head of a stream, unless an earlier try has.
-    fn begin(&mut self, head: &AnswerHead) -> io::Result<()> {
+    /// Writes the head of a stream, unless an earlier attempt has written it.
+    fn start_stream(&mut self, head: &AnswerHead) -> io::Result<()> {
         if self.writer.is_none() {
             let responder = RoutedResponder::new(self.stream, self.close);
-            self.writer = Some(responder.stream(head)?);
+            self.writer = Some(responder.start_stream(head)?);
         }
         Ok(())
     }
 
     fn refuse(&mut self, refusal: &Refusal) -> io::Result<AnswerEnd> {
         if self.writer.is_some() {
-            return Ok(AnswerEnd::Broken);
+            return Ok(AnswerEnd::Aborted);
         }
         let responder = RoutedResponder::new(self.stream, self.close);
-        match self.held.take() {
-            Some((head, body)) if !refusal.not_run => responder.pass(&head, &body)?,
+        match self.fallback.take() {
+            Some((head, body)) if !refusal.not_run => responder.write_complete(&head, &body)?,
             _ => responder.refuse(refusal)?,
         }
         Ok(AnswerEnd::complete(self.close))
     }
 
-    /// Takes the request back and answers for it. It counts as not run only if no try had
-    /// begun when the decisions let go of it.
-    fn give_up(
+    /// Cancels the request and refuses it. The refusal says that it did not run only if no attempt
+    /// had started when the router removed it.
+    fn cancel(
         &mut self,
         updates: &Receiver<RequestUpdate>,
         decide: &flume::Sender<DecideMessage>,
@@ -129,19 +131,19 @@
         let _ = decide.send(DecideMessage::CallerDisconnected(self.id));
         for update in updates.iter() {
             match update {
-                RequestUpdate::AttemptStarted { .. } => self.sent = true,
+                RequestUpdate::AttemptStarted { .. } => self.attempted = true,
                 RequestUpdate::Refused(_, refusal) => return self.refuse(&refusal),
             }
         }
         let detail = "the time for the answer has passed";
-        let refusal = if self.sent {
+        let refusal = if self.attempted {
             Refusal::maybe_run(RefusalReason::Deadline, detail)
         } else {
             Refusal::not_run(RefusalReason::Deadline, detail)
         };
         log::info!(
             request:% = self.id, step = "answer", code = refusal.reason.code(),
-            sent = self.sent; "given up"
+            sent = self.attempted; "given up"
         );
         self.refuse(&refusal)
     }
@@ -150,8 +152,8 @@
 impl Drop for RoutedAnswer<'_> {
     fn drop(&mut self) {
         if self.writer.is_some() {
-            // Dropping the writer writes the last chunk, by which a stream that broke off
-            // would look complete; on a closed connection it does not reach the caller.
+            // Dropping the writer writes the last chunk, which would make an interrupted stream
+            // look complete. Closing the connection first keeps that chunk from the caller.
             let _ = self.stream.shutdown(std::net::Shutdown::Both);
         }
     }
--- a/azureway-entry/src/routed/answer_end.rs
+++ b/azureway-entry/src/routed/answer_end.rs
@@ -1,20 +1,19 @@
-//! How the answer to a request ended.
+//! The end of an answer and what follows for its connection.
 
-/// How the answer to a request ended.
+/// How the answer to a request ended, and what follows for its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerEnd {
-    /// It is complete, and the connection may carry another request.
-    Complete,
-    /// It is complete, and the connection is to be closed.
-    Last,
-    /// It broke off, or the caller is gone.
-    Broken,
+    /// The answer is complete, and the connection may carry another request.
+    KeepAlive,
+    /// The answer is complete, and the connection must be closed.
+    Close,
+    /// The answer was cut short, or the caller has disconnected.
+    Aborted,
 }
 
 impl AnswerEnd {
-    /// Returns the ending of a complete answer, after which the connection is to be closed or
-    /// not.
+    /// Returns the end of a complete answer. With `close`, the connection must be closed.
     pub const fn complete(close: bool) -> Self {
-        if close { Self::Last } else { Self::Complete }
+        if close { Self::Close } else { Self::KeepAlive }
     }
 }
--- a/azureway-entry/src/routed/call_metadata.rs
+++ b/azureway-entry/src/routed/call_metadata.rs
@@ -1,4 +1,4 @@
-//! What a call says beside its body.
+//! The metadata of a call.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 
 use super::PromptPart;
 
-/// What a call says beside its body, read from a site's own headers.
+/// The metadata of a call, read from the site's own headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallMetadata<'a> {
-    /// The caller's own identity of this sending.
+    /// The ID that the caller gave to this attempt.
     pub attempt_id: Option<&'a str>,
     /// The API key.
     pub api_key: Option<&'a str>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub timeout: Option<Duration>,
-    /// The parts of the prompt in order; the last one is the request's or its session's own.
+    /// The parts of the prompt in order. The last one is specific to the request or its session.
     pub parts: SmallVec<[PromptPart<'a>; 6]>,
-    /// The most tokens that the answer may have.
+    /// The largest number of tokens that the answer may have.
     pub max_output: TokenCount,
 }
--- a/azureway-entry/src/routed/call_reader.rs
+++ b/azureway-entry/src/routed/call_reader.rs
@@ -1,4 +1,4 @@
-//! Reading routed calls.
+//! Turning routed calls into requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,21 +9,21 @@
 use super::{CallMetadata, CallerDialect};
 use crate::admit::{Call, Passthrough, ReadCall, UpstreamRequest};
 
-/// Reads calls that are routed by host and path.
+/// Turns calls that are routed by host and path into requests.
 #[derive(Clone, Debug)]
 pub struct RoutedCallReader<D> {
     dialect: D,
 }
 
-/// How many times its target a backend server may take before another one is asked.
-const PATIENCE: u32 = 4;
-/// The shortest time after which a silent backend server is given up: a few times the answer
-/// of a service that works for tens of milliseconds.
-const PATIENCE_MIN: Duration = Duration::from_millis(500);
-/// The longest time after which a silent backend server is given up where nothing says that it
-/// is busy: callers abandon a silent stream after two seconds and more.
-const PATIENCE_MAX: Duration = Duration::from_millis(2_500);
-/// The headers that concern one connection only.
+/// The read timeout of a backend server as a multiple of the route's target latency.
+const READ_TIMEOUT_FACTOR: u32 = 4;
+/// The shortest read timeout of a backend server: several times the latency of a service that
+/// answers within tens of milliseconds.
+const MIN_READ_TIMEOUT: Duration = Duration::from_millis(500);
+/// The longest read timeout of a backend server that is not known to be busy: callers abandon a
+/// silent stream after two seconds or more.
+const MAX_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The hop-by-hop headers of a request, in lower case, which are not forwarded.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "content-length",
@@ -38,7 +38,7 @@
 ];
 
 impl<D: CallerDialect> RoutedCallReader<D> {
-    /// Creates a reader of calls in a site's spelling.
+    /// Creates a reader of calls with the headers of `dialect`.
     pub const fn new(dialect: D) -> Self {
         Self { dialect }
     }
@@ -61,13 +61,13 @@
     ) -> Result<Request, Refusal> {
         let service = route.choose_service(call.id.seed());
         let service = service.and_then(|id| fleet.services.get(id));
-        let none = || {
+        let no_service = || {
             Refusal::not_run(
                 RefusalReason::NoServer,
                 "no service stands behind the route",
             )
         };
-        let service = service.ok_or_else(none)?;
+        let service = service.ok_or_else(no_service)?;
         let owner = if account.isolated {
             account.id.as_str()
         } else {
@@ -75,9 +75,9 @@
         };
         let salt = Salt::new(&AccountId::new(owner), &service.id, WeightsVersion::ZERO);
         let target = format!("{} {}", call.head.method, call.head.path);
-        let wait = metadata
+        let timeout = metadata
             .timeout
-            .map_or(route.timeout, |w| w.min(route.timeout));
+            .map_or(route.timeout, |t| t.min(route.timeout));
         let rank = account.priority.map_or(route.rank, |(rank, _)| rank);
         Ok(Request {
             id: call.id,
@@ -86,10 +86,10 @@
             rank,
             kind: route.kind,
             worth: Worth::new(1),
-            deadline: Deadline::new(call.arrived + wait),
+            deadline: Deadline::new(call.arrived + timeout),
             arrived: call.arrived,
             weights: service.weights,
-            chain: chain(salt, metadata),
+            chain: block_chain(salt, metadata),
             max_output: metadata.max_output,
             idempotency_key: None,
             fingerprint: Fingerprint::of(account.id.as_str(), &target, &call.body),
@@ -102,18 +102,19 @@
         route: &Route,
         account: &ClientAccount,
         request: &Request,
-        attempt: Option<Box<str>>,
+        attempt_id: Option<Box<str>>,
         kind: ServiceKind,
         call: &mut Call,
     ) -> UpstreamRequest {
-        let patience = (route.target_latency * PATIENCE).clamp(PATIENCE_MIN, PATIENCE_MAX);
+        let read_timeout =
+            (route.target_latency * READ_TIMEOUT_FACTOR).clamp(MIN_READ_TIMEOUT, MAX_READ_TIMEOUT);
         let passthrough = Passthrough {
-            attempt_id: attempt,
+            attempt_id,
             once: route.kind == RequestKind::AtMostOnce,
             headers: self.headers(call),
             priority: route.precedence(account),
             deadline: request.deadline.timestamp(),
-            read_timeout: patience,
+            read_timeout,
             max_attempts: match route.kind {
                 RequestKind::Repeatable => route.max_attempts,
                 RequestKind::AtMostOnce => 1,
@@ -132,16 +133,16 @@
         }
     }
 
-    /// Returns the headers that are passed on.
+    /// Returns the headers that are forwarded.
     fn headers(&self, call: &Call) -> Vec<(Box<str>, Box<str>)> {
-        let named = call.head.get_all("connection").flat_map(|v| v.split(','));
-        let named: Vec<_> = named.map(|n| n.trim().to_ascii_lowercase()).collect();
-        let passed = |name: &str| {
+        let listed = call.head.get_all("connection").flat_map(|v| v.split(','));
+        let listed: Vec<_> = listed.map(|n| n.trim().to_ascii_lowercase()).collect();
+        let forwarded = |name: &str| {
             !HOP_BY_HOP.contains(&name)
-                && !named.iter().any(|n| n == name)
+                && !listed.iter().any(|n| n == name)
                 && !self.dialect.is_withheld(name)
         };
-        let headers = call.head.iter().filter(|(name, _)| passed(name));
+        let headers = call.head.iter().filter(|(name, _)| forwarded(name));
         headers.map(|(n, v)| (n.into(), v.into())).collect()
     }
 }
@@ -164,9 +165,9 @@
         } else {
             ServiceKind::Model
         };
-        let attempt = metadata.attempt_id.map(Into::into);
+        let attempt_id = metadata.attempt_id.map(Into::into);
         drop(metadata);
-        let upstream = self.upstream(route, account, &request, attempt, kind, call);
+        let upstream = self.upstream(route, account, &request, attempt_id, kind, call);
         Ok((request, upstream))
     }
 
@@ -184,7 +185,7 @@
     }
 }
 
-/// Returns the client account that makes a call.
+/// Returns the client account of a call.
 fn account<'a>(
     fleet: &'a Fleet,
     route: &Route,
@@ -193,24 +194,26 @@
     let known = metadata
         .api_key
         .and_then(|k| fleet.account_of(&KeyHash::of(k)));
-    // The one account that every fleet has stands for callers without a key.
-    let open = route.public || fleet.accounts.len() == 1;
-    let anonymous = fleet.accounts.get(ANONYMOUS).filter(|_| open);
+    // Every fleet has the anonymous account. Callers without a key use it on public routes, and on
+    // all routes if there is no other account.
+    let anonymous_allowed = route.public || fleet.accounts.len() == 1;
+    let anonymous = fleet.accounts.get(ANONYMOUS).filter(|_| anonymous_allowed);
     let refusal = || Refusal::not_run(RefusalReason::Unauthorized, "the API key is not known");
     known.or(anonymous).ok_or_else(refusal)
 }
 
-/// Derives the blocks of a prompt from its parts. Servers tell of each part by itself, so keys
-/// do not chain; a part counts only where all before it are held. The last part is the request's own, so the
-/// parts before it place the request.
-fn chain(salt: Salt, metadata: &CallMetadata<'_>) -> BlockChain {
+/// Returns the blocks of a prompt, one for each part. Servers report each cached part separately,
+/// so the key of a block does not depend on the blocks before it; a cached part is usable only if
+/// all parts before it are cached. The last part is specific to the request, so only the parts
+/// before it decide where the request is placed.
+fn block_chain(salt: Salt, metadata: &CallMetadata<'_>) -> BlockChain {
     let blocks = metadata.parts.iter().map(|part| Block {
         key: BlockKey::first(salt, part.id.as_bytes()),
         tokens: part.tokens,
     });
     let blocks: Vec<_> = blocks.collect();
-    let placing = blocks.len().saturating_sub(1);
-    BlockChain::from_blocks(salt, blocks, placing)
+    let prefix_blocks = blocks.len().saturating_sub(1);
+    BlockChain::from_blocks(salt, blocks, prefix_blocks)
 }
 
 fn malformed(detail: &'static str) -> Refusal {
--- a/azureway-entry/src/routed/caller_dialect.rs
+++ b/azureway-entry/src/routed/caller_dialect.rs
@@ -1,18 +1,18 @@
-//! How a site's callers spell their calls.
+//! The headers of a site's callers.
 
 use super::CallMetadata;
 use crate::caller::Head;
 
-/// How a site's callers spell what the decisions need to know of a call.
+/// The site's own headers by which callers state what the router needs to know of a call.
 pub trait CallerDialect: Clone + Send + 'static {
-    /// Reads what a call says beside its body.
+    /// Reads the metadata of a call.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the call.
+    /// Returns a description of the fault if a header is malformed.
     fn read<'a>(&self, head: &'a Head) -> Result<CallMetadata<'a>, &'static str>;
 
-    /// Tells whether backend servers must not get a header, given by its lower-case name, as
-    /// the caller sent it.
+    /// Returns whether a caller's header, given by its lower-case name, must not be forwarded to
+    /// backend servers.
     fn is_withheld(&self, name: &str) -> bool;
 }
--- a/azureway-entry/src/routed/disconnect_watch.rs
+++ b/azureway-entry/src/routed/disconnect_watch.rs
@@ -1,4 +1,4 @@
-//! Telling the duty that watches for hang-ups of a connection.
+//! Registering connections with the duty that detects disconnects.
 
 use std::io;
 use std::net::TcpStream;
@@ -9,16 +9,16 @@
 use mio::unix::SourceFd;
 use mio::{Interest, Registry, Token};
 
-/// The side of a connection that wants to know of its caller's hang-up while it waits for an
-/// answer.
+/// Registers connections that wait for an answer, so that their callers' disconnects are detected.
 #[derive(Clone, Debug)]
 pub struct DisconnectWatch {
     registry: Arc<Registry>,
+    /// The requests of the watched connections. The index of a slot is the token of its connection.
     requests: Arc<Mutex<Vec<Option<RequestId>>>>,
 }
 
 impl DisconnectWatch {
-    /// Creates the side of the poll that `registry` belongs to.
+    /// Creates a watch that registers connections with `registry`.
     pub fn new(registry: Registry) -> Self {
         Self {
             registry: Arc::new(registry),
@@ -26,47 +26,47 @@
         }
     }
 
-    /// Watches a connection on behalf of a request. Returns the place to end it with.
+    /// Watches the connection of a request. Returns the slot to pass to [`end`](Self::end).
     ///
     /// # Errors
     ///
-    /// Returns an error if the system refuses.
+    /// Returns an error if the connection cannot be registered.
     pub fn begin(&self, stream: &TcpStream, id: RequestId) -> io::Result<usize> {
-        let place = self.with(|requests| {
+        let slot = self.with_requests(|requests| {
             let free = requests.iter().position(Option::is_none);
-            let place = free.unwrap_or_else(|| {
+            let slot = free.unwrap_or_else(|| {
                 requests.push(None);
                 requests.len() - 1
             });
-            requests[place] = Some(id);
-            place
+            requests[slot] = Some(id);
+            slot
         });
         let mut source = SourceFd(&stream.as_raw_fd());
-        let begun = self
+        let registered = self
             .registry
-            .register(&mut source, Token(place), Interest::READABLE);
-        if begun.is_err() {
-            self.with(|requests| requests[place] = None);
+            .register(&mut source, Token(slot), Interest::READABLE);
+        if registered.is_err() {
+            self.with_requests(|requests| requests[slot] = None);
         }
-        begun.map(|()| place)
+        registered.map(|()| slot)
     }
 
-    /// Ends the watch of a connection.
-    pub fn end(&self, stream: &TcpStream, place: usize) {
+    /// Stops watching a connection and frees its slot.
+    pub fn end(&self, stream: &TcpStream, slot: usize) {
         let mut source = SourceFd(&stream.as_raw_fd());
         if let Err(e) = self.registry.deregister(&mut source) {
-            log::warn!(step = "watch callers", error:% = e; "a connection is still watched");
+            log::warn!(step = "watch callers", error:% = e; "deregistering a connection failed");
         }
-        self.with(|requests| requests[place] = None);
+        self.with_requests(|requests| requests[slot] = None);
     }
 
-    /// Returns the request at a place.
-    pub fn request(&self, place: usize) -> Option<RequestId> {
-        self.with(|requests| requests.get(place).copied().flatten())
+    /// Returns the request in a slot.
+    pub fn request(&self, slot: usize) -> Option<RequestId> {
+        self.with_requests(|requests| requests.get(slot).copied().flatten())
     }
 
-    fn with<T>(&self, change: impl FnOnce(&mut Vec<Option<RequestId>>) -> T) -> T {
-        // The list is whole whatever its last holder did.
+    fn with_requests<T>(&self, change: impl FnOnce(&mut Vec<Option<RequestId>>) -> T) -> T {
+        // The list is consistent even if a thread panicked while it held the lock.
         let mut requests = self.requests.lock().unwrap_or_else(PoisonError::into_inner);
         change(&mut requests)
     }
--- a/azureway-entry/src/routed/disconnect_watcher.rs
+++ b/azureway-entry/src/routed/disconnect_watcher.rs
@@ -1,4 +1,4 @@
-//! The duty that watches for callers who hang up.
+//! The duty that detects callers' disconnects.
 
 use std::io;
 
@@ -9,8 +9,8 @@
 use super::DisconnectWatch;
 use crate::decide::DecideMessage;
 
-/// The duty that watches the connections whose requests are being answered, and takes back
-/// the request of a caller who hangs up.
+/// The duty that watches the connections of requests in flight and cancels the request of a caller
+/// that disconnects.
 #[derive(Debug)]
 pub struct DisconnectWatcher {
     poll: Poll,
@@ -18,15 +18,15 @@
     decide: Sender<DecideMessage>,
 }
 
-/// The events that are taken at once.
-const EVENTS: usize = 128;
+/// The largest number of events returned by one poll.
+const EVENT_CAPACITY: usize = 128;
 
 impl DisconnectWatcher {
-    /// Creates the duty.
+    /// Creates the duty, which reports disconnects to `decide`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the system refuses.
+    /// Returns an error if the system cannot create the poll.
     pub fn new(decide: Sender<DecideMessage>) -> Result<Self, Error> {
         let failed = |e: io::Error| Error::new(ErrorKind::System, Step::new("watch callers"), e);
         let poll = Poll::new().map_err(failed)?;
@@ -38,25 +38,25 @@
         })
     }
 
-    /// Returns the side of the connections.
+    /// Returns the handle with which connections register themselves.
     pub fn watch(&self) -> DisconnectWatch {
         self.watch.clone()
     }
 
-    /// Runs for as long as the process does.
+    /// Runs until the process ends.
     pub fn run(mut self) {
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
             match self.poll.poll(&mut events, None) {
                 Ok(()) => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) => {
-                    log::error!(step = "watch callers", error:% = e; "hang-ups go unnoticed");
+                    log::error!(step = "watch callers", error:% = e; "polling failed, disconnects are no longer detected");
                     return;
                 }
             }
-            let gone = events.iter().filter(|e| e.is_read_closed() || e.is_error());
-            for id in gone.filter_map(|e| self.watch.request(e.token().0)) {
+            let disconnected = events.iter().filter(|e| e.is_read_closed() || e.is_error());
+            for id in disconnected.filter_map(|e| self.watch.request(e.token().0)) {
                 log::info!(request:% = id, step = "watch callers"; "the caller hung up");
                 if self
                     .decide
--- a/azureway-entry/src/routed/in_flight_guard.rs
+++ b/azureway-entry/src/routed/in_flight_guard.rs
@@ -1,15 +1,15 @@
-//! A request that is being answered.
+//! The guard of a request in flight.
 
 use super::InFlight;
 
-/// Counts a request as being answered for as long as it lives.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     in_flight: InFlight,
 }
 
 impl InFlightGuard {
-    /// Creates the guard of a request that was counted.
+    /// Creates the guard of a request that has been counted.
     pub const fn new(in_flight: InFlight) -> Self {
         Self { in_flight }
     }
--- a/azureway-entry/src/routed/listener.rs
+++ b/azureway-entry/src/routed/listener.rs
@@ -11,8 +11,7 @@
 use super::{CallerDialect, DisconnectWatch, RoutedConnection, RoutedResponder, ServingState};
 use crate::daemon::Handles;
 
-/// The accepting duty of routed callers: gives each connection a thread of its own, within a
-/// bound.
+/// The accepting duty of routed callers: starts a thread for each connection, up to a limit.
 #[derive(Debug)]
 pub struct RoutedListener<D> {
     listener: TcpListener,
@@ -21,14 +20,14 @@
     bounds: Bounds,
     serving: ServingState,
     watch: DisconnectWatch,
-    open: Arc<AtomicUsize>,
+    connections: Arc<AtomicUsize>,
 }
 
-/// The stack of a connection's thread, in bytes.
+/// The stack size of a connection's thread, in bytes.
 const STACK_SIZE: usize = 128 * 1024;
 
 impl<D: CallerDialect> RoutedListener<D> {
-    /// Binds `address`.
+    /// Creates the duty and binds `address`.
     ///
     /// # Errors
     ///
@@ -51,7 +50,7 @@
             bounds,
             serving,
             watch,
-            open: Arc::default(),
+            connections: Arc::default(),
         })
     }
 
@@ -59,28 +58,29 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the system does not tell it.
+    /// Returns an error if the system cannot report it.
     pub fn address(&self) -> Result<SocketAddr, Error> {
         let failed = |e| Error::new(ErrorKind::System, Step::new("listen for callers"), e);
         self.listener.local_addr().map_err(failed)
     }
 
-    /// Accepts connections for as long as the process runs.
+    /// Accepts connections until the process ends.
     pub fn run(self) {
         for stream in self.listener.incoming() {
             match stream {
-                Ok(stream) => self.open(stream),
-                Err(e) => log::warn!(step = "accept", error:% = e; "no connection"),
+                Ok(stream) => self.serve(stream),
+                Err(e) => log::warn!(step = "accept", error:% = e; "accepting a connection failed"),
             }
         }
     }
 
-    fn open(&self, stream: TcpStream) {
-        if self.open.fetch_add(1, Ordering::AcqRel) >= self.bounds.connections {
-            self.open.fetch_sub(1, Ordering::AcqRel);
+    /// Starts a thread for a connection, or refuses it if too many are open.
+    fn serve(&self, stream: TcpStream) {
+        if self.connections.fetch_add(1, Ordering::AcqRel) >= self.bounds.connections {
+            self.connections.fetch_sub(1, Ordering::AcqRel);
             let refusal = Refusal::not_run(RefusalReason::Overloaded, "too many connections");
             if let Err(e) = RoutedResponder::new(&stream, true).refuse(&refusal) {
-                log::debug!(step = "accept", error:% = e; "a caller took no refusal");
+                log::debug!(step = "accept", error:% = e; "sending a refusal failed");
             }
             return;
         }
@@ -91,17 +91,17 @@
             self.serving.clone(),
             self.watch.clone(),
         );
-        let open = Arc::clone(&self.open);
+        let connections = Arc::clone(&self.connections);
         let thread = thread::Builder::new()
             .name("caller".to_owned())
             .stack_size(STACK_SIZE);
         let spawned = thread.spawn(move || {
             connection.run();
-            open.fetch_sub(1, Ordering::AcqRel);
+            connections.fetch_sub(1, Ordering::AcqRel);
         });
         if let Err(e) = spawned {
-            self.open.fetch_sub(1, Ordering::AcqRel);
-            log::error!(step = "accept", error:% = e; "no thread for a connection");
+            self.connections.fetch_sub(1, Ordering::AcqRel);
+            log::error!(step = "accept", error:% = e; "starting a thread failed");
         }
     }
 }
--- a/azureway-entry/src/routed/mod.rs
+++ b/azureway-entry/src/routed/mod.rs
@@ -1,8 +1,8 @@
-//! The interface of callers who are routed by host and path, and whose requests and answers
-//! are passed on unchanged.
+//! The interface of callers that are routed by host and path, whose requests and answers are
+//! forwarded unchanged.
 //!
-//! Connections stay open for many requests. What differs between sites is how a caller spells
-//! what the decisions need: a [`CallerDialect`] knows that.
+//! Connections are persistent. Sites differ only in the headers that carry what the router needs: a
+//! [`CallerDialect`] reads those.
 
 mod answer;
 mod answer_end;
--- a/azureway-entry/src/routed/prefixed_reader.rs
+++ b/azureway-entry/src/routed/prefixed_reader.rs
@@ -1,12 +1,12 @@
-//! Bytes that came with an earlier read.
+//! A reader that starts with bytes already received.
 
 use std::io::{self, Read};
 
-/// A reader that first gives the bytes that came with an earlier read.
+/// A reader that returns bytes received by an earlier read before those of its source.
 #[derive(Debug)]
 pub struct PrefixedReader<R> {
     bytes: Vec<u8>,
-    place: usize,
+    position: usize,
     source: R,
 }
 
@@ -15,26 +15,26 @@
     pub const fn new(bytes: Vec<u8>, source: R) -> Self {
         Self {
             bytes,
-            place: 0,
+            position: 0,
             source,
         }
     }
 
-    /// Returns the bytes that were not read.
-    pub fn into_rest(mut self) -> Vec<u8> {
-        self.bytes.split_off(self.place)
+    /// Returns the bytes of the prefix that were not read.
+    pub fn into_unread(mut self) -> Vec<u8> {
+        self.bytes.split_off(self.position)
     }
 }
 
 impl<R: Read> Read for PrefixedReader<R> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        let rest = &self.bytes[self.place..];
+        let rest = &self.bytes[self.position..];
         if rest.is_empty() {
             return self.source.read(buffer);
         }
         let count = rest.len().min(buffer.len());
         buffer[..count].copy_from_slice(&rest[..count]);
-        self.place += count;
+        self.position += count;
         Ok(count)
     }
 }
--- a/azureway-entry/src/routed/prompt_part.rs
+++ b/azureway-entry/src/routed/prompt_part.rs
@@ -2,11 +2,11 @@
 
 use azureway_core::prelude::TokenCount;
 
-/// A part of a prompt, as the caller names it.
+/// A part of a prompt that the caller identifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart<'a> {
-    /// Its identity: equal parts bear the same.
+    /// The ID of the part: parts with the same content have the same ID.
     pub id: &'a str,
-    /// Its length.
+    /// The length of the part, in tokens.
     pub tokens: TokenCount,
 }
--- a/azureway-entry/src/routed/responder.rs
+++ b/azureway-entry/src/routed/responder.rs
@@ -1,4 +1,4 @@
-//! Writing answers to routed callers.
+//! Writing answers to a routed caller's connection.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -18,37 +18,38 @@
     close: bool,
 }
 
-/// When a caller whose request has not run may come back, where nothing better is known: well
-/// within the third of its time that it waits at most.
-const RETRY_AFTER: Duration = Duration::from_millis(250);
+/// The `retry-after` time of a request that has not run, if the refusal states none. Callers wait
+/// for at most a third of their time limit before they retry; this is well below that.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// When a caller may come back that finds this instance leaving: another one serves already, and
-/// retries reach others.
-const ELSEWHERE: Duration = Duration::from_millis(20);
+/// The `retry-after` time of an instance that is draining: another instance already serves, and
+/// retries reach other instances.
+const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 impl<'a> RoutedResponder<'a> {
-    /// Creates a writer to `stream`; `close` tells whether the connection ends with the answer.
+    /// Creates a writer to `stream`. With `close`, the answer states that the connection closes
+    /// after it.
     pub const fn new(stream: &'a TcpStream, close: bool) -> Self {
         Self { stream, close }
     }
 
-    /// Writes a backend server's whole answer.
+    /// Writes a complete answer of a backend server.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller has hung up.
-    pub fn pass(&self, answer: &AnswerHead, body: &[u8]) -> io::Result<()> {
-        let head = ResponseHead::of(answer);
-        self.send(head, body)
+    /// Returns an error if the caller has disconnected.
+    pub fn write_complete(&self, answer: &AnswerHead, body: &[u8]) -> io::Result<()> {
+        let head = ResponseHead::from_answer(answer);
+        self.write(head, body)
     }
 
-    /// Writes the head of a backend server's stream and returns the writer of its bytes.
+    /// Writes the head of a backend server's stream and returns a writer for its body.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller has hung up.
-    pub fn stream(&self, answer: &AnswerHead) -> io::Result<Encoder<&'a TcpStream>> {
-        let head = ResponseHead::of(answer).with("transfer-encoding", "chunked");
+    /// Returns an error if the caller has disconnected.
+    pub fn start_stream(&self, answer: &AnswerHead) -> io::Result<Encoder<&'a TcpStream>> {
+        let head = ResponseHead::from_answer(answer).with("transfer-encoding", "chunked");
         let mut stream = self.stream;
         stream.write_all(&head.with_close(self.close).into_bytes())?;
         Ok(Encoder::with_flush_after_write(stream))
@@ -58,23 +59,23 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller has hung up.
+    /// Returns an error if the caller has disconnected.
     pub fn refuse(&self, refusal: &Refusal) -> io::Result<()> {
         let status = status_of(refusal);
         let head = ResponseHead::new(status, reason_phrase(status));
         let mut head = head.with("content-type", "application/json");
         if matches!(status, 429 | 503) {
             let after = match refusal.reason {
-                RefusalReason::Draining => ELSEWHERE,
-                _ => refusal.retry_after.unwrap_or(RETRY_AFTER),
+                RefusalReason::Draining => DRAINING_RETRY_AFTER,
+                _ => refusal.retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
             };
             head = head.with("retry-after", &format!("{:.3}", after.as_secs_f64()));
         }
         let body = serde_json::to_vec(&ErrorBody::from(refusal))?;
-        self.send(head, &body)
+        self.write(head, &body)
     }
 
-    fn send(&self, head: ResponseHead, body: &[u8]) -> io::Result<()> {
+    fn write(&self, head: ResponseHead, body: &[u8]) -> io::Result<()> {
         let head = head.with("content-length", &body.len().to_string());
         let mut bytes = head.with_close(self.close).into_bytes();
         bytes.extend_from_slice(body);
@@ -83,8 +84,8 @@
     }
 }
 
-/// Returns the status of a refusal. 408, 421, 429 and 503 promise that the request has not run
-/// and never will; 502 and 504 promise nothing.
+/// Returns the status code of a refusal. 408, 421, 429 and 503 guarantee that the request has not
+/// run and never will; 502 and 504 guarantee nothing.
 fn status_of(refusal: &Refusal) -> u16 {
     match refusal.reason {
         RefusalReason::Malformed => 400,
--- a/azureway-entry/src/routed/response_head.rs
+++ b/azureway-entry/src/routed/response_head.rs
@@ -1,16 +1,16 @@
-//! The head of an answer to a caller.
+//! The status line and headers of an answer to a caller.
 
 use std::fmt::Write as _;
 
 use crate::exchange::AnswerHead;
 
-/// The head of an answer to a caller, as text.
+/// The encoded status line and headers of an answer to a caller.
 #[derive(Debug)]
 pub struct ResponseHead {
     text: String,
 }
 
-/// The headers of a backend server's answer that concern its own connection only.
+/// The hop-by-hop headers of a backend server's answer, in lower case, which are not forwarded.
 const HOP_BY_HOP: [&str; 7] = [
     "connection",
     "content-length",
@@ -22,14 +22,14 @@
 ];
 
 impl ResponseHead {
-    /// Creates a head with its first line.
+    /// Creates a head with its status line.
     pub fn new(status: u16, reason: &str) -> Self {
         let text = format!("HTTP/1.1 {status} {reason}\r\n");
         Self { text }
     }
 
-    /// Creates the head of an answer that is passed on.
-    pub fn of(answer: &AnswerHead) -> Self {
+    /// Creates the head of an answer that is forwarded.
+    pub fn from_answer(answer: &AnswerHead) -> Self {
         let mut head = Self::new(answer.status, &answer.reason);
         for (name, value) in &answer.headers {
             if !HOP_BY_HOP.iter().any(|h| h.eq_ignore_ascii_case(name)) {
@@ -39,7 +39,7 @@
         head
     }
 
-    /// Adds a header.
+    /// Appends a header.
     #[must_use]
     pub fn with(mut self, name: &str, value: &str) -> Self {
         // Writing to a string does not fail.
@@ -47,7 +47,7 @@
         self
     }
 
-    /// Tells the caller whether the connection ends with this answer.
+    /// Appends `connection: close` if `close` is set.
     #[must_use]
     pub fn with_close(self, close: bool) -> Self {
         if close {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the bytes of the whole head.
+    /// Returns the bytes of the head with the blank line that ends it.
     pub fn into_bytes(mut self) -> Vec<u8> {
         self.text.push_str("\r\n");
         self.text.into_bytes()
--- a/azureway-entry/src/routed/serving_state.rs
+++ b/azureway-entry/src/routed/serving_state.rs
@@ -1,4 +1,4 @@
-//! What every caller's connection reaches.
+//! The state that all callers' connections share.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, PoisonError, RwLock};
@@ -7,17 +7,18 @@
 
 use super::InFlight;
 
-/// What every caller's connection reads: the limits in force and whether the daemon leaves.
+/// The state that all callers' connections share: the limits in force, whether the daemon is
+/// draining, and the number of requests in flight.
 #[derive(Clone, Debug, Default)]
 pub struct ServingState {
     limits: Arc<RwLock<CallerLimits>>,
     draining: Arc<AtomicBool>,
-    /// The requests that are being answered.
+    /// The number of requests in flight.
     pub in_flight: InFlight,
 }
 
 impl ServingState {
-    /// Creates a serving with the default limits.
+    /// Creates a state with the default limits that is not draining.
     pub fn new() -> Self {
         Self::default()
     }
@@ -27,17 +28,17 @@
         *self.limits.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes over the limits of a configuration.
+    /// Replaces the limits in force.
     pub fn set_limits(&self, limits: CallerLimits) {
         *self.limits.write().unwrap_or_else(PoisonError::into_inner) = limits;
     }
 
-    /// Lets connections close after the answer that they write next.
+    /// Makes each connection close after its next answer.
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Release);
     }
 
-    /// Tells whether connections close after the answer that they write next.
+    /// Returns whether connections close after their next answer.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
