--- a/azureway-entry/src/peer/document.rs
+++ b/azureway-entry/src/peer/document.rs
@@ -1,20 +1,20 @@
-//! The configuration document as peers pass it on.
+//! The configuration document that peers exchange.
 
 use std::sync::Arc;
 
 use azureway_core::prelude::ConfigVersion;
 
-/// The configuration document as the platform accepted it, with the version it has there.
+/// A configuration document that the platform accepted, with its version there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Document {
-    /// The version.
+    /// The version that the platform gave the document.
     pub version: ConfigVersion,
-    /// The text.
+    /// The text of the document, as the platform stores it.
     pub text: Arc<str>,
 }
 
 impl Document {
-    /// Creates a document.
+    /// Creates a document from its version and text.
     pub fn new(version: ConfigVersion, text: &str) -> Self {
         Self {
             version,
--- a/azureway-entry/src/peer/peer_call.rs
+++ b/azureway-entry/src/peer/peer_call.rs
@@ -1,4 +1,4 @@
-//! One call to a peer.
+//! A single call to a peer.
 
 use azureway_core::prelude::{ConfigVersion, Error, ErrorKind, Heartbeat, Instance, Step};
 use azureway_wire::peer;
@@ -6,49 +6,49 @@
 use tonic::Status;
 use tonic::transport::Channel;
 
-use super::{Document, PeerLinks, PeerMessage};
+use super::{Document, PeerConnections, PeerMessage};
 
-/// One call to a peer, which ends with a message to the peer duty.
+/// A single call to a peer, which reports its result to the peer duty.
 #[derive(Debug)]
 pub struct PeerCall {
     peer: Instance,
-    link: Channel,
+    channel: Channel,
     messages: Sender<PeerMessage>,
 }
 
 impl PeerCall {
-    /// Creates a call over `link`.
-    pub const fn new(peer: Instance, link: Channel, messages: Sender<PeerMessage>) -> Self {
+    /// Creates a call to `peer` over `channel` that reports to `messages`.
+    pub const fn new(peer: Instance, channel: Channel, messages: Sender<PeerMessage>) -> Self {
         Self {
             peer,
-            link,
+            channel,
             messages,
         }
     }
 
-    /// Sends a heartbeat, and once more over a new connection if the kept one fails.
-    pub async fn exchange(self, beat: peer::Heartbeat) {
-        let first = exchange(self.link.clone(), beat.clone()).await;
-        let answer = match (first, PeerLinks::open(&self.peer)) {
-            (Err(_), Ok(link)) => exchange(link, beat).await,
+    /// Sends a heartbeat and retries it once over a new connection if the existing one fails.
+    pub async fn exchange(self, heartbeat: peer::Heartbeat) {
+        let first = exchange(self.channel.clone(), heartbeat.clone()).await;
+        let answer = match (first, PeerConnections::open(&self.peer)) {
+            (Err(_), Ok(channel)) => exchange(channel, heartbeat).await,
             (first, _) => first,
         };
         let message = match answer.map_err(|e| self.error(&e)).and_then(|a| read(&a)) {
-            Ok(beat) => PeerMessage::Reply(Box::new(beat)),
+            Ok(heartbeat) => PeerMessage::Reply(Box::new(heartbeat)),
             Err(e) => {
-                log::debug!(step = e.step().as_str(), peer:% = self.peer.id, error:% = e; "no answer");
+                log::debug!(step = e.step().as_str(), peer:% = self.peer.id, error:% = e; "a peer did not answer a heartbeat");
                 PeerMessage::Timeout(self.peer.id.clone())
             }
         };
         let _ = self.messages.send_async(message).await;
     }
 
-    /// Asks for the document if it is newer than `known`.
+    /// Fetches the configuration document of the peer if it is newer than `known`.
     pub async fn fetch(self, known: ConfigVersion) {
         let request = peer::FetchRequest {
             newer_than: known.get(),
         };
-        let answer = peer::PeerClient::new(self.link.clone())
+        let answer = peer::PeerClient::new(self.channel.clone())
             .fetch(request)
             .await;
         let message = match answer.map(|a| a.into_inner()) {
@@ -58,7 +58,7 @@
             }
             Ok(_) => PeerMessage::FetchFailed(self.peer.id.clone()),
             Err(e) => {
-                log::debug!(step = "fetch document", peer:% = self.peer.id, error:% = e; "no document");
+                log::debug!(step = "fetch document", peer:% = self.peer.id, error:% = e; "a peer did not return its configuration");
                 PeerMessage::FetchFailed(self.peer.id.clone())
             }
         };
@@ -70,8 +70,8 @@
     }
 }
 
-async fn exchange(link: Channel, beat: peer::Heartbeat) -> Result<peer::Heartbeat, Status> {
-    let answer = peer::PeerClient::new(link).exchange(beat).await?;
+async fn exchange(channel: Channel, heartbeat: peer::Heartbeat) -> Result<peer::Heartbeat, Status> {
+    let answer = peer::PeerClient::new(channel).exchange(heartbeat).await?;
     Ok(answer.into_inner())
 }
 
--- a/azureway-entry/src/peer/peer_client.rs
+++ b/azureway-entry/src/peer/peer_client.rs
@@ -1,12 +1,13 @@
-//! What the deciding duty tells other entries.
+//! The deciding duty's handle to the peer duty.
 
 use azureway_core::prelude::{Demand, InstanceId, ServerUpdate, Strike};
 use flume::Sender;
 
 use super::PeerMessage;
 
-/// What the deciding duty tells other entries. A message that finds the ring full is lost, since
-/// decisions do not wait.
+/// The deciding duty's handle to the peer duty, which passes updates on to other entries.
+///
+/// A message is dropped if the ring is full, since decisions do not wait.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     me: InstanceId,
@@ -14,27 +15,27 @@
 }
 
 impl PeerClient {
-    /// Creates the client of instance `me`.
+    /// Creates the client of instance `me`, which sends to the ring `peer`.
     pub const fn new(me: InstanceId, peer: Sender<PeerMessage>) -> Self {
         Self { me, peer }
     }
 
-    /// Returns the name under which the entry speaks.
+    /// Returns the id of this entry instance.
     pub const fn me(&self) -> &InstanceId {
         &self.me
     }
 
-    /// Tells what client accounts ask for here.
+    /// Sends the demand of client accounts at this entry.
     pub fn send_demand(&self, demand: Demand) {
         let _ = self.peer.try_send(PeerMessage::Demand(demand));
     }
 
-    /// Tells of a backend server.
-    pub fn send_server(&self, news: ServerUpdate) {
-        let _ = self.peer.try_send(PeerMessage::Server(news));
+    /// Sends an update about a backend server.
+    pub fn send_server(&self, update: ServerUpdate) {
+        let _ = self.peer.try_send(PeerMessage::Server(update));
     }
 
-    /// Tells of a strike.
+    /// Sends a strike against a request.
     pub fn send_strike(&self, strike: Strike) {
         let _ = self.peer.try_send(PeerMessage::Strike(strike));
     }
--- /dev/null
+++ b/azureway-entry/src/peer/peer_connections.rs
@@ -0,0 +1,68 @@
+//! The open connections to peers.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use azureway_core::prelude::{Error, ErrorKind, Instance, InstanceId, Step};
+use tonic::transport::{Channel, Endpoint};
+
+/// The open connections to peers, which are reused from one heartbeat to the next.
+#[derive(Debug, Default)]
+pub struct PeerConnections {
+    connections: BTreeMap<InstanceId, (SocketAddr, Channel)>,
+}
+
+/// The maximum number of connections that are kept open.
+const CONNECTIONS_MAX: usize = 64;
+/// The timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// The timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+
+impl PeerConnections {
+    /// Creates an empty set of connections.
+    pub fn new() -> Self {
+        Self::default()
+    }
+
+    /// Returns the connection to a peer. The first call over it establishes it.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the peer's address is invalid.
+    pub fn get(&mut self, peer: &Instance) -> Result<Channel, Error> {
+        match self.connections.get(&peer.id) {
+            Some((address, channel)) if *address == peer.address => return Ok(channel.clone()),
+            _ => {}
+        }
+        if self.connections.len() >= CONNECTIONS_MAX {
+            self.connections.pop_first();
+        }
+        let channel = Self::open(peer)?;
+        let entry = (peer.address, channel.clone());
+        self.connections.insert(peer.id.clone(), entry);
+        Ok(channel)
+    }
+
+    /// Closes the connection to a peer. It may hang although a new connection would work.
+    pub fn close(&mut self, peer: &InstanceId) {
+        self.connections.remove(peer);
+    }
+
+    /// Returns a new connection to a peer without storing it for reuse.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the peer's address is invalid.
+    pub fn open(peer: &Instance) -> Result<Channel, Error> {
+        const STEP: Step = Step::new("open peer link");
+        let endpoint = Endpoint::from_shared(format!("http://{}", peer.address));
+        let endpoint =
+            endpoint.map_err(|e| Error::new(ErrorKind::Invalid, STEP, e).with_peer(&peer.id))?;
+        Ok(endpoint
+            .connect_timeout(CONNECT_TIMEOUT)
+            .timeout(CALL_TIMEOUT)
+            .connect_lazy())
+    }
+}
--- a/azureway-entry/src/peer/peer_duty.rs
+++ b/azureway-entry/src/peer/peer_duty.rs
@@ -1,4 +1,4 @@
-//! The peer duty itself.
+//! The duty that runs the membership protocol between entry instances.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -12,40 +12,40 @@
 use tonic::transport::Server;
 use tonic::transport::server::TcpIncoming;
 
-use super::{Document, PeerCall, PeerLinks, PeerMessage, PeerRings, PeerService};
+use super::{Document, PeerCall, PeerConnections, PeerMessage, PeerRings, PeerService};
 use crate::admit::AdmitMessage;
 use crate::decide::{DecideMessage, PeerUpdate};
 use crate::meter::MetricEvent;
 
-/// The peer duty: tells the membership what happened and carries out what it wants done.
+/// The peer duty: feeds events into the membership protocol and executes its actions.
 ///
-/// Its thread holds the only asynchronous runtime of the daemon, which the connections to
-/// peers need.
+/// Its thread runs the daemon's only asynchronous runtime, which the gRPC connections to peers
+/// need.
 #[derive(Debug)]
 pub struct PeerDuty {
-    core: Membership,
+    membership: Membership,
     rings: PeerRings,
-    links: PeerLinks,
+    connections: PeerConnections,
     document: Option<Document>,
     gate: VersionGate,
     actions: Vec<PeerAction>,
     rounds: u64,
 }
 
-/// The longest wait for a message, as a guard against a wake-up that lies out of reach.
+/// The longest wait for a message. It bounds wake-ups that lie too far in the future for a timer.
 const WAIT_MAX: Duration = Duration::from_secs(60);
-/// The rounds after which duties are told again which entries are alive.
-const TELL_ROUNDS: u64 = 5;
-/// The bytes of a message from a peer at most.
+/// The number of heartbeat rounds after which duties are notified again of the live entries.
+const NOTIFY_ROUNDS: u64 = 5;
+/// The maximum size of a message from a peer, in bytes.
 const MESSAGE_MAX: usize = 256 * 1024;
 
 impl PeerDuty {
-    /// Creates the duty.
-    pub fn new(core: Membership, rings: PeerRings) -> Self {
+    /// Creates the duty for `membership`.
+    pub fn new(membership: Membership, rings: PeerRings) -> Self {
         Self {
-            core,
+            membership,
             rings,
-            links: PeerLinks::new(),
+            connections: PeerConnections::new(),
             document: None,
             gate: VersionGate::new(),
             actions: Vec::new(),
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Creates the duty's runtime.
+    /// Creates the asynchronous runtime of the duty.
     ///
     /// # Errors
     ///
-    /// Returns an error if the system refuses.
+    /// Returns an error if the system cannot create the runtime.
     pub fn runtime() -> Result<Runtime, Error> {
         let runtime = Builder::new_current_thread()
             .enable_io()
@@ -66,163 +66,174 @@
         runtime.map_err(|e| Error::new(ErrorKind::System, Step::new("start runtime"), e))
     }
 
-    /// Runs until the daemon stops. Peers reach it on `listener`.
+    /// Runs until the daemon stops, and serves peers on `listener`.
     pub fn run(mut self, runtime: &Runtime, listener: TcpListener) {
         runtime.block_on(async {
             let service = PeerService::new(self.rings.peer.clone());
             let server = tokio::spawn(serve(service, listener));
-            self.tell(PeerEvent::Tick).await;
+            self.handle(PeerEvent::Tick).await;
             while let Some(message) = self.receive().await {
-                self.take(message).await;
+                self.handle_message(message).await;
             }
             server.abort();
         });
     }
 
-    /// Returns the next message, an empty one when time passed, or none when the daemon stops.
+    /// Returns the next message, `Some(None)` at the next wake-up, or `None` when the daemon stops.
     async fn receive(&self) -> Option<Option<PeerMessage>> {
         let now = self.rings.clock.now();
-        let until = self.core.next_wakeup().min(now + WAIT_MAX);
-        let until = tokio::time::Instant::from_std(self.rings.clock.instant(until));
-        match tokio::time::timeout_at(until, self.rings.messages.recv_async()).await {
+        let wakeup = self.membership.next_wakeup().min(now + WAIT_MAX);
+        let wakeup = tokio::time::Instant::from_std(self.rings.clock.instant(wakeup));
+        match tokio::time::timeout_at(wakeup, self.rings.messages.recv_async()).await {
             Err(_) => Some(None),
             Ok(Ok(PeerMessage::Stop) | Err(_)) => None,
             Ok(Ok(message)) => Some(Some(message)),
         }
     }
 
-    async fn take(&mut self, message: Option<PeerMessage>) {
+    async fn handle_message(&mut self, message: Option<PeerMessage>) {
         match message {
-            None | Some(PeerMessage::Stop) => self.tell(PeerEvent::Tick).await,
-            Some(PeerMessage::Configured(document)) => self.note_document(document).await,
-            Some(PeerMessage::Listed(list)) => self.tell(PeerEvent::Listed(&list)).await,
-            Some(PeerMessage::Demand(demand)) => self.tell(PeerEvent::Demand(&demand)).await,
-            Some(PeerMessage::Strike(strike)) => self.tell(PeerEvent::Strike(&strike)).await,
-            Some(PeerMessage::Server(news)) => self.tell(PeerEvent::Server(&news)).await,
+            None | Some(PeerMessage::Stop) => self.handle(PeerEvent::Tick).await,
+            Some(PeerMessage::Configured(document)) => self.record_document(document).await,
+            Some(PeerMessage::Listed(list)) => self.handle(PeerEvent::Listed(&list)).await,
+            Some(PeerMessage::Demand(demand)) => self.handle(PeerEvent::Demand(&demand)).await,
+            Some(PeerMessage::Strike(strike)) => self.handle(PeerEvent::Strike(&strike)).await,
+            Some(PeerMessage::Server(update)) => self.handle(PeerEvent::Server(&update)).await,
             Some(PeerMessage::Loading(loading)) => {
-                self.tell(PeerEvent::Loading(&loading)).await;
-                self.decide(DecideMessage::Peer(PeerUpdate::Loading(loading)))
+                self.handle(PeerEvent::Loading(&loading)).await;
+                self.send_decide(DecideMessage::Peer(PeerUpdate::Loading(loading)))
                     .await;
             }
-            Some(PeerMessage::Heartbeat(beat, reply)) => self.answer(&beat, &reply).await,
+            Some(PeerMessage::Heartbeat(heartbeat, reply)) => {
+                self.answer_heartbeat(&heartbeat, &reply).await
+            }
             Some(PeerMessage::FetchRequest(known, reply)) => {
                 let newer = self.document.as_ref().filter(|d| d.version > known);
                 let _ = reply.try_send(newer.cloned());
             }
-            Some(PeerMessage::Reply(beat)) => self.tell(PeerEvent::Reply(&beat)).await,
+            Some(PeerMessage::Reply(heartbeat)) => self.handle(PeerEvent::Reply(&heartbeat)).await,
             Some(PeerMessage::Timeout(peer)) => {
-                self.links.drop_link(&peer);
-                self.tell(PeerEvent::Timeout(&peer)).await;
+                self.connections.close(&peer);
+                self.handle(PeerEvent::Timeout(&peer)).await;
+            }
+            Some(PeerMessage::Fetched(peer, document)) => {
+                self.apply_document(&peer, document).await
+            }
+            Some(PeerMessage::FetchFailed(peer)) => {
+                self.handle(PeerEvent::FetchFailed(&peer)).await
             }
-            Some(PeerMessage::Fetched(peer, document)) => self.fetched(&peer, document).await,
-            Some(PeerMessage::FetchFailed(peer)) => self.tell(PeerEvent::FetchFailed(&peer)).await,
-            Some(PeerMessage::Leave) => self.tell(PeerEvent::Leaving).await,
+            Some(PeerMessage::Leave) => self.handle(PeerEvent::Leaving).await,
         }
     }
 
-    async fn tell(&mut self, event: PeerEvent<'_>) {
+    async fn handle(&mut self, event: PeerEvent<'_>) {
         let now = self.rings.clock.now();
-        self.core.handle(event, now, &mut self.actions);
-        self.carry_out().await;
+        self.membership.handle(event, now, &mut self.actions);
+        self.run_actions().await;
     }
 
-    /// Answers a heartbeat. The answer goes out before anything that follows from it.
-    async fn answer(&mut self, beat: &Heartbeat, reply: &flume::Sender<Heartbeat>) {
+    /// Replies to a heartbeat. The reply is sent before the other actions run.
+    async fn answer_heartbeat(&mut self, heartbeat: &Heartbeat, reply: &flume::Sender<Heartbeat>) {
         let now = self.rings.clock.now();
-        self.core
-            .handle(PeerEvent::Heartbeat(beat), now, &mut self.actions);
+        self.membership
+            .handle(PeerEvent::Heartbeat(heartbeat), now, &mut self.actions);
         for action in &self.actions {
             if let PeerAction::Reply(answer) = action {
-                self.count(&peer::Heartbeat::from(answer));
+                self.count_bytes(&peer::Heartbeat::from(answer));
                 let _ = reply.try_send(answer.clone());
             }
         }
-        self.carry_out().await;
+        self.run_actions().await;
     }
 
-    async fn carry_out(&mut self) {
+    async fn run_actions(&mut self) {
         let actions = std::mem::take(&mut self.actions);
-        let round = actions.iter().any(|a| matches!(a, PeerAction::Send(..)));
+        let sent_round = actions.iter().any(|a| matches!(a, PeerAction::Send(..)));
         for action in actions {
             match action {
-                PeerAction::Send(peer, beat) => self.send(peer, &beat),
+                PeerAction::Send(peer, heartbeat) => self.send(peer, &heartbeat),
                 PeerAction::Fetch(peer, known) => self.fetch(peer, known),
                 PeerAction::Reply(_) => {}
                 PeerAction::LiveCount(count) => {
-                    log::info!(step = "membership", count = count; "the live entries of the zone changed");
-                    self.decide(DecideMessage::Peer(PeerUpdate::ZoneEntries(count)))
+                    log::info!(step = "membership", count = count; "the number of live entries in the zone changed");
+                    self.send_decide(DecideMessage::Peer(PeerUpdate::ZoneEntries(count)))
                         .await;
-                    self.choose();
+                    self.notify_selection();
                 }
                 PeerAction::Demand(demand) => {
-                    self.decide(DecideMessage::Peer(PeerUpdate::Demand(demand)))
+                    self.send_decide(DecideMessage::Peer(PeerUpdate::Demand(demand)))
                         .await
                 }
-                PeerAction::Server(news) => {
-                    self.decide(DecideMessage::Peer(PeerUpdate::Server(news)))
+                PeerAction::Server(update) => {
+                    self.send_decide(DecideMessage::Peer(PeerUpdate::Server(update)))
                         .await
                 }
                 PeerAction::Loading(loading) => {
-                    self.decide(DecideMessage::Peer(PeerUpdate::Loading(loading)))
+                    self.send_decide(DecideMessage::Peer(PeerUpdate::Loading(loading)))
                         .await
                 }
                 PeerAction::Strike(strike) => {
-                    self.decide(DecideMessage::Peer(PeerUpdate::Strike(strike)))
+                    self.send_decide(DecideMessage::Peer(PeerUpdate::Strike(strike)))
                         .await
                 }
             }
         }
-        if round {
+        if sent_round {
             self.end_round().await;
         }
     }
 
     async fn end_round(&mut self) {
         self.rounds += 1;
-        if self.rounds % TELL_ROUNDS == 1 {
-            self.choose();
+        if self.rounds % NOTIFY_ROUNDS == 1 {
+            self.notify_selection();
         }
-        let known = self.core.peers().known_count() + 1;
-        self.decide(DecideMessage::Peer(PeerUpdate::HeartbeatRound(known)))
+        let known = self.membership.peers().known_count() + 1;
+        self.send_decide(DecideMessage::Peer(PeerUpdate::HeartbeatRound(known)))
             .await;
     }
 
-    /// Waits while the decisions are behind; they never wait for this duty.
-    async fn decide(&self, message: DecideMessage) {
+    /// Sends to the deciding duty and waits while its ring is full. The deciding duty never waits
+    /// for this one, so they cannot deadlock.
+    async fn send_decide(&self, message: DecideMessage) {
         let _ = self.rings.decide.send_async(message).await;
     }
 
-    fn choose(&self) {
-        let zone = &self.core.me().zone;
-        let live = self.core.peers().live_in_zone(zone);
+    fn notify_selection(&self) {
+        let zone = &self.membership.me().zone;
+        let live = self.membership.peers().live_in_zone(zone);
         let live: Vec<_> = live.map(|m| m.latest.instance.id.clone()).collect();
         self.rings.selection.notify(&live);
     }
 
-    fn send(&mut self, peer: Instance, beat: &Heartbeat) {
-        let message = peer::Heartbeat::from(beat);
-        self.count(&message);
+    fn send(&mut self, peer: Instance, heartbeat: &Heartbeat) {
+        let message = peer::Heartbeat::from(heartbeat);
+        self.count_bytes(&message);
         let messages = self.rings.peer.clone();
-        match self.links.get(&peer) {
-            Ok(link) => drop(tokio::spawn(
-                PeerCall::new(peer, link, messages).exchange(message),
+        match self.connections.get(&peer) {
+            Ok(channel) => drop(tokio::spawn(
+                PeerCall::new(peer, channel, messages).exchange(message),
             )),
-            Err(e) => log::error!(step = e.step().as_str(), error:% = e; "no link"),
+            Err(e) => {
+                log::error!(step = e.step().as_str(), error:% = e; "cannot connect to a peer")
+            }
         }
     }
 
     fn fetch(&mut self, peer: Instance, known: ConfigVersion) {
         let messages = self.rings.peer.clone();
-        match self.links.get(&peer) {
-            Ok(link) => drop(tokio::spawn(
-                PeerCall::new(peer, link, messages).fetch(known),
+        match self.connections.get(&peer) {
+            Ok(channel) => drop(tokio::spawn(
+                PeerCall::new(peer, channel, messages).fetch(known),
             )),
-            Err(e) => log::error!(step = e.step().as_str(), error:% = e; "no link"),
+            Err(e) => {
+                log::error!(step = e.step().as_str(), error:% = e; "cannot connect to a peer")
+            }
         }
     }
 
-    /// Takes over a peer's document as it takes one of the platform's: if it is newer and good.
-    async fn fetched(&mut self, peer: &InstanceId, document: Document) {
+    /// Applies a document fetched from a peer if it is newer and valid, as for one from the platform.
+    async fn apply_document(&mut self, peer: &InstanceId, document: Document) {
         if !self.gate.is_newer(document.version) {
             return;
         }
@@ -231,34 +242,34 @@
                 let fleet = Arc::new(fleet);
                 let message = AdmitMessage::Configured(Arc::clone(&fleet));
                 let _ = self.rings.admit.send_async(message).await;
-                self.decide(DecideMessage::Configured(fleet)).await;
-                self.note_document(document).await;
+                self.send_decide(DecideMessage::Configured(fleet)).await;
+                self.record_document(document).await;
             }
             Err(faults) => {
                 self.gate.reject(document.version);
                 log::error!(step = "read document", peer:% = peer, version:% = document.version; "{faults}");
-                self.tell(PeerEvent::FetchFailed(peer)).await;
+                self.handle(PeerEvent::FetchFailed(peer)).await;
             }
         }
     }
 
-    async fn note_document(&mut self, document: Document) {
+    async fn record_document(&mut self, document: Document) {
         let version = document.version;
         if version > self.gate.accepted() {
             self.gate.accept(version);
             self.document = Some(document);
         }
-        self.tell(PeerEvent::Version(version)).await;
+        self.handle(PeerEvent::Version(version)).await;
     }
 
-    /// Counts the bytes of a heartbeat. A measure that finds the ring full is lost.
-    fn count(&self, message: &peer::Heartbeat) {
-        let measure = MetricEvent::Gossip(message.encoded_len());
-        let _ = self.rings.meter.try_send(measure);
+    /// Reports the size of a heartbeat, which is dropped if the ring is full.
+    fn count_bytes(&self, message: &peer::Heartbeat) {
+        let event = MetricEvent::Gossip(message.encoded_len());
+        let _ = self.rings.meter.try_send(event);
     }
 }
 
-/// Serves peers until it is aborted.
+/// Serves peers until the task is aborted.
 async fn serve(service: PeerService, listener: TcpListener) {
     let served = async {
         listener.set_nonblocking(true)?;
@@ -270,6 +281,6 @@
         end.map_err(std::io::Error::other)
     };
     if let Err(e) = served.await {
-        log::error!(step = "serve peers", error:% = e; "peers cannot reach this instance");
+        log::error!(step = "serve peers", error:% = e; "the peer service failed; peers cannot reach this instance");
     }
 }
--- a/azureway-entry/src/peer/peer_message.rs
+++ b/azureway-entry/src/peer/peer_message.rs
@@ -1,4 +1,4 @@
-//! What the peer duty is told.
+//! The messages to the peer duty.
 
 use azureway_core::prelude::{
     ConfigVersion, Demand, Heartbeat, Instance, InstanceId, LoadNotice, ServerUpdate, Strike,
@@ -7,35 +7,36 @@
 
 use super::Document;
 
-/// What the peer duty is told.
+/// A message to the peer duty.
 #[derive(Debug)]
 pub enum PeerMessage {
-    /// A document that the platform holds is in force.
+    /// A configuration document that the platform stores is now in force.
     Configured(Document),
-    /// The platform lists these entry instances.
+    /// The entry instances that the platform lists.
     Listed(Vec<Instance>),
-    /// What client accounts ask of this entry.
+    /// The demand of client accounts at this entry.
     Demand(Demand),
-    /// A request of this entry was running when a backend server broke, or was cleared.
+    /// A request of this entry was running when a backend server failed, or was cleared of
+    /// suspicion.
     Strike(Strike),
     /// This entry is about to order a backend server to load weights.
     Loading(LoadNotice),
-    /// This entry found something that speaks against a backend server.
+    /// This entry observed evidence against a backend server.
     Server(ServerUpdate),
-    /// A peer sent a heartbeat; the answer goes into the ring.
+    /// A peer sent a heartbeat; the sender takes the reply.
     Heartbeat(Box<Heartbeat>, Sender<Heartbeat>),
-    /// A peer asked for a document newer than a version; it goes into the ring.
+    /// A peer requested a document newer than a version; the sender takes the document, if any.
     FetchRequest(ConfigVersion, Sender<Option<Document>>),
-    /// A peer answered a heartbeat.
+    /// A peer replied to a heartbeat.
     Reply(Box<Heartbeat>),
-    /// A peer did not answer a heartbeat.
+    /// A peer did not reply to a heartbeat.
     Timeout(InstanceId),
-    /// A peer gave its document.
+    /// A peer returned its configuration document.
     Fetched(InstanceId, Document),
-    /// A peer was asked for its document and gave none.
+    /// A peer returned no document that is newer than the known one.
     FetchFailed(InstanceId),
-    /// The daemon shuts down: peers are told.
+    /// The daemon shuts down and announces this to its peers.
     Leave,
-    /// The daemon stops.
+    /// The daemon stops, and this duty with it.
     Stop,
 }
--- a/azureway-entry/src/peer/peer_rings.rs
+++ b/azureway-entry/src/peer/peer_rings.rs
@@ -1,4 +1,4 @@
-//! The rings that the peer duty reaches.
+//! The rings of the peer duty.
 
 use flume::{Receiver, Sender};
 
@@ -9,21 +9,21 @@
 use crate::meter::MetricEvent;
 use crate::watch::SelectionNotifier;
 
-/// The rings that the peer duty reaches, and its own.
+/// The rings that the peer duty sends to and receives from.
 #[derive(Debug)]
 pub struct PeerRings {
-    /// To the peer duty itself, for its connections.
+    /// The sender to the peer duty itself, for its calls and its service.
     pub peer: Sender<PeerMessage>,
-    /// At the peer duty.
+    /// The receiver of the peer duty's messages.
     pub messages: Receiver<PeerMessage>,
-    /// To the admitting duty.
+    /// The sender to the admitting duty.
     pub admit: Sender<AdmitMessage>,
-    /// To the deciding duty.
+    /// The sender to the deciding duty.
     pub decide: Sender<DecideMessage>,
-    /// To the measuring duty.
+    /// The sender to the measuring duty.
     pub meter: Sender<MetricEvent>,
-    /// To the duties of which a few entries of the zone are enough.
+    /// Notifies the duties that only a few selected entries of the zone run.
     pub selection: SelectionNotifier,
-    /// The clock.
+    /// The clock of the daemon.
     pub clock: Clock,
 }
--- a/azureway-entry/src/peer/peer_service.rs
+++ b/azureway-entry/src/peer/peer_service.rs
@@ -1,4 +1,4 @@
-//! What this entry offers its peers.
+//! The gRPC service that peers call.
 
 use azureway_core::prelude::{ConfigVersion, Heartbeat};
 use azureway_wire::peer;
@@ -7,7 +7,7 @@
 
 use super::PeerMessage;
 
-/// What this entry offers its peers: it hands each call to the peer duty and waits for its
+/// The gRPC service that peers call. It forwards each call to the peer duty and waits for the
 /// answer.
 #[derive(Clone, Debug)]
 pub struct PeerService {
@@ -15,7 +15,7 @@
 }
 
 impl PeerService {
-    /// Creates the service of the duty that `peer` leads to.
+    /// Creates a service that forwards calls to the ring `peer`.
     pub const fn new(peer: Sender<PeerMessage>) -> Self {
         Self { peer }
     }
@@ -35,11 +35,11 @@
         &self,
         request: Request<peer::Heartbeat>,
     ) -> Result<Response<peer::Heartbeat>, Status> {
-        let beat = Heartbeat::try_from(request.get_ref());
-        let beat = beat.map_err(|e| Status::invalid_argument(e.to_string()))?;
-        let beat = Box::new(beat);
+        let heartbeat = Heartbeat::try_from(request.get_ref());
+        let heartbeat = heartbeat.map_err(|e| Status::invalid_argument(e.to_string()))?;
+        let heartbeat = Box::new(heartbeat);
         let answer = self
-            .ask(|reply| PeerMessage::Heartbeat(beat, reply))
+            .ask(|reply| PeerMessage::Heartbeat(heartbeat, reply))
             .await?;
         Ok(Response::new((&answer).into()))
     }
