--- a/azureway-entry/src/feed/feed_batch.rs
+++ b/azureway-entry/src/feed/feed_batch.rs
@@ -1,25 +1,25 @@
-//! What a backend server told at once.
+//! The result of one poll of a backend server's feed.
 
 use azureway_core::prelude::{CacheOp, Incarnation, LoadReport};
 
-/// What a backend server told of itself at once.
+/// The cache events and the load report that one poll of a backend server returned.
 #[derive(Clone, Debug)]
 pub struct FeedBatch {
-    /// Its life, where it names it.
+    /// The incarnation of the server, if the feed names it.
     pub incarnation: Option<Incarnation>,
-    /// A number that changes when it starts again.
+    /// A number that changes when the server restarts.
     pub epoch: u64,
-    /// From where to ask next.
+    /// The position from which the next poll continues.
     pub next: u64,
-    /// The number of the first cache event; where the server's numbers have holes, there is
-    /// none, and the events are taken for the ones that follow.
+    /// The number of the first cache event. It is `None` if the server's numbers have gaps; the
+    /// events then count as following the previous ones.
     pub first: Option<u64>,
     /// Whether events before these are known to be lost.
     pub lost: bool,
-    /// Whether the events are the whole content of the cache.
+    /// Whether the events are a full snapshot of the cache.
     pub snapshot: bool,
     /// The cache events in order.
     pub ops: Vec<CacheOp>,
-    /// What it says of its load.
+    /// The load of the server, if the feed reports it.
     pub load: Option<LoadReport>,
 }
--- a/azureway-entry/src/feed/feed_reader.rs
+++ b/azureway-entry/src/feed/feed_reader.rs
@@ -1,4 +1,4 @@
-//! Hearing one backend server.
+//! The reader of one backend server's feed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,104 +9,108 @@
 use super::{FeedBatch, FeedSource, ReaderControl};
 use crate::decide::{DecideMessage, OwnedCacheUpdate};
 
-/// Hears the load reports and cache events of one model engine.
+/// Reads the load reports and cache events of one model engine and sends them to the deciding
+/// duty.
 #[derive(Debug)]
 pub struct FeedReader<L> {
-    link: L,
+    source: L,
     server: ServerId,
-    listening: Arc<ReaderControl>,
+    control: Arc<ReaderControl>,
     decide: Sender<DecideMessage>,
     epoch: u64,
     next: u64,
-    /// The events that were heard of this life.
-    heard: u64,
+    /// The number of the next cache event of this epoch, if the feed does not number them.
+    next_event: u64,
 }
 
-/// The first wait after a failure.
+/// The initial backoff after a failed poll.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
-/// The longest wait after a failure.
+/// The maximum backoff after a failed poll.
 const BACKOFF_CAP: Duration = Duration::from_secs(5);
 
 impl<L: FeedSource> FeedReader<L> {
-    /// Creates the duty.
+    /// Creates the reader of `server`'s feed.
     pub const fn new(
-        link: L,
+        source: L,
         server: ServerId,
-        listening: Arc<ReaderControl>,
+        control: Arc<ReaderControl>,
         decide: Sender<DecideMessage>,
     ) -> Self {
         Self {
-            link,
+            source,
             server,
-            listening,
+            control,
             decide,
             epoch: 0,
             next: 0,
-            heard: 0,
+            next_event: 0,
         }
     }
 
-    /// Runs until it is stopped.
+    /// Polls the feed until the control stops the reader.
     pub fn run(mut self) {
         let seed = Rendezvous::new(PrefixKey::new(0)).weight(&self.server);
         let mut backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP, seed);
-        let mut lost = false;
-        while !self.listening.is_stopped() {
-            let (address, whole) = (self.listening.address(), self.listening.take_resync());
-            match self.link.poll(&self.server, address, self.next, whole) {
-                Ok(word) => {
-                    if lost {
-                        log::info!(step = "news", peer:% = self.server, epoch = word.epoch; "a server's news are back");
+        let mut failing = false;
+        while !self.control.is_stopped() {
+            let (address, snapshot) = (self.control.address(), self.control.take_resync());
+            match self.source.poll(&self.server, address, self.next, snapshot) {
+                Ok(batch) => {
+                    if failing {
+                        log::info!(step = "news", peer:% = self.server, epoch = batch.epoch; "a server's feed recovered");
                     }
-                    lost = false;
+                    failing = false;
                     backoff.reset();
-                    self.pass_on(word);
+                    self.handle_batch(batch);
                     if !L::INTERVAL.is_zero() {
                         std::thread::park_timeout(L::INTERVAL);
                     }
                 }
                 Err(e) => {
-                    if !lost {
-                        log::warn!(step = "news", peer:% = self.server, error:% = e; "a server's news are lost");
+                    if !failing {
+                        log::warn!(step = "news", peer:% = self.server, error:% = e; "a server's feed failed");
                     }
-                    lost = true;
-                    self.listening.resync();
+                    failing = true;
+                    self.control.resync();
                     std::thread::park_timeout(backoff.next_delay());
                 }
             }
         }
     }
 
-    fn pass_on(&mut self, word: FeedBatch) {
-        let incarnation = word.incarnation.unwrap_or_else(|| self.listening.listed());
-        if word.epoch != self.epoch {
+    fn handle_batch(&mut self, batch: FeedBatch) {
+        let incarnation = batch.incarnation.unwrap_or_else(|| self.control.listed());
+        if batch.epoch != self.epoch {
             let known = self.epoch != 0;
-            self.epoch = word.epoch;
-            // A run that does not begin at the first event leaves the content unknown.
-            self.heard = u64::from(word.lost);
-            if known && word.first.is_none() {
-                // The list may not tell of the new life yet: what the old one held is gone.
-                self.tell(incarnation, true, Vec::new(), 0);
+            self.epoch = batch.epoch;
+            // After lost events the numbering starts at 1, so that the cache's content counts as
+            // unknown.
+            self.next_event = u64::from(batch.lost);
+            if known && batch.first.is_none() {
+                // The platform's list may not show the new incarnation yet. An empty snapshot
+                // drops the cache content of the previous one.
+                self.send_update(incarnation, true, Vec::new(), 0);
             }
         }
-        self.next = word.next;
-        if let Some(load) = word.load {
+        self.next = batch.next;
+        if let Some(load) = batch.load {
             let _ = self.decide.send(DecideMessage::Load(load));
         }
-        let first = word.first.unwrap_or(self.heard);
-        self.heard += word.ops.len() as u64;
-        self.tell(incarnation, word.snapshot, word.ops, first);
+        let first = batch.first.unwrap_or(self.next_event);
+        self.next_event += batch.ops.len() as u64;
+        self.send_update(incarnation, batch.snapshot, batch.ops, first);
     }
 
-    fn tell(&self, incarnation: Incarnation, whole: bool, ops: Vec<CacheOp>, first: u64) {
-        let run = OwnedCacheUpdate {
+    fn send_update(&self, incarnation: Incarnation, snapshot: bool, ops: Vec<CacheOp>, first: u64) {
+        let update = OwnedCacheUpdate {
             server: self.server.clone(),
             incarnation,
             first,
-            snapshot: whole,
+            snapshot,
             ops,
         };
-        // The deciding duty ends only with the process or after it has stopped this one.
-        let _ = self.decide.send(DecideMessage::Cache(run));
+        // Sending cannot fail: the deciding duty ends only with the process or after it has
+        // stopped this reader.
+        let _ = self.decide.send(DecideMessage::Cache(update));
     }
 }
--- a/azureway-entry/src/feed/feed_readers.rs
+++ b/azureway-entry/src/feed/feed_readers.rs
@@ -1,4 +1,4 @@
-//! The hearing threads.
+//! The threads that read the feeds of backend servers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,34 +10,34 @@
 use super::{FeedReader, FeedSource, ReaderControl, Subscribe};
 use crate::decide::DecideMessage;
 
-/// The hearing threads, one for each model engine of the configuration.
+/// The threads that read feeds, one for each model engine of the configuration.
 #[derive(Debug)]
 pub struct FeedReaders<L> {
-    link: L,
+    source: L,
     decide: Sender<DecideMessage>,
-    listening: BTreeMap<ServerId, Arc<ReaderControl>>,
+    controls: BTreeMap<ServerId, Arc<ReaderControl>>,
 }
 
-/// The stack of a hearing thread, in bytes.
+/// The stack size of a reader thread, in bytes.
 const STACK_SIZE: usize = 256 * 1024;
 
 impl<L: FeedSource> FeedReaders<L> {
-    /// Creates an empty set whose threads subscribe through `link` and report to `decide`.
-    pub const fn new(link: L, decide: Sender<DecideMessage>) -> Self {
+    /// Creates an empty set whose threads poll `source` and send updates to `decide`.
+    pub const fn new(source: L, decide: Sender<DecideMessage>) -> Self {
         Self {
-            link,
+            source,
             decide,
-            listening: BTreeMap::new(),
+            controls: BTreeMap::new(),
         }
     }
 
     fn start(&mut self, server: &BackendServer) {
-        let listening = Arc::new(ReaderControl::new(server.address));
-        listening.list(server.listed.map_or(Incarnation::ZERO, |l| l.incarnation));
+        let control = Arc::new(ReaderControl::new(server.address));
+        control.set_listed(server.listed.map_or(Incarnation::ZERO, |l| l.incarnation));
         let reader = FeedReader::new(
-            self.link.clone(),
+            self.source.clone(),
             server.id.clone(),
-            Arc::clone(&listening),
+            Arc::clone(&control),
             self.decide.clone(),
         );
         let thread = thread::Builder::new()
@@ -45,49 +45,51 @@
             .stack_size(STACK_SIZE);
         match thread.spawn(move || reader.run()) {
             Ok(_) => {
-                self.listening.insert(server.id.clone(), listening);
+                self.controls.insert(server.id.clone(), control);
+            }
+            Err(e) => {
+                log::error!(step = "news", peer:% = server.id, error:% = e; "cannot start a feed reader")
             }
-            Err(e) => log::error!(step = "news", peer:% = server.id, error:% = e; "no thread"),
         }
     }
 }
 
 impl<L: FeedSource> Subscribe for FeedReaders<L> {
-    /// Starts and stops threads so that each model engine of `fleet` is heard.
+    /// Starts and stops threads so that each model engine of `fleet` has exactly one reader.
     fn reconfigure(&mut self, fleet: &Fleet) {
         let engines = engines(fleet);
-        self.listening.retain(|id, listening| {
+        self.controls.retain(|id, control| {
             let kept = engines
                 .iter()
-                .any(|s| s.id == *id && s.address == listening.address());
+                .any(|s| s.id == *id && s.address == control.address());
             if !kept {
-                listening.stop();
+                control.stop();
             }
             kept
         });
         for server in engines {
             let listed = server.listed.map_or(Incarnation::ZERO, |l| l.incarnation);
-            if let Some(listening) = self.listening.get(&server.id) {
-                listening.list(listed);
+            if let Some(control) = self.controls.get(&server.id) {
+                control.set_listed(listed);
             }
-            if !self.listening.contains_key(&server.id) {
+            if !self.controls.contains_key(&server.id) {
                 self.start(server);
             }
         }
     }
 
     fn resync(&self, server: &ServerId) {
-        if let Some(listening) = self.listening.get(server) {
-            listening.resync();
+        if let Some(control) = self.controls.get(server) {
+            control.resync();
         }
     }
 
     fn stop(&self) {
-        self.listening.values().for_each(|l| l.stop());
+        self.controls.values().for_each(|l| l.stop());
     }
 }
 
-/// Returns the servers whose pool serves a model.
+/// Returns the backend servers whose pool serves a model.
 fn engines(fleet: &Fleet) -> Vec<&BackendServer> {
     let serves = |s: &&BackendServer| {
         let of_pool = |m: &ModelService| m.pool == s.pool && m.kind == ServiceKind::Model;
--- a/azureway-entry/src/feed/feed_source.rs
+++ b/azureway-entry/src/feed/feed_source.rs
@@ -1,4 +1,4 @@
-//! The way of news from a backend server.
+//! The transport over which feeds are polled.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,16 +7,16 @@
 
 use super::FeedBatch;
 
-/// The way of news from a backend server.
+/// The transport over which the feed of a backend server is polled.
 pub trait FeedSource: Clone + Send + 'static {
-    /// How long news are gathered between two calls.
+    /// The pause between two polls, in which events accumulate at the server.
     const INTERVAL: Duration;
 
-    /// Waits for news after `next`, or for the whole content of the cache.
+    /// Waits for events from position `next`, or for a full snapshot of the cache.
     ///
     /// # Errors
     ///
-    /// Returns an error if the server does not answer or is not understood.
+    /// Returns an error if the server does not answer or its answer is malformed.
     fn poll(
         &mut self,
         server: &ServerId,
--- a/azureway-entry/src/feed/http_feed.rs
+++ b/azureway-entry/src/feed/http_feed.rs
@@ -1,4 +1,4 @@
-//! News over the product's own interface.
+//! Feeds over azureway's own HTTP interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use super::{FeedBatch, FeedSource};
 
-/// News over the product's own interface, `GET /v1/news`.
+/// Polls feeds over azureway's own HTTP interface, `GET /v1/news`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HttpFeed;
 
-/// How long the engine keeps a call that has no news for it.
+/// How long the engine holds a call while it has no events.
 const WAIT: Duration = Duration::from_millis(500);
-/// The limit of a call, in seconds: the wait and as much again as the engine may be late.
+/// The timeout of a call, in seconds: [`WAIT`] and a margin for a slow engine.
 const TIMEOUT: u64 = 2;
 
 impl FeedSource for HttpFeed {
--- a/azureway-entry/src/feed/mod.rs
+++ b/azureway-entry/src/feed/mod.rs
@@ -1,4 +1,4 @@
-//! The hearing duty: one thread for each model engine that the entry hears.
+//! The feed duty: one thread per model engine, which polls its load reports and cache events.
 
 mod feed_batch;
 mod feed_reader;
--- a/azureway-entry/src/feed/reader_control.rs
+++ b/azureway-entry/src/feed/reader_control.rs
@@ -1,63 +1,64 @@
-//! How a hearing thread is steered.
+//! The shared control state of a feed reader.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use azureway_core::prelude::Incarnation;
 
-/// How a hearing thread is steered; it looks at this between two waits.
+/// The shared control state of a feed reader, which the reader checks between two polls.
 #[derive(Debug)]
 pub struct ReaderControl {
     address: SocketAddr,
     listed: AtomicU64,
     stopped: AtomicBool,
-    whole: AtomicBool,
+    resync: AtomicBool,
 }
 
 impl ReaderControl {
-    /// Creates the steering of a thread that hears the server at `address`.
+    /// Creates the control of a reader that polls the server at `address`. Its first poll requests
+    /// a snapshot.
     pub const fn new(address: SocketAddr) -> Self {
-        let (stopped, whole) = (AtomicBool::new(false), AtomicBool::new(true));
+        let (stopped, resync) = (AtomicBool::new(false), AtomicBool::new(true));
         Self {
             address,
             listed: AtomicU64::new(0),
             stopped,
-            whole,
+            resync,
         }
     }
 
-    /// Returns the address of the server.
+    /// Returns the address of the backend server.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Notes the life that the platform's list names.
-    pub fn list(&self, incarnation: Incarnation) {
+    /// Sets the incarnation that the platform lists.
+    pub fn set_listed(&self, incarnation: Incarnation) {
         self.listed.store(incarnation.get(), Ordering::Release);
     }
 
-    /// Returns the life that the platform's list names, or zero.
+    /// Returns the incarnation that the platform lists, or zero.
     pub fn listed(&self) -> Incarnation {
         Incarnation::new(self.listed.load(Ordering::Acquire))
     }
 
-    /// Tells the thread to stop.
+    /// Requests the reader to stop.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
     }
 
-    /// Tells whether the thread has to stop.
+    /// Returns whether the reader must stop.
     pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Acquire)
     }
 
-    /// Tells the thread to ask for the whole content of the cache.
+    /// Requests a full snapshot of the cache with the next poll.
     pub fn resync(&self) {
-        self.whole.store(true, Ordering::Release);
+        self.resync.store(true, Ordering::Release);
     }
 
-    /// Returns whether the whole content is to be asked for, and forgets it.
+    /// Returns whether a snapshot is requested, and clears the request.
     pub fn take_resync(&self) -> bool {
-        self.whole.swap(false, Ordering::AcqRel)
+        self.resync.swap(false, Ordering::AcqRel)
     }
 }
--- a/azureway-entry/src/feed/subscribe.rs
+++ b/azureway-entry/src/feed/subscribe.rs
@@ -1,15 +1,15 @@
-//! Hearing backend servers.
+//! Subscription to the feeds of backend servers.
 
 use azureway_core::prelude::{Fleet, ServerId};
 
-/// Hears what the backend servers of the configuration tell of themselves.
+/// Subscribes to the load reports and cache events of the configured backend servers.
 pub trait Subscribe {
-    /// Hears the servers of `fleet`, and no others.
+    /// Subscribes to exactly the servers of `fleet`.
     fn reconfigure(&mut self, fleet: &Fleet);
 
-    /// Asks a server for the whole content of its cache.
+    /// Requests a full snapshot of a server's cache.
     fn resync(&self, server: &ServerId);
 
-    /// Stops.
+    /// Stops every subscription.
     fn stop(&self);
 }
