--- a/azureway-entry/src/meter/account_label.rs
+++ b/azureway-entry/src/meter/account_label.rs
@@ -1,17 +1,17 @@
-//! The label of a client account.
+//! The metric label of a client account.
 
 use azureway_core::prelude::AccountId;
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// The label of a client account.
+/// The metric label of a client account.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AccountLabel {
-    /// The name of the account, or `other`.
+    /// The id of the account, or `other`.
     pub account: String,
 }
 
 impl AccountLabel {
-    /// Creates the label that accounts beyond the bound share.
+    /// Creates the label that all accounts beyond the limit share.
     pub fn other() -> Self {
         let account = "other".to_owned();
         Self { account }
--- a/azureway-entry/src/meter/account_labels.rs
+++ b/azureway-entry/src/meter/account_labels.rs
@@ -1,4 +1,4 @@
-//! Which client accounts have a label of their own.
+//! The bounded set of client accounts with a metric label of their own.
 
 use std::collections::HashSet;
 
@@ -6,10 +6,10 @@
 
 use super::AccountLabel;
 
-/// The client accounts that have a label of their own at most; 350 are planned.
+/// The maximum number of client accounts with a label of their own. Deployments plan for 350.
 pub const ACCOUNTS_MAX: usize = 400;
 
-/// Which client accounts have a label of their own: the first ones that were seen.
+/// The client accounts with a label of their own: the first [`ACCOUNTS_MAX`] that were seen.
 #[derive(Clone, Debug, Default)]
 pub struct AccountLabels {
     seen: HashSet<AccountId>,
@@ -21,7 +21,7 @@
         Self::default()
     }
 
-    /// Returns the label of an account.
+    /// Returns the label of an account, which is `other` once the set is full.
     pub fn label(&mut self, id: &AccountId) -> AccountLabel {
         if !self.seen.contains(id) {
             if self.seen.len() >= ACCOUNTS_MAX {
--- a/azureway-entry/src/meter/config_metrics.rs
+++ b/azureway-entry/src/meter/config_metrics.rs
@@ -1,10 +1,10 @@
-//! Which configuration is in force.
+//! The metrics of the configuration's version.
 
 use azureway_core::prelude::ConfigVersion;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Which configuration is in force, and whether a newer one is bad.
+/// The version of the configuration in force, and of a newer invalid one.
 #[derive(Debug)]
 pub struct ConfigMetrics {
     accepted: Gauge,
@@ -12,7 +12,7 @@
 }
 
 impl ConfigMetrics {
-    /// Creates the measures and registers them.
+    /// Creates the metrics and registers them in `r`.
     pub fn new(r: &mut Registry) -> Self {
         let (accepted, rejected) = (Gauge::default(), Gauge::default());
         let help = "Version of the configuration in force";
@@ -22,18 +22,18 @@
         Self { accepted, rejected }
     }
 
-    /// Notes that a version is in force.
-    pub fn accept(&self, version: ConfigVersion) {
-        self.accepted.set(number(version));
+    /// Sets the version in force and clears the rejected one.
+    pub fn set_accepted(&self, version: ConfigVersion) {
+        self.accepted.set(gauge_value(version));
         self.rejected.set(0);
     }
 
-    /// Notes that a version is bad.
-    pub fn reject(&self, version: ConfigVersion) {
-        self.rejected.set(number(version));
+    /// Sets the version that was rejected as invalid.
+    pub fn set_rejected(&self, version: ConfigVersion) {
+        self.rejected.set(gauge_value(version));
     }
 }
 
-fn number(version: ConfigVersion) -> i64 {
+fn gauge_value(version: ConfigVersion) -> i64 {
     i64::try_from(version.get()).unwrap_or(i64::MAX)
 }
--- a/azureway-entry/src/meter/duty_cpu.rs
+++ b/azureway-entry/src/meter/duty_cpu.rs
@@ -1,4 +1,4 @@
-//! What the duties cost.
+//! The processor time of the duties.
 
 use std::fs;
 
@@ -6,15 +6,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DutyCpu;
 
-/// The duties whose threads last as long as the daemon.
+/// The duties whose threads live as long as the daemon.
 const DUTIES: [&str; 10] = [
     "accept", "admin", "admit", "claim", "decide", "meter", "news", "order", "peer", "watch",
 ];
 /// Where the kernel lists the threads of this process.
 const THREADS: &str = "/proc/self/task";
-/// The ticks in which the kernel counts processor time, a second.
+/// The kernel's clock ticks per second (`USER_HZ`), in which it counts processor time.
 const TICKS: f64 = 100.0;
-/// The place of the time in user mode after the thread's name in its status line.
+/// The index of the user time (`utime`) among the fields of `stat` that follow the thread's name.
 const USER_PLACE: usize = 11;
 
 impl DutyCpu {
@@ -23,7 +23,7 @@
         let mut costs: Vec<_> = DUTIES.iter().map(|duty| (*duty, 0.0)).collect();
         let threads = fs::read_dir(THREADS).into_iter().flatten().flatten();
         for thread in threads {
-            // A thread that has just ended has no status any more.
+            // The status cannot be read if the thread has just ended.
             let status = fs::read_to_string(thread.path().join("stat")).unwrap_or_default();
             if let Some((name, time)) = parse(&status)
                 && let Some(cost) = costs.iter_mut().find(|(duty, _)| *duty == name)
@@ -35,7 +35,7 @@
     }
 }
 
-/// Returns the name of a thread and its processor time in seconds.
+/// Returns the name of a thread and its processor time in seconds, from its `stat` line.
 fn parse(status: &str) -> Option<(&str, f64)> {
     let (name, rest) = status.split_once('(')?.1.rsplit_once(')')?;
     let mut times = rest
--- a/azureway-entry/src/meter/duty_label.rs
+++ b/azureway-entry/src/meter/duty_label.rs
@@ -1,8 +1,8 @@
-//! The label of a duty.
+//! The metric label of a duty.
 
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// The label of a duty.
+/// The metric label of a duty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DutyLabel {
     /// The name of the duty's threads.
--- a/azureway-entry/src/meter/finished_request.rs
+++ b/azureway-entry/src/meter/finished_request.rs
@@ -1,31 +1,31 @@
-//! A request that was answered completely.
+//! The figures of a request that was answered completely.
 
 use std::time::Duration;
 
 use azureway_core::prelude::{AccountId, Rank, TokenCount};
 
-/// A request that was answered completely.
+/// The figures of a request that was answered completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinishedRequest {
-    /// The client account.
+    /// The client account of the request.
     pub account: AccountId,
-    /// The rank.
+    /// The rank of the request.
     pub rank: Rank,
-    /// The tokens of the prompt.
+    /// The number of prompt tokens.
     pub prompt: TokenCount,
-    /// The prompt tokens that the server found in its cache.
+    /// The number of prompt tokens that the backend server found in its cache.
     pub cached: TokenCount,
-    /// The prompt tokens that the server was expected_cached to hold when it was chosen.
+    /// The number of prompt tokens that were expected to be cached when the server was chosen.
     pub expected_cached: TokenCount,
-    /// The tokens of the answer.
+    /// The number of answer tokens.
     pub output: TokenCount,
-    /// The time from the first token to the end.
+    /// The time from the first token to the end of the answer.
     pub stream_time: Duration,
 }
 
 impl FinishedRequest {
-    /// Returns the mean time between two tokens of the answer, in seconds.
-    pub fn gap(&self) -> Option<f64> {
+    /// Returns the mean time between two answer tokens in seconds, or `None` for fewer than two.
+    pub fn time_per_token(&self) -> Option<f64> {
         let gaps = u32::try_from(self.output.get().checked_sub(1)?).ok()?;
         (gaps > 0).then(|| self.stream_time.as_secs_f64() / f64::from(gaps))
     }
--- a/azureway-entry/src/meter/meter_duty.rs
+++ b/azureway-entry/src/meter/meter_duty.rs
@@ -1,4 +1,4 @@
-//! The duty itself.
+//! The duty that owns the metrics.
 
 use azureway_objects::CallCounter;
 use flume::{Receiver, WeakSender};
@@ -11,10 +11,10 @@
 };
 use crate::decide::DecideMessage;
 
-/// The measuring duty: keeps the measures and writes them out.
+/// The measuring duty: updates the metrics and encodes them for scrapes.
 #[derive(Debug)]
 pub struct MeterDuty {
-    measures: Receiver<MetricEvent>,
+    events: Receiver<MetricEvent>,
     registry: Registry,
     service: ServiceMetrics,
     prompts: PromptMetrics,
@@ -26,10 +26,10 @@
 
 impl MeterDuty {
     /// Creates the duty. `calls` counts the calls to the platform.
-    pub fn new(measures: Receiver<MetricEvent>, rings: RingMonitor, calls: CallCounter) -> Self {
+    pub fn new(events: Receiver<MetricEvent>, rings: RingMonitor, calls: CallCounter) -> Self {
         let mut registry = Registry::with_prefix("azureway");
         Self {
-            measures,
+            events,
             service: ServiceMetrics::new(&mut registry),
             prompts: PromptMetrics::new(&mut registry),
             config: ConfigMetrics::new(&mut registry),
@@ -40,40 +40,40 @@
         }
     }
 
-    /// Runs until every sender of measures is gone.
+    /// Runs until every sender of metric events is dropped.
     pub fn run(mut self) {
-        while let Ok(measure) = self.measures.recv() {
-            self.take(measure);
+        while let Ok(event) = self.events.recv() {
+            self.handle(event);
         }
     }
 
-    fn take(&mut self, measure: MetricEvent) {
-        match measure {
-            MetricEvent::RingWait(time) => self.control.cross(time),
-            MetricEvent::Sent(rank, time) => self.service.send(rank, time),
-            MetricEvent::FirstToken(rank, time) => self.service.start(rank, time),
-            MetricEvent::TokenGaps(rank, gaps) => self.service.pace(rank, &gaps),
-            MetricEvent::Finished(served) => {
-                self.service.finish(&served);
-                self.prompts.finish(&served);
+    fn handle(&mut self, event: MetricEvent) {
+        match event {
+            MetricEvent::RingWait(time) => self.control.observe_ring_wait(time),
+            MetricEvent::Sent(rank, time) => self.service.observe_queue_time(rank, time),
+            MetricEvent::FirstToken(rank, time) => self.service.observe_first_token(rank, time),
+            MetricEvent::TokenGaps(rank, gaps) => self.service.observe_token_gaps(rank, &gaps),
+            MetricEvent::Finished(request) => {
+                self.service.record_finished(&request);
+                self.prompts.record_finished(&request);
             }
-            MetricEvent::Refused(reason) => self.service.refuse(reason),
-            MetricEvent::Gossip(bytes) => self.control.gossip(bytes),
-            MetricEvent::Retried => self.control.retry(),
-            MetricEvent::Cancelled(_) => self.service.cancel(),
-            MetricEvent::Configured(version) => self.config.accept(version),
-            MetricEvent::Rejected(version) => self.config.reject(version),
+            MetricEvent::Refused(reason) => self.service.count_refusal(reason),
+            MetricEvent::Gossip(bytes) => self.control.add_gossip(bytes),
+            MetricEvent::Retried => self.control.count_retry(),
+            MetricEvent::Cancelled(_) => self.service.count_cancelled(),
+            MetricEvent::Configured(version) => self.config.set_accepted(version),
+            MetricEvent::Rejected(version) => self.config.set_rejected(version),
             MetricEvent::Scrape(reply) => {
-                let _ = reply.try_send(self.text());
+                let _ = reply.try_send(self.encode());
             }
         }
     }
 
-    fn text(&self) -> String {
+    fn encode(&self) -> String {
         self.control.refresh();
         self.router.refresh(&self.decide);
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/azureway-entry/src/meter/metric_event.rs
+++ b/azureway-entry/src/meter/metric_event.rs
@@ -1,4 +1,4 @@
-//! What the measuring duty is told.
+//! The messages to the measuring duty.
 
 use std::time::Duration;
 
@@ -7,31 +7,31 @@
 
 use super::FinishedRequest;
 
-/// What the measuring duty is told.
+/// A message to the measuring duty, most of which report one measured event.
 #[derive(Clone, Debug)]
 pub enum MetricEvent {
-    /// A request took this time through the rings to its decision.
+    /// The time from a request's arrival to its decision.
     RingWait(Duration),
-    /// A request was sent to a backend server for the first time, this time after its arrival.
+    /// The time from a request's arrival until its first attempt was sent to a backend server.
     Sent(Rank, Duration),
-    /// The first token of an answer came after this time.
+    /// The time from a request's arrival to the first token of the answer.
     FirstToken(Rank, Duration),
-    /// These times passed between events of a stream.
+    /// The times between consecutive events of a stream.
     TokenGaps(Rank, Vec<Duration>),
-    /// An answer is complete.
+    /// An answer was completed.
     Finished(Box<FinishedRequest>),
     /// A request was refused.
     Refused(RefusalReason),
-    /// A request was tried again.
+    /// Another attempt at a request was sent.
     Retried,
-    /// The caller of a try hung up.
+    /// The caller disconnected during this attempt.
     Cancelled(Attempt),
-    /// A configuration is in force.
+    /// This version of the configuration is now in force.
     Configured(ConfigVersion),
-    /// A version of the configuration is bad, and the last good one stays in force.
+    /// This version of the configuration is invalid, and the last valid one stays in force.
     Rejected(ConfigVersion),
-    /// A heartbeat of this many bytes was sent to a peer.
+    /// The size of a heartbeat sent to a peer, in bytes.
     Gossip(usize),
-    /// Somebody asks for all measures.
+    /// A request for the text of all metrics, which goes to the sender.
     Scrape(Sender<String>),
 }
--- a/azureway-entry/src/meter/mod.rs
+++ b/azureway-entry/src/meter/mod.rs
@@ -1,6 +1,6 @@
-//! The measuring duty: what happened, as metrics under the names of the field.
+//! The measuring duty, which keeps the metrics of the entry and serves them to scrapes.
 //!
-//! No label's values grow with traffic: ranks, reasons, duties and rings are fixed, and client
+//! The cardinality of labels is bounded: ranks, reasons, duties and rings are fixed, and client
 //! accounts beyond [`ACCOUNTS_MAX`] share one label.
 
 mod account_label;
--- a/azureway-entry/src/meter/outcome_label.rs
+++ b/azureway-entry/src/meter/outcome_label.rs
@@ -1,16 +1,16 @@
-//! The label of requests that ended alike.
+//! The metric label of requests by rank, kind and outcome.
 
 use azureway_core::prelude::{Outcome, Rank, RequestKind};
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// The label of requests of one rank and kind that ended alike.
+/// The metric label of requests with the same rank, kind and outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabel {
-    /// The rank.
+    /// The name of the rank.
     pub rank: &'static str,
-    /// Whether the requests may run more than once.
+    /// The request kind, which says whether a request may run more than once.
     pub kind: &'static str,
-    /// How they ended.
+    /// The outcome of the requests.
     pub outcome: &'static str,
 }
 
--- a/azureway-entry/src/meter/prompt_metrics.rs
+++ b/azureway-entry/src/meter/prompt_metrics.rs
@@ -1,11 +1,11 @@
-//! What became of prompts.
+//! The metrics of prompt and answer tokens.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
 
 use super::FinishedRequest;
 
-/// What became of the tokens of prompts. The prefix hit rate is `cached_tokens` over
+/// The counters of prompt and answer tokens. The prefix hit rate is `cached_tokens` over
 /// `prompt_tokens`.
 #[derive(Debug)]
 pub struct PromptMetrics {
@@ -16,37 +16,29 @@
 }
 
 impl PromptMetrics {
-    /// Creates the measures and registers them.
+    /// Creates the metrics and registers them in `r`.
     pub fn new(r: &mut Registry) -> Self {
-        let measures = Self {
+        let metrics = Self {
             prompt: Counter::default(),
             cached: Counter::default(),
             recomputed: Counter::default(),
             output: Counter::default(),
         };
-        r.register(
-            "prompt_tokens",
-            "Tokens of prompts",
-            measures.prompt.clone(),
-        );
+        r.register("prompt_tokens", "Tokens of prompts", metrics.prompt.clone());
         let help = "Prompt tokens that the backend server found in its cache";
-        r.register("cached_tokens", help, measures.cached.clone());
+        r.register("cached_tokens", help, metrics.cached.clone());
         let help = "Prompt tokens that were expected_cached cached and computed again";
-        r.register("recomputed_tokens", help, measures.recomputed.clone());
-        r.register(
-            "output_tokens",
-            "Tokens of answers",
-            measures.output.clone(),
-        );
-        measures
+        r.register("recomputed_tokens", help, metrics.recomputed.clone());
+        r.register("output_tokens", "Tokens of answers", metrics.output.clone());
+        metrics
     }
 
-    /// Notes a request that was answered completely.
-    pub fn finish(&self, served: &FinishedRequest) {
-        self.prompt.inc_by(served.prompt.get());
-        self.cached.inc_by(served.cached.get());
-        let missed = served.expected_cached.saturating_sub(served.cached);
-        self.recomputed.inc_by(missed.get());
-        self.output.inc_by(served.output.get());
+    /// Adds the tokens of a request that was answered completely.
+    pub fn record_finished(&self, request: &FinishedRequest) {
+        self.prompt.inc_by(request.prompt.get());
+        self.cached.inc_by(request.cached.get());
+        let recomputed = request.expected_cached.saturating_sub(request.cached);
+        self.recomputed.inc_by(recomputed.get());
+        self.output.inc_by(request.output.get());
     }
 }
--- a/azureway-entry/src/meter/rank_label.rs
+++ b/azureway-entry/src/meter/rank_label.rs
@@ -1,9 +1,9 @@
-//! The label of a rank.
+//! The metric label of a rank.
 
 use azureway_core::prelude::Rank;
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// The label of a rank.
+/// The metric label of a rank.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RankLabel {
     /// The name of the rank.
--- a/azureway-entry/src/meter/reason_label.rs
+++ b/azureway-entry/src/meter/reason_label.rs
@@ -1,12 +1,12 @@
-//! The label of a refusal.
+//! The metric label of a refusal.
 
 use azureway_core::prelude::RefusalReason;
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// The label of a refusal.
+/// The metric label of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// The stable code.
+    /// The stable code of the refusal's reason.
     pub reason: &'static str,
 }
 
--- a/azureway-entry/src/meter/ring_label.rs
+++ b/azureway-entry/src/meter/ring_label.rs
@@ -1,10 +1,10 @@
-//! The label of a ring.
+//! The metric label of a ring.
 
 use prometheus_client::encoding::EncodeLabelSet;
 
-/// The label of a ring between two duties.
+/// The metric label of a ring between two duties.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RingLabel {
-    /// The duty that takes from the ring.
+    /// The duty that receives from the ring.
     pub ring: &'static str,
 }
--- a/azureway-entry/src/meter/ring_monitor.rs
+++ b/azureway-entry/src/meter/ring_monitor.rs
@@ -1,21 +1,21 @@
-//! How full the rings are.
+//! The view of the rings' depths.
 
 use flume::WeakSender;
 
 use crate::admit::AdmitMessage;
 use crate::decide::DecideMessage;
 
-/// How full the rings are. Looking on does not keep a ring open.
+/// A view of the rings' depths. Its weak senders do not keep a ring open.
 #[derive(Clone, Debug)]
 pub struct RingMonitor {
-    /// To the admitting duty.
+    /// The ring of the admitting duty.
     pub admit: WeakSender<AdmitMessage>,
-    /// To the deciding duty.
+    /// The ring of the deciding duty.
     pub decide: WeakSender<DecideMessage>,
 }
 
 impl RingMonitor {
-    /// Returns the messages that wait in each ring, by the duty that takes them.
+    /// Returns the number of messages that wait in each ring, by the receiving duty.
     pub fn depths(&self) -> [(&'static str, usize); 2] {
         [
             ("admit", self.admit.upgrade().map_or(0, |s| s.len())),
--- a/azureway-entry/src/meter/router_metrics.rs
+++ b/azureway-entry/src/meter/router_metrics.rs
@@ -1,4 +1,4 @@
-//! What the decisions say of themselves.
+//! The metrics of the router's state.
 
 use std::time::Duration;
 
@@ -12,55 +12,55 @@
 use super::{OutcomeLabel, RankLabel};
 use crate::decide::{DecideMessage, Query};
 
-/// What the decisions say of themselves: service by kind and worth, queues and the budget.
+/// The state of the router: outcomes by rank and kind, queue depths, claims and the retry budget.
 #[derive(Debug)]
 pub struct RouterMetrics {
     requests: Family<OutcomeLabel, Counter>,
     worth: Family<OutcomeLabel, Counter>,
     queued: Family<RankLabel, Gauge>,
-    flights: Gauge,
-    budget: Gauge,
+    in_flight: Gauge,
+    retry_budget: Gauge,
     claims: Gauge,
     quarantined: Gauge,
     entries: Gauge,
 }
 
-/// How long the deciding duty may take to answer a scrape.
-const LIMIT: Duration = Duration::from_secs(1);
+/// The timeout of the deciding duty's reply to a scrape.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl RouterMetrics {
-    /// Creates the measures and registers them.
+    /// Creates the metrics and registers them in `r`.
     pub fn new(r: &mut Registry) -> Self {
-        let measures = Self {
+        let metrics = Self {
             requests: Family::default(),
             worth: Family::default(),
             queued: Family::default(),
-            flights: Gauge::default(),
-            budget: Gauge::default(),
+            in_flight: Gauge::default(),
+            retry_budget: Gauge::default(),
             claims: Gauge::default(),
             quarantined: Gauge::default(),
             entries: Gauge::default(),
         };
         let help = "Every request once, by how it ended";
-        r.register("requests", help, measures.requests.clone());
+        r.register("requests", help, metrics.requests.clone());
         let help = "Worth of the requests, by how they ended";
-        r.register("worth", help, measures.worth.clone());
+        r.register("worth", help, metrics.worth.clone());
         let help = "Requests that wait for a backend server";
-        r.register("queue_depth", help, measures.queued.clone());
+        r.register("queue_depth", help, metrics.queued.clone());
         let help = "Requests in flight";
-        r.register("requests_in_flight", help, measures.flights.clone());
+        r.register("requests_in_flight", help, metrics.in_flight.clone());
         let help = "Retries that are left in the budget";
-        r.register("retry_budget", help, measures.budget.clone());
+        r.register("retry_budget", help, metrics.retry_budget.clone());
         let help = "Claims that are asked for, held or being settled";
-        r.register("claims_open", help, measures.claims.clone());
+        r.register("claims_open", help, metrics.claims.clone());
         let help = "Requests that do not run, since two backend servers broke under them";
-        r.register("requests_quarantined", help, measures.quarantined.clone());
+        r.register("requests_quarantined", help, metrics.quarantined.clone());
         let help = "Entry instances that share the zone's servers, with this one";
-        r.register("zone_entries", help, measures.entries.clone());
-        measures
+        r.register("zone_entries", help, metrics.entries.clone());
+        metrics
     }
 
-    /// Asks the deciding duty for its state. One that does not answer leaves the last one.
+    /// Queries the deciding duty for its state. Without a reply the metrics keep their last values.
     pub fn refresh(&self, decide: &WeakSender<DecideMessage>) {
         let (reply, answer) = flume::bounded(1);
         let Some(decide) = decide.upgrade() else {
@@ -72,35 +72,35 @@
         {
             return;
         }
-        // The deciding duty never waits for this one, so the two cannot wait for each other.
-        if let Ok(standing) = answer.recv_timeout(LIMIT) {
-            self.show(&standing.overview);
+        // The deciding duty never waits for this one, so they cannot deadlock.
+        if let Ok(status) = answer.recv_timeout(REPLY_TIMEOUT) {
+            self.apply(&status.overview);
         }
     }
 
-    fn show(&self, overview: &Overview) {
+    fn apply(&self, overview: &Overview) {
         for (rank, kind, outcome, count) in &overview.counts {
             let label = OutcomeLabel::new(*rank, *kind, *outcome);
-            raise(&self.requests, &label, count.requests);
-            raise(&self.worth, &label, count.worth);
+            set_total(&self.requests, &label, count.requests);
+            set_total(&self.worth, &label, count.worth);
         }
         for rank in Rank::ALL {
             let queued = self.queued.get_or_create(&rank.into());
-            set(&queued, overview.queued[rank.index()]);
+            set_gauge(&queued, overview.queued[rank.index()]);
         }
-        set(&self.flights, overview.in_flight);
-        set(&self.budget, overview.retry_budget);
-        set(&self.claims, overview.claims);
-        set(&self.quarantined, overview.quarantined);
-        set(&self.entries, overview.entries);
+        set_gauge(&self.in_flight, overview.in_flight);
+        set_gauge(&self.retry_budget, overview.retry_budget);
+        set_gauge(&self.claims, overview.claims);
+        set_gauge(&self.quarantined, overview.quarantined);
+        set_gauge(&self.entries, overview.entries);
     }
 }
 
-fn raise(family: &Family<OutcomeLabel, Counter>, label: &OutcomeLabel, total: u64) {
+fn set_total(family: &Family<OutcomeLabel, Counter>, label: &OutcomeLabel, total: u64) {
     let counter = family.get_or_create(label);
     counter.inc_by(total.saturating_sub(counter.get()));
 }
 
-fn set(gauge: &Gauge, number: impl TryInto<i64>) {
+fn set_gauge(gauge: &Gauge, number: impl TryInto<i64>) {
     gauge.set(number.try_into().unwrap_or(i64::MAX));
 }
--- a/azureway-entry/src/meter/service_metrics.rs
+++ b/azureway-entry/src/meter/service_metrics.rs
@@ -1,4 +1,4 @@
-//! How requests fared.
+//! The metrics of the service that callers receive.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 
 use super::{AccountLabel, AccountLabels, FinishedRequest, RankLabel, ReasonLabel};
 
-/// A family of histograms by rank.
+/// A family of histograms, one for each rank.
 type Histograms = Family<RankLabel, Histogram, fn() -> Histogram>;
 
-/// How requests fared: latency by rank, ends, refusals and client accounts.
+/// The service that callers receive: latency by rank, outcomes, refusals and account usage.
 #[derive(Debug)]
 pub struct ServiceMetrics {
-    first: Histograms,
-    gaps: Histograms,
-    between: Histograms,
-    queued: Histograms,
+    first_token: Histograms,
+    time_per_token: Histograms,
+    token_gaps: Histograms,
+    queue_time: Histograms,
     finished: Family<RankLabel, Counter>,
     refused: Family<ReasonLabel, Counter>,
     cancelled: Counter,
@@ -28,20 +28,20 @@
     accounts: AccountLabels,
 }
 
-/// The upper bounds of the time to first token, in seconds; 1 s is the stated target.
-const FIRST_BOUNDS: [f64; 9] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
-/// The upper bounds of the time between tokens, in seconds; 68 ms is the stated target.
+/// The histogram bounds of the time to first token, in seconds. The service target is 1 s.
+const TTFT_BOUNDS: [f64; 9] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
+/// The histogram bounds of the time between tokens, in seconds. The service target is 68 ms.
 const GAP_BOUNDS: [f64; 8] = [0.005, 0.01, 0.02, 0.04, 0.068, 0.1, 0.25, 1.0];
 
 impl ServiceMetrics {
-    /// Creates the measures and registers them.
+    /// Creates the metrics and registers them in `registry`.
     pub fn new(registry: &mut Registry) -> Self {
-        let first = || Histogram::new(FIRST_BOUNDS);
-        let measures = Self {
-            first: Family::new_with_constructor(first),
-            gaps: Family::new_with_constructor(|| Histogram::new(GAP_BOUNDS)),
-            between: Family::new_with_constructor(|| Histogram::new(GAP_BOUNDS)),
-            queued: Family::new_with_constructor(first),
+        let ttft = || Histogram::new(TTFT_BOUNDS);
+        let metrics = Self {
+            first_token: Family::new_with_constructor(ttft),
+            time_per_token: Family::new_with_constructor(|| Histogram::new(GAP_BOUNDS)),
+            token_gaps: Family::new_with_constructor(|| Histogram::new(GAP_BOUNDS)),
+            queue_time: Family::new_with_constructor(ttft),
             finished: Family::default(),
             refused: Family::default(),
             cancelled: Counter::default(),
@@ -49,19 +49,27 @@
             tokens: Family::default(),
             accounts: AccountLabels::new(),
         };
-        measures.register(registry);
-        measures
+        metrics.register(registry);
+        metrics
     }
 
     fn register(&self, r: &mut Registry) {
         let help = "Time from arrival to the first token";
-        r.register("time_to_first_token_seconds", help, self.first.clone());
+        r.register(
+            "time_to_first_token_seconds",
+            help,
+            self.first_token.clone(),
+        );
         let help = "Mean time between the tokens of an answer";
-        r.register("time_per_output_token_seconds", help, self.gaps.clone());
+        r.register(
+            "time_per_output_token_seconds",
+            help,
+            self.time_per_token.clone(),
+        );
         let help = "Time between two tokens of a stream";
-        r.register("time_between_tokens_seconds", help, self.between.clone());
+        r.register("time_between_tokens_seconds", help, self.token_gaps.clone());
         let help = "Time from arrival until the request was sent to a backend server";
-        r.register("queue_time_seconds", help, self.queued.clone());
+        r.register("queue_time_seconds", help, self.queue_time.clone());
         let help = "Requests answered completely";
         r.register("requests_finished", help, self.finished.clone());
         r.register("requests_refused", "Requests refused", self.refused.clone());
@@ -73,44 +81,44 @@
         r.register("account_tokens", help, self.tokens.clone());
     }
 
-    /// Notes the time to first token of a request.
-    pub fn start(&self, rank: Rank, time: Duration) {
-        let first = self.first.get_or_create(&rank.into());
-        first.observe(time.as_secs_f64());
+    /// Observes the time to first token of a request.
+    pub fn observe_first_token(&self, rank: Rank, time: Duration) {
+        let histogram = self.first_token.get_or_create(&rank.into());
+        histogram.observe(time.as_secs_f64());
     }
 
-    /// Notes the time that a request waited for a backend server.
-    pub fn send(&self, rank: Rank, time: Duration) {
-        let queued = self.queued.get_or_create(&rank.into());
-        queued.observe(time.as_secs_f64());
+    /// Observes the time from a request's arrival until it was sent to a backend server.
+    pub fn observe_queue_time(&self, rank: Rank, time: Duration) {
+        let histogram = self.queue_time.get_or_create(&rank.into());
+        histogram.observe(time.as_secs_f64());
     }
 
-    /// Notes the times between tokens of a stream.
-    pub fn pace(&self, rank: Rank, gaps: &[Duration]) {
-        let between = self.between.get_or_create(&rank.into());
-        gaps.iter().for_each(|g| between.observe(g.as_secs_f64()));
+    /// Observes the times between tokens of a stream.
+    pub fn observe_token_gaps(&self, rank: Rank, gaps: &[Duration]) {
+        let histogram = self.token_gaps.get_or_create(&rank.into());
+        gaps.iter().for_each(|g| histogram.observe(g.as_secs_f64()));
     }
 
-    /// Notes a request that was answered completely.
-    pub fn finish(&mut self, served: &FinishedRequest) {
-        let rank = RankLabel::from(served.rank);
+    /// Records a request that was answered completely.
+    pub fn record_finished(&mut self, request: &FinishedRequest) {
+        let rank = RankLabel::from(request.rank);
         self.finished.get_or_create(&rank).inc();
-        if let Some(gap) = served.gap() {
-            self.gaps.get_or_create(&rank).observe(gap);
+        if let Some(gap) = request.time_per_token() {
+            self.time_per_token.get_or_create(&rank).observe(gap);
         }
-        let account = self.accounts.label(&served.account);
+        let account = self.accounts.label(&request.account);
         self.requests.get_or_create(&account).inc();
-        let tokens = (served.prompt + served.output).get();
+        let tokens = (request.prompt + request.output).get();
         self.tokens.get_or_create(&account).inc_by(tokens);
     }
 
-    /// Notes a refusal.
-    pub fn refuse(&self, reason: RefusalReason) {
+    /// Counts a refusal.
+    pub fn count_refusal(&self, reason: RefusalReason) {
         self.refused.get_or_create(&reason.into()).inc();
     }
 
-    /// Notes that a caller hung up.
-    pub fn cancel(&self) {
+    /// Counts a request whose caller disconnected.
+    pub fn count_cancelled(&self) {
         self.cancelled.inc();
     }
 }
