--- a/azureway-entry/src/watch/config_watcher.rs
+++ b/azureway-entry/src/watch/config_watcher.rs
@@ -1,4 +1,4 @@
-//! Watching the configuration.
+//! The watching duty, which reads the configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use crate::decide::DecideMessage;
 use crate::peer::{Document, PeerMessage};
 
-/// Watches the configuration document and passes each good version on.
+/// Watches the configuration document and sends each valid version to the other duties.
 #[derive(Debug)]
 pub struct ConfigWatcher<A> {
     api: A,
@@ -28,18 +28,20 @@
     peer: Sender<PeerMessage>,
     messages: Receiver<WatchMessage>,
     clock: Clock,
-    plan: WatchSchedule,
+    schedule: WatchSchedule,
     gate: VersionGate,
-    listed: Timestamp,
+    /// When the list of instances is read next.
+    next_list: Timestamp,
 }
 
-/// The time between two readings of the list of instances.
-const LIST_TIME: Duration = Duration::from_secs(10);
-/// The faults of a bad document that are logged, each on a line of its own.
-const FAULTS_LOGGED: usize = 20;
+/// Interval between two reads of the list of instances.
+const LIST_INTERVAL: Duration = Duration::from_secs(10);
+/// Number of faults of an invalid document that are logged, each on a line of its own.
+const MAX_FAULTS: usize = 20;
 
 impl<A: ObjectApi> ConfigWatcher<A> {
-    /// Creates the duty. `seed` spreads the retries of instances that fail together.
+    /// Creates the duty. `seed` randomizes retries, so that instances that fail together do not
+    /// retry together.
     pub fn new(
         api: A,
         admit: Sender<AdmitMessage>,
@@ -55,38 +57,38 @@
             peer,
             messages,
             clock: Clock::new(),
-            plan: WatchSchedule::new(seed),
+            schedule: WatchSchedule::new(seed),
             gate: VersionGate::new(),
-            listed: Timestamp::ZERO,
+            next_list: Timestamp::ZERO,
         }
     }
 
-    /// Runs until the daemon stops.
+    /// Runs until the daemon shuts down.
     pub fn run(mut self) {
         let mut until = self.clock.now();
-        while self.heed(until) {
+        while self.wait(until) {
             let now = self.clock.now();
-            if now >= self.listed {
+            if now >= self.next_list {
                 self.list_instances(now);
             }
-            let answer = match self.plan.next(now) {
+            let answer = match self.schedule.next(now) {
                 WatchStep::List => self.api.list(DOCUMENT_KIND),
                 WatchStep::Watch(after, wait) => self.api.watch(DOCUMENT_KIND, after, wait),
                 WatchStep::Wait(time) => {
-                    until = time.min(self.listed);
+                    until = time.min(self.next_list);
                     continue;
                 }
             };
             until = self.clock.now();
-            self.take(answer, until);
+            self.handle_answer(answer, until);
         }
     }
 
-    /// Waits until a time or the next message. Returns whether the daemon goes on.
-    fn heed(&mut self, until: Timestamp) -> bool {
+    /// Waits until `until` or the next message. Returns false if the duty has to stop.
+    fn wait(&mut self, until: Timestamp) -> bool {
         match self.messages.recv_deadline(self.clock.instant(until)) {
             Ok(WatchMessage::Selected(selected)) => {
-                self.plan.set_selected(selected, self.clock.now());
+                self.schedule.set_selected(selected, self.clock.now());
                 true
             }
             Ok(WatchMessage::Stop) | Err(RecvTimeoutError::Disconnected) => false,
@@ -94,45 +96,49 @@
         }
     }
 
-    fn take(&mut self, answer: Result<ObjectList, Error>, now: Timestamp) {
+    fn handle_answer(&mut self, answer: Result<ObjectList, Error>, now: Timestamp) {
         match answer {
             Ok(list) => {
-                self.plan.record_success(list.version, now);
-                self.pass_on(&list);
+                self.schedule.record_success(list.version, now);
+                self.apply_list(&list);
             }
             Err(e) => {
                 log::warn!(step = e.step().as_str(), error:% = e; "the platform does not answer");
-                self.plan.record_failure(e.kind(), now);
+                self.schedule.record_failure(e.kind(), now);
             }
         }
     }
 
-    /// Reads the platform's list of instances, and passes it on.
+    /// Reads the platform's list of instances and sends it to the peer and deciding duties.
     fn list_instances(&mut self, now: Timestamp) {
-        self.listed = now + LIST_TIME;
+        self.next_list = now + LIST_INTERVAL;
         match self.api.list(INSTANCE_KIND) {
             Ok(list) => {
                 let InstanceList { entries, leaving } = InstanceList::from(&list);
                 let _ = self.peer.send(PeerMessage::Listed(entries));
                 let _ = self.decide.send(DecideMessage::Leaving(leaving));
             }
-            Err(e) => log::warn!(step = e.step().as_str(), error:% = e; "no list of instances"),
+            Err(e) => {
+                log::warn!(step = e.step().as_str(), error:% = e; "the list of instances cannot be read")
+            }
         }
     }
 
-    fn pass_on(&mut self, list: &ObjectList) {
-        let named = list
+    fn apply_list(&mut self, list: &ObjectList) {
+        let versions = list
             .objects
             .iter()
             .filter(|o| o.name == DOCUMENT_NAME && !o.deleted);
-        if let Some(object) = named.max_by_key(|o| o.version) {
-            self.adopt(object);
+        if let Some(object) = versions.max_by_key(|o| o.version) {
+            self.load(object);
         }
     }
 
-    fn adopt(&mut self, object: &ObjectBody) {
+    /// Parses a newer version of the document, which is then applied or rejected.
+    fn load(&mut self, object: &ObjectBody) {
         let version = ConfigVersion::new(object.version);
-        // A list after a failure brings the same version again, and a slow read an older one.
+        // A list call after a failure returns the same version again, and a delayed read may
+        // return an older one.
         if !self.gate.is_newer(version) {
             return;
         }
@@ -140,12 +146,13 @@
             log::warn!(step = "read document", version:% = version; "the version has no record in the audit trail");
         }
         match document::parse(&object.value, version) {
-            Ok(fleet) => self.enforce(fleet, &object.value),
+            Ok(fleet) => self.apply(fleet, &object.value),
             Err(faults) => self.reject(object, &faults),
         }
     }
 
-    fn enforce(&mut self, fleet: Fleet, text: &str) {
+    /// Puts a version into force: sends it to the duties that use it.
+    fn apply(&mut self, fleet: Fleet, text: &str) {
         self.gate.accept(fleet.version);
         let document = Document::new(fleet.version, text);
         let fleet = Arc::new(fleet);
@@ -156,22 +163,24 @@
         let _ = self.peer.send(PeerMessage::Configured(document));
     }
 
+    /// Logs the faults of an invalid version and keeps the version in force.
     fn reject(&mut self, object: &ObjectBody, faults: &Faults) {
         let version = ConfigVersion::new(object.version);
         self.gate.reject(version);
         let (count, kept) = (faults.as_slice().len(), self.gate.accepted());
         log::error!(step = "read document", version:% = version, kept:% = kept, count = count; "the document is bad");
-        for fault in faults.as_slice().iter().take(FAULTS_LOGGED) {
+        for fault in faults.as_slice().iter().take(MAX_FAULTS) {
             log::error!(step = "read document", version:% = version; "{fault}");
         }
         let _ = self.decide.send(DecideMessage::ConfigRejected(version));
         if kept == ConfigVersion::ZERO {
-            self.step_back(object);
+            self.apply_previous(object);
         }
     }
 
-    /// Takes the last change back, for a daemon that starts when the newest version is bad.
-    fn step_back(&mut self, object: &ObjectBody) {
+    /// Reverts the last change and applies the version before it. This gives a configuration to a
+    /// daemon that starts while the newest version is invalid.
+    fn apply_previous(&mut self, object: &ObjectBody) {
         let version = ConfigVersion::new(object.version);
         let current = StoredDocument::parse(&object.value).snapshot(version);
         let Some(record) = current.record else {
@@ -182,8 +191,8 @@
             .inverse()
             .apply(&Sections::parse(&current.text));
         if let Ok(fleet) = document::parse(&text, record.from) {
-            log::warn!(step = "read document", version:% = record.from; "the version before is good");
-            self.enforce(fleet, &text);
+            log::warn!(step = "read document", version:% = record.from; "the previous version is valid and is applied");
+            self.apply(fleet, &text);
         }
     }
 }
--- a/azureway-entry/src/watch/instance_list.rs
+++ b/azureway-entry/src/watch/instance_list.rs
@@ -1,10 +1,10 @@
-//! The platform's list of instances, as one reading of it.
+//! The platform's list of instances.
 
 use azureway_core::prelude::{Instance, ServerId};
 use azureway_wire::instance::{InstanceBody, InstanceRole};
 use azureway_wire::object::ObjectList;
 
-/// The platform's list of instances, as one reading of it.
+/// The instances in one answer of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InstanceList {
     /// The entry instances that are not leaving.
@@ -15,16 +15,16 @@
 
 impl From<&ObjectList> for InstanceList {
     fn from(list: &ObjectList) -> Self {
-        let mut read = Self::default();
+        let mut instances = Self::default();
         for object in list.objects.iter().filter(|o| !o.deleted) {
             match serde_json::from_str::<InstanceBody>(&object.value) {
-                Ok(body) => read.add(&object.name, &body),
+                Ok(body) => instances.add(&object.name, &body),
                 Err(e) => {
-                    log::warn!(step = "list instances", peer = object.name.as_str(), error:% = e; "not understood");
+                    log::warn!(step = "list instances", peer = object.name.as_str(), error:% = e; "the entry of an instance cannot be decoded");
                 }
             }
         }
-        read
+        instances
     }
 }
 
--- a/azureway-entry/src/watch/mod.rs
+++ b/azureway-entry/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! The watching duty: the configuration as the platform holds it.
+//! Watching the configuration and the list of instances at the platform.
 
 mod config_watcher;
 mod instance_list;
--- a/azureway-entry/src/watch/registrar.rs
+++ b/azureway-entry/src/watch/registrar.rs
@@ -1,4 +1,4 @@
-//! Telling the platform of this instance and hearing of the others.
+//! Registration of this instance at the platform.
 
 use std::thread;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use super::InstanceList;
 use crate::peer::PeerMessage;
 
-/// Writes this instance into the platform's list of instances, and reads who else is there:
-/// often after the start, when all instances may have started at once, then rarely, since
-/// peers tell one another.
+/// Writes this instance into the platform's list of instances and reads the list. It reads often
+/// after the start, since all instances may have started at once, and then rarely, since peers
+/// learn of one another by gossip.
 #[derive(Debug)]
 pub struct Registrar<A> {
     api: A,
@@ -23,15 +23,15 @@
     written: bool,
 }
 
-/// The step that errors of this duty arise at.
+/// Step of this duty in errors.
 const STEP: Step = Step::new("register instance");
-/// The first wait before the list is read again.
-const FIRST_WAIT: Duration = Duration::from_millis(1_000);
-/// The longest wait before the list is read again.
-const LAST_WAIT: Duration = Duration::from_secs(60);
+/// First delay between two reads of the list; it doubles with each success.
+const MIN_DELAY: Duration = Duration::from_millis(1_000);
+/// Longest delay between two reads of the list.
+const MAX_DELAY: Duration = Duration::from_secs(60);
 
 impl<A: ObjectApi> Registrar<A> {
-    /// Creates the duty of an instance.
+    /// Creates the duty that registers the instance `me` with `body`.
     pub const fn new(
         api: A,
         me: InstanceId,
@@ -49,23 +49,23 @@
 
     /// Runs until the peer duty ends.
     pub fn run(mut self) {
-        let mut wait = FIRST_WAIT;
+        let mut delay = MIN_DELAY;
         loop {
-            let done = self.register().and_then(|()| self.read());
-            match done {
-                Ok(true) => wait = (wait * 2).min(LAST_WAIT),
+            let result = self.register().and_then(|()| self.list());
+            match result {
+                Ok(true) => delay = (delay * 2).min(MAX_DELAY),
                 Ok(false) => return,
                 Err(e) => {
-                    log::warn!(step = e.step().as_str(), error:% = e; "no list of instances");
-                    wait = FIRST_WAIT;
+                    log::warn!(step = e.step().as_str(), error:% = e; "registering or listing instances failed");
+                    delay = MIN_DELAY;
                 }
             }
-            thread::park_timeout(wait);
+            thread::park_timeout(delay);
         }
     }
 
-    /// Writes this instance, unless it stands there already. An answer that was lost leaves it
-    /// open whether it does, and the next call finds out.
+    /// Writes this instance unless that has succeeded before. If the answer to a write is lost, the
+    /// next call finds out from the stored entry whether the write took effect.
     fn register(&mut self) -> Result<(), Error> {
         if self.written {
             return Ok(());
@@ -75,10 +75,10 @@
         match self.write(&value, 0) {
             Err(e) if e.kind() == ErrorKind::Conflict => {
                 let known = self.api.get(INSTANCE_KIND, self.me.as_str())?;
-                let same = known.as_ref().is_some_and(|o| {
+                let is_current = known.as_ref().is_some_and(|o| {
                     serde_json::from_str(&o.value).is_ok_and(|b: InstanceBody| b == self.body)
                 });
-                if !same {
+                if !is_current {
                     self.write(&value, known.map_or(0, |o| o.version))?;
                 }
             }
@@ -99,8 +99,8 @@
         })
     }
 
-    /// Reads the list and passes it on. Returns whether anybody hears it.
-    fn read(&self) -> Result<bool, Error> {
+    /// Reads the list and sends it to the peer duty. Returns whether the peer duty still runs.
+    fn list(&self) -> Result<bool, Error> {
         let list = self.api.list(INSTANCE_KIND)?;
         let InstanceList { entries, .. } = InstanceList::from(&list);
         Ok(self.peer.send(PeerMessage::Listed(entries)).is_ok())
--- a/azureway-entry/src/watch/selection_notifier.rs
+++ b/azureway-entry/src/watch/selection_notifier.rs
@@ -1,4 +1,4 @@
-//! Telling the duties whether this entry is chosen.
+//! Notification of the duties that only a few selected entries of a zone perform.
 
 use azureway_core::prelude::{EntrySelector, InstanceId};
 use flume::Sender;
@@ -6,8 +6,8 @@
 use super::WatchMessage;
 use crate::order::OrderMessage;
 
-/// Tells the watching and the ordering duty whether this entry is one of the few of its zone
-/// that do their work. Whoever knows which entries are alive tells this notifier.
+/// Notifies the watching and the ordering duty whether this entry is one of the few of its zone
+/// that are selected for their work. The peer duty, which knows the live entries, drives it.
 #[derive(Clone, Debug)]
 pub struct SelectionNotifier {
     me: InstanceId,
@@ -15,13 +15,13 @@
     order: Sender<OrderMessage>,
 }
 
-/// The entries of a zone that watch.
+/// Selects the entries of a zone that watch the configuration.
 const WATCHERS: EntrySelector = EntrySelector::new(2, u128::from_be_bytes(*b"config watchers."));
-/// The entries of a zone that contend for the lease of orders.
+/// Selects the entries of a zone that contend for the lease that allows orders.
 const CANDIDATES: EntrySelector = EntrySelector::new(2, u128::from_be_bytes(*b"lease candidates"));
 
 impl SelectionNotifier {
-    /// Creates the notifier of instance `me`.
+    /// Creates the notifier of the instance `me`.
     pub const fn new(
         me: InstanceId,
         watch: Sender<WatchMessage>,
@@ -30,12 +30,12 @@
         Self { me, watch, order }
     }
 
-    /// Takes in which entries of the zone are alive. A message that finds its ring full is lost;
-    /// it is to be told again from time to time.
+    /// Selects among the live entries of the zone and notifies both duties. A message is dropped if
+    /// its ring is full, so this has to be called again from time to time.
     pub fn notify(&self, live: &[InstanceId]) {
-        let watches = WATCHERS.includes(&self.me, live);
-        let contends = CANDIDATES.includes(&self.me, live);
-        let _ = self.watch.try_send(WatchMessage::Selected(watches));
-        let _ = self.order.try_send(OrderMessage::Selected(contends));
+        let is_watcher = WATCHERS.includes(&self.me, live);
+        let is_candidate = CANDIDATES.includes(&self.me, live);
+        let _ = self.watch.try_send(WatchMessage::Selected(is_watcher));
+        let _ = self.order.try_send(OrderMessage::Selected(is_candidate));
     }
 }
--- a/azureway-entry/src/watch/watch_message.rs
+++ b/azureway-entry/src/watch/watch_message.rs
@@ -1,10 +1,10 @@
-//! What the watching duty is told.
+//! Messages to the watching duty.
 
-/// What the watching duty is told.
+/// A message to the watching duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMessage {
-    /// Whether this entry is one of the few of its zone that watch.
+    /// Whether this entry is one of the few of its zone that watch the configuration.
     Selected(bool),
-    /// The daemon stops.
+    /// The daemon shuts down.
     Stop,
 }
--- a/azureway-entry/tests/watch.rs
+++ b/azureway-entry/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watching duty: which versions come into force, whatever the platform answers.
+//! The watching duty: which versions come into force for given answers of the platform.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -14,21 +14,21 @@
 use flume::Sender;
 use googletest::prelude::*;
 
-/// Room for everything that one case sends.
+/// Capacity of the rings, which hold every message of one case.
 const RING: usize = 64;
 
-/// A bad document that holds the record of the change which made it bad.
-const AFTER: &str = "; azureway-change {\"id\":\"i\",\"from\":5,\"time\":0,\"author\":\"ana\",\
+/// An invalid document with the record of the change that made it invalid.
+const REVERTIBLE: &str = "; azureway-change {\"id\":\"i\",\"from\":5,\"time\":0,\"author\":\"ana\",\
     \"team\":\"operators\",\"reason\":\"\",\"sections\":[{\"name\":\"pool main\",\
     \"before\":\"[pool main]\"}]}\n[pool main]\nlodes = 1\n";
 
-/// A platform that gives its answers in turn, then stops the duty.
-struct Script {
+/// A platform that returns its scripted answers in order and then stops the duty.
+struct ScriptedPlatform {
     answers: Mutex<Vec<String>>,
     stop: Sender<WatchMessage>,
 }
 
-impl Script {
+impl ScriptedPlatform {
     fn next(&self) -> std::result::Result<ObjectList, Error> {
         let mut answers = self.answers.lock().expect("the lock");
         if answers.is_empty() {
@@ -36,12 +36,12 @@
             return Ok(ObjectList::default());
         }
         let answer = answers.remove(0);
-        let (word, number) = answer.split_once(':').unwrap_or((&answer, "0"));
+        let (verb, number) = answer.split_once(':').unwrap_or((&answer, "0"));
         let version = number.parse().expect("a version");
-        let value = match word {
+        let value = match verb {
             "good" => "; azureway-change {}\n[pool main]\n",
             "bad" => "[pool main]\nlodes = 1\n",
-            "after" => AFTER,
+            "after" => REVERTIBLE,
             "fail" => return Err(Error::new(ErrorKind::Unavailable, Step::new("list"), "out")),
             _ => return Ok(ObjectList::default()),
         };
@@ -56,7 +56,7 @@
     }
 }
 
-impl ObjectApi for Script {
+impl ObjectApi for ScriptedPlatform {
     fn get(&self, _: &str, _: &str) -> std::result::Result<Option<ObjectBody>, Error> {
         unreachable!("the duty lists and watches")
     }
@@ -81,49 +81,49 @@
     }
 }
 
-/// Returns the versions that were adopted and rejected.
+/// Runs the duty and returns the versions that came into force and those that were rejected.
 fn run(answers: &str) -> (String, String) {
-    let (stop, halt) = flume::bounded(1);
+    let (stop, watch_messages) = flume::bounded(1);
     let (admit, _admitted) = flume::bounded(RING);
-    let (decide, notes) = flume::bounded(RING);
+    let (decide, decide_messages) = flume::bounded(RING);
     let answers = answers.split_whitespace().map(str::to_owned).collect();
-    let script = Script {
+    let platform = ScriptedPlatform {
         answers: Mutex::new(answers),
         stop,
     };
-    let (peer, documents) = flume::bounded(RING);
-    ConfigWatcher::new(script, admit, decide, peer, halt, 1).run();
-    let (mut adopted, mut rejected) = (Vec::new(), Vec::new());
-    let mut passed = Vec::new();
-    for note in documents.drain() {
-        match note {
-            PeerMessage::Configured(document) => passed.push(document.version.to_string()),
+    let (peer, peer_messages) = flume::bounded(RING);
+    ConfigWatcher::new(platform, admit, decide, peer, watch_messages, 1).run();
+    let (mut applied, mut rejected) = (Vec::new(), Vec::new());
+    let mut sent_to_peers = Vec::new();
+    for message in peer_messages.drain() {
+        match message {
+            PeerMessage::Configured(document) => sent_to_peers.push(document.version.to_string()),
             PeerMessage::Listed(list) => assert_eq!(list, []),
             other => panic!("unexpected {other:?}"),
         }
     }
-    for note in notes.drain() {
-        match note {
-            DecideMessage::Configured(fleet) => adopted.push(fleet.version.to_string()),
+    for message in decide_messages.drain() {
+        match message {
+            DecideMessage::Configured(fleet) => applied.push(fleet.version.to_string()),
             DecideMessage::Leaving(list) => assert_eq!(list, []),
             DecideMessage::ConfigRejected(version) => rejected.push(version.to_string()),
             other => panic!("unexpected {other:?}"),
         }
     }
-    // Peers get what came into force, and nothing else.
-    assert_eq!(passed, adopted);
-    (adopted.join(" "), rejected.join(" "))
+    // Peers receive exactly the versions that came into force.
+    assert_eq!(sent_to_peers, applied);
+    (applied.join(" "), rejected.join(" "))
 }
 
 #[gtest]
-fn only_newer_good_versions_come_into_force() {
+fn only_newer_valid_versions_come_into_force() {
     for line in include_str!("../testdata/watch.txt").lines() {
         if line.starts_with('#') {
             continue;
         }
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
-        let (adopted, rejected) = run(cells[0]);
-        expect_that!(adopted, eq(cells[1]), "{line}");
+        let (applied, rejected) = run(cells[0]);
+        expect_that!(applied, eq(cells[1]), "{line}");
         expect_that!(rejected, eq(cells[2].trim_matches('-')), "{line}");
     }
 }
