--- a/azureway-entry/src/caller/answer.rs
+++ b/azureway-entry/src/caller/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to one request.
+//! The answer to one request on its connection.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -8,42 +8,42 @@
 use chunked_transfer::Encoder;
 use flume::Receiver;
 
-use super::{AnswerChunk, RequestUpdate, Responder, WholeAnswer, is_open};
+use super::{AnswerChunk, CompletionBuilder, RequestUpdate, Responder, is_open};
 
-/// The answer to one request, over all its tries: passed on as it comes or gathered whole.
+/// The answer to one request over all its attempts, written as a stream or as one completion.
 pub struct Answer<'a> {
     stream: &'a TcpStream,
     streamed: bool,
-    whole: WholeAnswer,
+    completion: CompletionBuilder,
     progress: Option<StreamProgress>,
     writer: Option<Encoder<&'a TcpStream>>,
     id: Option<RequestId>,
 }
 
 impl<'a> Answer<'a> {
-    /// Creates the answer to a caller. Whether it asked for a stream comes with the first try.
+    /// Creates the answer to a caller. The first attempt says whether the caller asked for a stream.
     pub fn new(stream: &'a TcpStream) -> Self {
-        let whole = WholeAnswer::new();
+        let completion = CompletionBuilder::new();
         Self {
             stream,
             streamed: false,
-            whole,
+            completion,
             progress: None,
             writer: None,
             id: None,
         }
     }
 
-    /// Returns the identity of the request, once it is known.
+    /// Returns the ID of the request once it is known.
     pub const fn id(&self) -> Option<RequestId> {
         self.id
     }
 
-    /// Writes the answer as the outcomes come.
+    /// Writes the answer as the updates of the request arrive.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller hangs up.
+    /// Returns an error if the caller disconnects or the stream has a gap.
     pub fn run(&mut self, updates: &Receiver<RequestUpdate>) -> io::Result<()> {
         loop {
             match next(updates) {
@@ -54,9 +54,9 @@
                     chunks,
                 } => {
                     self.streamed = streamed;
-                    self.attach(attempt);
+                    self.start_attempt(attempt);
                     self.check_caller()?;
-                    if self.pass_on(attempt, &chunks)? {
+                    if self.write_chunks(attempt, &chunks)? {
                         return Ok(());
                     }
                 }
@@ -64,7 +64,7 @@
         }
     }
 
-    fn attach(&mut self, attempt: Attempt) {
+    fn start_attempt(&mut self, attempt: Attempt) {
         self.id = Some(attempt.id);
         let progress = self
             .progress
@@ -72,7 +72,7 @@
         progress.switch_to(attempt);
     }
 
-    /// Fails if the caller has hung up while its request waited.
+    /// Fails if the caller has disconnected while its request was queued.
     fn check_caller(&self) -> io::Result<()> {
         match is_open(self.stream)? {
             true => Ok(()),
@@ -80,28 +80,37 @@
         }
     }
 
-    /// Passes on the chunks of one try. Returns whether the answer is complete.
-    fn pass_on(&mut self, attempt: Attempt, chunks: &Receiver<AnswerChunk>) -> io::Result<bool> {
+    /// Writes the chunks of one attempt. Returns whether the answer is complete.
+    fn write_chunks(
+        &mut self,
+        attempt: Attempt,
+        chunks: &Receiver<AnswerChunk>,
+    ) -> io::Result<bool> {
         while let Ok(chunk) = chunks.recv() {
             match chunk {
-                AnswerChunk::Event(position, data) => self.event(attempt, position, &data)?,
+                AnswerChunk::Event(position, data) => self.write_event(attempt, position, &data)?,
                 AnswerChunk::Complete(status, media, body) => {
-                    self.responder().whole(status, &media, &body)?;
+                    self.responder().write_complete(status, &media, &body)?;
                     return Ok(true);
                 }
-                AnswerChunk::End => return self.end().map(|()| true),
+                AnswerChunk::End => return self.finish().map(|()| true),
                 AnswerChunk::StreamHead(_)
                 | AnswerChunk::StreamBytes(_)
                 | AnswerChunk::Forwarded(..)
                 | AnswerChunk::Fallback(..) => {
-                    return Err(io::Error::other("a chunk of another interface"));
+                    return Err(io::Error::other("a chunk that this interface does not use"));
                 }
             }
         }
         Ok(false)
     }
 
-    fn event(&mut self, attempt: Attempt, position: StreamPosition, data: &str) -> io::Result<()> {
+    fn write_event(
+        &mut self,
+        attempt: Attempt,
+        position: StreamPosition,
+        data: &str,
+    ) -> io::Result<()> {
         let progress = self
             .progress
             .get_or_insert_with(|| StreamProgress::new(attempt));
@@ -112,18 +121,19 @@
                 self.write(&format!("id: {position}\ndata: {data}\n\n"))
             }
             Delivery::Next => {
-                self.whole.push(data);
+                self.completion.push(data);
                 Ok(())
             }
         }
     }
 
-    fn end(&mut self) -> io::Result<()> {
+    fn finish(&mut self) -> io::Result<()> {
         if self.streamed {
             return self.write("");
         }
-        let body = std::mem::take(&mut self.whole).into_body();
-        self.responder().whole(200, "application/json", &body)
+        let body = std::mem::take(&mut self.completion).into_body();
+        self.responder()
+            .write_complete(200, "application/json", &body)
     }
 
     fn refuse(&mut self, id: RequestId, refusal: &Refusal) -> io::Result<()> {
@@ -135,13 +145,13 @@
         self.write(&format!("event: error\ndata: {body}\n\n"))
     }
 
-    /// Writes text as one chunk, after the head if it is the first.
+    /// Writes text as one HTTP chunk, preceded by the head if it is the first.
     fn write(&mut self, text: &str) -> io::Result<()> {
         if self.writer.is_none() {
-            self.writer = Some(self.responder().stream()?);
+            self.writer = Some(self.responder().start_stream()?);
         }
         match &mut self.writer {
-            // The encoder takes an empty write for the end of the stream.
+            // The encoder would end the stream on an empty write.
             Some(writer) if !text.is_empty() => writer.write_all(text.as_bytes()),
             _ => Ok(()),
         }
@@ -154,7 +164,7 @@
     }
 }
 
-/// Waits for an outcome. A request whose daemon is gone counts as refused.
+/// Waits for the next update. If the deciding duty has ended, the request counts as refused.
 fn next(updates: &Receiver<RequestUpdate>) -> RequestUpdate {
     updates.recv().unwrap_or_else(|_| {
         let refusal = Refusal::maybe_run(RefusalReason::ServerFailed, "the instance has stopped");
--- a/azureway-entry/src/caller/answer_chunk.rs
+++ b/azureway-entry/src/caller/answer_chunk.rs
@@ -1,23 +1,23 @@
-//! A chunk of an answer.
+//! Chunks of an answer.
 
 use azureway_core::prelude::StreamPosition;
 
 use crate::exchange::AnswerHead;
 
-/// A chunk of an answer, from a relay to a connection.
+/// A chunk of an answer that an attempt sends to the caller's connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerChunk {
-    /// An event of a stream at its position.
+    /// The data of an event and its position in the stream.
     Event(StreamPosition, Box<str>),
-    /// A whole answer: status, media type and body.
+    /// A complete answer: status, media type and body.
     Complete(u16, Box<str>, Vec<u8>),
-    /// The head of a stream whose bytes are passed on unchanged.
+    /// The head of a stream whose bytes are forwarded unchanged.
     StreamHead(Box<AnswerHead>),
-    /// Whole events of such a stream.
+    /// Bytes of complete events of such a stream.
     StreamBytes(Vec<u8>),
-    /// A whole answer that is passed on unchanged.
+    /// A complete answer that is forwarded unchanged.
     Forwarded(Box<AnswerHead>, Vec<u8>),
-    /// A failure of the server's own, for the case that no other server does better.
+    /// An error answer of a server, which is forwarded only if no other attempt succeeds.
     Fallback(Box<AnswerHead>, Vec<u8>),
     /// The answer is complete.
     End,
--- a/azureway-entry/src/caller/bad_input.rs
+++ b/azureway-entry/src/caller/bad_input.rs
@@ -1,23 +1,23 @@
-//! Why a request could not be read.
+//! Errors in reading a request.
 
 use azureway_core::prelude::{Refusal, RefusalReason};
 
-/// Why a request could not be read.
+/// An error in reading a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadInput {
-    /// The caller closed the connection before a byte came.
+    /// The caller closed the connection before it sent a byte, or reading failed.
     Closed,
-    /// The head is larger than its bound.
+    /// The head exceeds its size limit.
     HeadTooLarge,
-    /// The head is no HTTP/1.1 request.
+    /// The head is not that of an HTTP/1.1 request.
     BadHead,
-    /// The length of the body is missing, negative, stands twice or goes with chunks.
+    /// The length of the body is malformed, given twice or combined with chunked coding.
     BadLength,
-    /// The body is larger than its bound.
+    /// The body exceeds its size limit.
     BodyTooLarge,
-    /// The body is not well-formed or is shorter than declared.
+    /// The body is malformed or shorter than declared.
     BadBody,
-    /// The request did not arrive in time.
+    /// The request did not arrive before its deadline.
     TooSlow,
 }
 
--- a/azureway-entry/src/caller/body_reader.rs
+++ b/azureway-entry/src/caller/body_reader.rs
@@ -1,4 +1,4 @@
-//! Reading a body within its bound.
+//! Reading of a request body within its size limit.
 
 use std::io::{self, Read};
 
@@ -6,7 +6,7 @@
 
 use super::{BadInput, Head};
 
-/// How the length of a body is given.
+/// Reads a request body by the framing that its head declares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyReader {
     /// The body has this many bytes.
@@ -16,12 +16,12 @@
 }
 
 impl BodyReader {
-    /// Reads from a head how the body's length is given.
+    /// Returns the reader for the framing that `head` declares.
     ///
     /// # Errors
     ///
-    /// Returns an error if the length is not a plain number, stands twice or goes with
-    /// chunks: a reader that guesses could take a part of the body for another request.
+    /// Returns an error if the length is not a plain number, is given twice or is combined with
+    /// chunked coding. Guessing could interpret a part of the body as another request.
     pub fn new(head: &Head) -> Result<Self, BadInput> {
         let mut lengths = head.get_all("content-length");
         let mut codings = head.get_all("transfer-encoding");
@@ -34,35 +34,37 @@
     }
 
     fn sized(length: &str) -> Result<Self, BadInput> {
-        // `usize::from_str` takes a plus sign, which a length may not have.
-        let plain = length.bytes().all(|b| b.is_ascii_digit());
-        let length = length.parse().ok().filter(|_| plain);
+        // `usize::from_str` accepts a plus sign, which a length may not have.
+        let is_plain = length.bytes().all(|b| b.is_ascii_digit());
+        let length = length.parse().ok().filter(|_| is_plain);
         length.map(Self::Sized).ok_or(BadInput::BadLength)
     }
 
     fn chunked(coding: &str) -> Result<Self, BadInput> {
-        let known = coding.eq_ignore_ascii_case("chunked");
-        known.then_some(Self::Chunked).ok_or(BadInput::BadLength)
+        let is_chunked = coding.eq_ignore_ascii_case("chunked");
+        is_chunked
+            .then_some(Self::Chunked)
+            .ok_or(BadInput::BadLength)
     }
 
-    /// Reads a body of at most `bound` bytes, of which `early` have come with the head.
+    /// Reads a body of at most `limit` bytes. `early` is the part that arrived with the head.
     ///
     /// # Errors
     ///
-    /// Returns an error if the body is too large, cut short or broken, or does not come in
+    /// Returns an error if the body is too large, truncated or malformed, or does not arrive in
     /// time.
     pub fn read(
         self,
         early: &[u8],
         stream: &mut impl Read,
-        bound: usize,
+        limit: usize,
     ) -> Result<Vec<u8>, BadInput> {
         let source = early.chain(stream);
         match self {
-            Self::Sized(length) if length > bound => Err(BadInput::BodyTooLarge),
+            Self::Sized(length) if length > limit => Err(BadInput::BodyTooLarge),
             Self::Sized(length) => {
                 let body = read_up_to(source, length)?;
-                // A caller that hangs up early leaves a body that reads without an error.
+                // If the caller disconnects early, a truncated body reads without an error.
                 if body.len() < length {
                     Err(BadInput::BadBody)
                 } else {
@@ -70,8 +72,8 @@
                 }
             }
             Self::Chunked => {
-                let body = read_up_to(Decoder::new(source), bound + 1)?;
-                if body.len() > bound {
+                let body = read_up_to(Decoder::new(source), limit + 1)?;
+                if body.len() > limit {
                     Err(BadInput::BodyTooLarge)
                 } else {
                     Ok(body)
--- a/azureway-entry/src/caller/whole_answer.rs
+++ b/azureway-entry/src/caller/completion_builder.rs
@@ -1,24 +1,25 @@
-//! A stream put together into one answer.
+//! Assembly of a stream into one chat completion.
 
 use azureway_wire::chat::UsageFrame;
 use serde_json::{Value, json};
 
-/// A stream put together into one chat completion, for callers that ask for no stream.
+/// Assembles the events of a stream into one chat completion, for callers that did not ask for a
+/// stream.
 #[derive(Debug, Default)]
-pub struct WholeAnswer {
+pub struct CompletionBuilder {
     first: Option<Value>,
     text: String,
-    finish: Option<Value>,
+    finish_reason: Option<Value>,
     usage: Option<Value>,
 }
 
-impl WholeAnswer {
-    /// Creates an empty answer.
+impl CompletionBuilder {
+    /// Creates an empty completion.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds the data of an event. Data that is no JSON is left out.
+    /// Adds the data of an event. Data that is not JSON is ignored.
     pub fn push(&mut self, data: &str) {
         let Ok(event) = serde_json::from_str::<Value>(data) else {
             return;
@@ -27,7 +28,7 @@
         self.text
             .push_str(choice["delta"]["content"].as_str().unwrap_or(""));
         if !choice["finish_reason"].is_null() {
-            self.finish = Some(choice["finish_reason"].clone());
+            self.finish_reason = Some(choice["finish_reason"].clone());
         }
         if serde_json::from_str::<UsageFrame>(data).is_ok_and(|f| f.usage.is_some()) {
             self.usage = Some(event["usage"].clone());
@@ -38,7 +39,7 @@
     /// Returns the chat completion as JSON.
     pub fn into_body(self) -> Vec<u8> {
         let first = self.first.unwrap_or(Value::Null);
-        let answer = json!({
+        let completion = json!({
             "id": first["id"],
             "object": "chat.completion",
             "created": first["created"],
@@ -46,10 +47,10 @@
             "choices": [{
                 "index": 0,
                 "message": { "role": "assistant", "content": self.text },
-                "finish_reason": self.finish,
+                "finish_reason": self.finish_reason,
             }],
             "usage": self.usage,
         });
-        answer.to_string().into_bytes()
+        completion.to_string().into_bytes()
     }
 }
--- a/azureway-entry/src/caller/connection.rs
+++ b/azureway-entry/src/caller/connection.rs
@@ -1,4 +1,4 @@
-//! The duty of one caller's connection.
+//! The duty of a caller's connection.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -13,7 +13,7 @@
 use crate::decide::DecideMessage;
 use crate::meter::MetricEvent;
 
-/// The duty of one caller's connection: reads one request and writes its answer.
+/// The duty of a caller's connection, which reads one request and writes its answer.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -21,12 +21,13 @@
     bounds: Bounds,
 }
 
-/// How long the answer to a bad request is kept from being lost to a reset.
-const LINGER: Duration = Duration::from_secs(1);
-/// How long a caller may take no byte of its answer.
+/// Time for which input is discarded after a malformed request is refused, so that a reset does
+/// not destroy the answer.
+const DISCARD_TIME: Duration = Duration::from_secs(1);
+/// How long a write to a caller that accepts no bytes may block.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The updates that a request can have before its connection takes one up.
-const OUTCOMES: usize = 16;
+/// Capacity of the ring that carries the updates of a request to its connection.
+const UPDATE_RING: usize = 16;
 
 impl Connection {
     /// Creates the duty.
@@ -42,16 +43,16 @@
     pub fn run(self) {
         let _ = self.stream.set_nodelay(true);
         let _ = self.stream.set_write_timeout(Some(WRITE_TIMEOUT));
-        let limit = Instant::now() + self.bounds.arrival;
-        match self.receive(limit) {
+        let deadline = Instant::now() + self.bounds.arrival;
+        match self.receive(deadline) {
             Ok((head, body)) => self.answer(head, body),
             Err(BadInput::Closed) => {}
             Err(input) => self.reject(input),
         }
     }
 
-    fn receive(&self, limit: Instant) -> Result<(Head, Vec<u8>), BadInput> {
-        let mut stream = TimedStream::new(&self.stream, limit);
+    fn receive(&self, deadline: Instant) -> Result<(Head, Vec<u8>), BadInput> {
+        let mut stream = TimedStream::new(&self.stream, deadline);
         let (head, early) = HeadReader::new(self.bounds.head).read(&mut stream)?;
         let body = BodyReader::new(&head)?;
         if head
@@ -68,20 +69,23 @@
         let responder = Responder::new(&self.stream);
         let _ = responder.refuse(&Refusal::from(input));
         responder.close();
-        // A close with unread bytes resets the connection, and the answer could be lost.
-        let mut rest = TimedStream::new(&self.stream, Instant::now() + LINGER);
-        let _ = io::copy(&mut rest, &mut io::sink());
+        // Closing a socket with unread bytes resets the connection, and the caller could lose the
+        // answer.
+        let mut unread = TimedStream::new(&self.stream, Instant::now() + DISCARD_TIME);
+        let _ = io::copy(&mut unread, &mut io::sink());
     }
 
     fn answer(&self, head: Head, body: Vec<u8>) {
         let responder = Responder::new(&self.stream);
         let text = "text/plain; charset=utf-8";
         let _ = match (head.method.as_ref(), head.path.as_ref()) {
-            ("GET", "/healthz") => responder.whole(200, text, b"ok\n"),
-            ("GET", "/readyz") if self.handles.is_ready() => responder.whole(200, text, b"ready\n"),
-            ("GET", "/readyz") => responder.whole(503, text, b"not ready\n"),
+            ("GET", "/healthz") => responder.write_complete(200, text, b"ok\n"),
+            ("GET", "/readyz") if self.handles.is_ready() => {
+                responder.write_complete(200, text, b"ready\n")
+            }
+            ("GET", "/readyz") => responder.write_complete(503, text, b"not ready\n"),
             ("GET", "/metrics") => self.scrape(&responder),
-            _ => self.call(head, body),
+            _ => self.route(head, body),
         };
         responder.close();
     }
@@ -90,15 +94,16 @@
         let (reply, text) = flume::bounded(1);
         let _ = self.handles.meter.send(MetricEvent::Scrape(reply));
         let text = text.recv().map_err(io::Error::other)?;
-        responder.whole(
+        responder.write_complete(
             200,
             "application/openmetrics-text; version=1.0.0; charset=utf-8",
             text.as_bytes(),
         )
     }
 
-    fn call(&self, head: Head, body: Vec<u8>) -> io::Result<()> {
-        let (sender, updates) = flume::bounded(OUTCOMES);
+    /// Sends the request to the admitting duty and writes its answer.
+    fn route(&self, head: Head, body: Vec<u8>) -> io::Result<()> {
+        let (sender, updates) = flume::bounded(UPDATE_RING);
         let call = Call {
             id: self.handles.ids.next(),
             head,
--- a/azureway-entry/src/caller/head.rs
+++ b/azureway-entry/src/caller/head.rs
@@ -1,29 +1,30 @@
-//! The head of a request.
+//! The head of an HTTP request.
 
 use super::BadInput;
 
-/// The head of a request.
+/// The head of an HTTP request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// The method.
     pub method: Box<str>,
-    /// The path with its query.
+    /// The path with the query.
     pub path: Box<str>,
     headers: Vec<(Box<str>, Box<str>)>,
 }
 
-/// The headers of a request at most.
-const HEADERS_MAX: usize = 64;
+/// Most headers that a request may have.
+const MAX_HEADERS: usize = 64;
 
 impl Head {
-    /// Reads a head from the start of `bytes`. Returns it with its length, or `None` if it
-    /// is not complete yet.
+    /// Parses a head at the start of `bytes`. Returns it with its length in bytes, or `None` if it
+    /// is incomplete.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are no head of an HTTP/1.1 request.
+    /// Returns an error if the bytes are not the head of an HTTP/1.1 request, or if it has too many
+    /// headers.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, BadInput> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let status = request.parse(bytes).map_err(|e| match e {
             httparse::Error::TooManyHeaders => BadInput::HeadTooLarge,
@@ -37,7 +38,7 @@
         let headers = request
             .headers
             .iter()
-            .map(owned)
+            .map(owned_header)
             .collect::<Result<_, _>>()?;
         Ok(Some((
             Self {
@@ -49,25 +50,25 @@
         )))
     }
 
-    /// Returns the first value of the header with the lower-case `name`.
+    /// Returns the first value of the header `name`, which must be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
         let named = self.headers.iter().find(|(n, _)| n.as_ref() == name);
         named.map(|(_, value)| value.as_ref())
     }
 
-    /// Returns every header in order, with lower-case names.
+    /// Returns the headers in order, with names in lower case.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.headers.iter().map(|(n, v)| (n.as_ref(), v.as_ref()))
     }
 
-    /// Returns every value of the header with the lower-case `name`.
+    /// Returns every value of the header `name`, which must be in lower case.
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         let named = self.headers.iter().filter(move |(n, _)| n.as_ref() == name);
         named.map(|(_, value)| value.as_ref())
     }
 }
 
-fn owned(header: &httparse::Header<'_>) -> Result<(Box<str>, Box<str>), BadInput> {
+fn owned_header(header: &httparse::Header<'_>) -> Result<(Box<str>, Box<str>), BadInput> {
     let value = std::str::from_utf8(header.value).map_err(|_| BadInput::BadHead)?;
     Ok((header.name.to_ascii_lowercase().into(), value.trim().into()))
 }
--- a/azureway-entry/src/caller/head_reader.rs
+++ b/azureway-entry/src/caller/head_reader.rs
@@ -1,46 +1,46 @@
-//! Reading a head within its bound.
+//! Reading of a request head within its size limit.
 
 use std::io::{self, Read};
 
 use super::{BadInput, Head};
 
-/// Reads a head within a bound of bytes.
+/// Reads a request head within a size limit.
 #[derive(Debug)]
 pub struct HeadReader {
     bytes: Vec<u8>,
-    bound: usize,
+    limit: usize,
 }
 
-/// The bytes that are read at once.
+/// Most bytes that one call reads.
 const READ_SIZE: usize = 4 * 1024;
 
 impl HeadReader {
-    /// Creates a reader that takes `bound` bytes at most.
-    pub const fn new(bound: usize) -> Self {
+    /// Creates a reader that accepts at most `limit` bytes.
+    pub const fn new(limit: usize) -> Self {
         Self {
             bytes: Vec::new(),
-            bound,
+            limit,
         }
     }
 
-    /// Sets the bytes that came before.
+    /// Sets the bytes that were already received.
     #[must_use]
     pub fn with_bytes(mut self, bytes: Vec<u8>) -> Self {
         self.bytes = bytes;
         self
     }
 
-    /// Reads a head and returns it with the bytes of the body that came along.
+    /// Reads a head and returns it with the bytes of the body that arrived with it.
     ///
     /// # Errors
     ///
-    /// Returns an error if the head is too large, is no head or does not come in time.
+    /// Returns an error if the head is too large or malformed, or does not arrive in time.
     pub fn read(mut self, stream: &mut impl Read) -> Result<(Head, Vec<u8>), BadInput> {
         loop {
             if let Some((head, length)) = Head::parse(&self.bytes)? {
                 return Ok((head, self.bytes.split_off(length)));
             }
-            if self.bytes.len() >= self.bound {
+            if self.bytes.len() >= self.limit {
                 return Err(BadInput::HeadTooLarge);
             }
             self.fill(stream)?;
@@ -49,8 +49,8 @@
 
     fn fill(&mut self, stream: &mut impl Read) -> Result<(), BadInput> {
         let mut buffer = [0; READ_SIZE];
-        let room = READ_SIZE.min(self.bound - self.bytes.len());
-        match stream.read(&mut buffer[..room]) {
+        let length = READ_SIZE.min(self.limit - self.bytes.len());
+        match stream.read(&mut buffer[..length]) {
             Ok(0) if self.bytes.is_empty() => Err(BadInput::Closed),
             Ok(0) => Err(BadInput::BadHead),
             Ok(count) => {
--- a/azureway-entry/src/caller/is_open.rs
+++ b/azureway-entry/src/caller/is_open.rs
@@ -1,18 +1,18 @@
-//! Telling whether a caller is still there.
+//! Detection of a disconnected caller.
 
 use std::io;
 use std::net::TcpStream;
 
-/// Tells whether the other side of a connection has not closed it.
+/// Returns whether the other side of a connection still has it open.
 ///
 /// # Errors
 ///
 /// Returns an error if the connection is broken.
 pub fn is_open(stream: &TcpStream) -> io::Result<bool> {
     stream.set_nonblocking(true)?;
-    let seen = stream.peek(&mut [0]);
+    let peeked = stream.peek(&mut [0]);
     stream.set_nonblocking(false)?;
-    match seen {
+    match peeked {
         Ok(count) => Ok(count > 0),
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(true),
         Err(e) => Err(e),
--- a/azureway-entry/src/caller/listener.rs
+++ b/azureway-entry/src/caller/listener.rs
@@ -1,4 +1,4 @@
-//! The accepting duty.
+//! The accepting duty, which starts the callers' connections.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use super::{Connection, Responder};
 use crate::daemon::Handles;
 
-/// The accepting duty: gives each connection a thread of its own, within a bound.
+/// The accepting duty, which runs each connection in a thread of its own up to a limit.
 #[derive(Debug)]
 pub struct Listener {
     listener: TcpListener,
@@ -21,11 +21,11 @@
     stop: Arc<AtomicBool>,
 }
 
-/// The stack of a connection's thread, in bytes.
+/// Stack size of a connection's thread, in bytes.
 const STACK_SIZE: usize = 128 * 1024;
 
 impl Listener {
-    /// Binds `address`.
+    /// Creates the duty and binds `address`.
     ///
     /// # Errors
     ///
@@ -53,28 +53,29 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the system does not tell it.
+    /// Returns an error if the system cannot return it.
     pub fn address(&self) -> Result<SocketAddr, Error> {
         let failed = |e| Error::new(ErrorKind::System, Step::new("listen for callers"), e);
         self.listener.local_addr().map_err(failed)
     }
 
-    /// Accepts connections until the daemon stops.
+    /// Accepts connections until the daemon shuts down.
     pub fn run(self) {
         for stream in self.listener.incoming() {
             if self.stop.load(Ordering::Acquire) {
                 break;
             }
             match stream {
-                Ok(stream) => self.open(stream),
-                Err(e) => log::warn!(step = "accept", error:% = e; "no connection"),
+                Ok(stream) => self.start(stream),
+                Err(e) => log::warn!(step = "accept", error:% = e; "accepting a connection failed"),
             }
         }
     }
 
-    fn open(&self, stream: TcpStream) {
-        let full = self.open.fetch_add(1, Ordering::AcqRel) >= self.bounds.connections;
-        if full {
+    /// Starts the thread of a connection, or refuses it if too many are open.
+    fn start(&self, stream: TcpStream) {
+        let is_full = self.open.fetch_add(1, Ordering::AcqRel) >= self.bounds.connections;
+        if is_full {
             self.open.fetch_sub(1, Ordering::AcqRel);
             let refusal = Refusal::not_run(RefusalReason::Overloaded, "too many connections");
             let _ = Responder::new(&stream).refuse(&refusal);
@@ -92,7 +93,7 @@
         });
         if let Err(e) = spawned {
             open.fetch_sub(1, Ordering::AcqRel);
-            log::error!(step = "accept", error:% = e; "no thread for a connection");
+            log::error!(step = "accept", error:% = e; "starting the thread of a connection failed");
         }
     }
 }
--- a/azureway-entry/src/caller/mod.rs
+++ b/azureway-entry/src/caller/mod.rs
@@ -1,9 +1,10 @@
-//! The callers' side: connections, heads, bodies and answers.
+//! Callers' connections: reading of requests and writing of answers.
 
 mod answer;
 mod answer_chunk;
 mod bad_input;
 mod body_reader;
+mod completion_builder;
 mod connection;
 mod head;
 mod head_reader;
@@ -12,12 +13,12 @@
 mod request_update;
 mod responder;
 mod timed_stream;
-mod whole_answer;
 
 pub use answer::Answer;
 pub use answer_chunk::AnswerChunk;
 pub use bad_input::BadInput;
 pub use body_reader::BodyReader;
+pub use completion_builder::CompletionBuilder;
 pub use connection::Connection;
 pub use head::Head;
 pub use head_reader::HeadReader;
@@ -26,4 +27,3 @@
 pub use request_update::RequestUpdate;
 pub use responder::Responder;
 pub use timed_stream::TimedStream;
-pub use whole_answer::WholeAnswer;
--- a/azureway-entry/src/caller/request_update.rs
+++ b/azureway-entry/src/caller/request_update.rs
@@ -1,22 +1,22 @@
-//! What becomes of a request.
+//! Updates of a request to its connection.
 
 use azureway_core::prelude::{Attempt, Refusal, RequestId};
 use flume::Receiver;
 
 use super::AnswerChunk;
 
-/// What becomes of a request, as its connection is told.
+/// An update of a request, which the deciding duty sends to the caller's connection.
 #[derive(Debug)]
 pub enum RequestUpdate {
-    /// A try begins.
+    /// An attempt has started.
     AttemptStarted {
-        /// The try.
+        /// The attempt.
         attempt: Attempt,
         /// Whether the caller asked for a stream.
         streamed: bool,
-        /// The ring that its answer comes through.
+        /// The ring that carries the chunks of its answer.
         chunks: Receiver<AnswerChunk>,
     },
-    /// The request is refused, or its stream has ended early.
+    /// The request was refused, or its stream ended early.
     Refused(RequestId, Refusal),
 }
--- a/azureway-entry/src/caller/responder.rs
+++ b/azureway-entry/src/caller/responder.rs
@@ -1,4 +1,4 @@
-//! Writing answers.
+//! Encoding of HTTP responses.
 
 use std::fmt::Write as _;
 use std::io::{self, Write};
@@ -9,7 +9,7 @@
 use azureway_wire::header;
 use chunked_transfer::Encoder;
 
-/// Writes the answer to one request. Each answer ends its connection.
+/// Writes the answer to one request. The connection is closed after it.
 #[derive(Debug)]
 pub struct Responder<'a> {
     stream: &'a TcpStream,
@@ -18,28 +18,28 @@
 
 /// The media type of JSON.
 const JSON: &str = "application/json";
-/// The media type of a stream of events.
+/// The media type of an event stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
 impl<'a> Responder<'a> {
-    /// Creates a writer to `stream`.
+    /// Creates a responder that writes to `stream`.
     pub const fn new(stream: &'a TcpStream) -> Self {
         Self { stream, id: None }
     }
 
-    /// Names the request on the answer.
+    /// Sets the request ID, which the answer carries in a header.
     #[must_use]
     pub const fn with_id(mut self, id: RequestId) -> Self {
         self.id = Some(id);
         self
     }
 
-    /// Writes a whole answer.
+    /// Writes a complete answer.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller has hung up.
-    pub fn whole(&self, status: u16, media: &str, body: &[u8]) -> io::Result<()> {
+    /// Returns an error if the caller has disconnected.
+    pub fn write_complete(&self, status: u16, media: &str, body: &[u8]) -> io::Result<()> {
         self.send(status, media, body, "")
     }
 
@@ -47,22 +47,22 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller has hung up.
+    /// Returns an error if the caller has disconnected.
     pub fn refuse(&self, refusal: &Refusal) -> io::Result<()> {
         let body = serde_json::to_vec(&ErrorBody::from(refusal))?;
-        let after = refusal.retry_after.map(|t| t.as_millis().div_ceil(1000));
-        let retry = after
+        let seconds = refusal.retry_after.map(|t| t.as_millis().div_ceil(1000));
+        let retry_after = seconds
             .map(|s| format!("retry-after: {s}\r\n"))
             .unwrap_or_default();
-        self.send(status_of(refusal.reason), JSON, &body, &retry)
+        self.send(status_of(refusal.reason), JSON, &body, &retry_after)
     }
 
-    /// Writes the head of a stream and returns the writer of its events.
+    /// Writes the head of an event stream and returns the writer of its events.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller has hung up.
-    pub fn stream(&self) -> io::Result<Encoder<&'a TcpStream>> {
+    /// Returns an error if the caller has disconnected.
+    pub fn start_stream(&self) -> io::Result<Encoder<&'a TcpStream>> {
         let mut head = self.head(200, EVENT_STREAM);
         head.push_str("cache-control: no-store\r\ntransfer-encoding: chunked\r\n\r\n");
         let mut stream = self.stream;
@@ -70,7 +70,7 @@
         Ok(Encoder::with_flush_after_write(stream))
     }
 
-    /// Tells the caller that nothing more comes.
+    /// Closes the writing side of the connection, so that the caller sees the end of the answer.
     pub fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
--- a/azureway-entry/src/caller/timed_stream.rs
+++ b/azureway-entry/src/caller/timed_stream.rs
@@ -1,32 +1,32 @@
-//! A connection with a limit on the time until a request has arrived.
+//! Reading from a connection until a deadline.
 
 use std::io::{self, Read};
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// The reading side of a connection, with one limit on the time of all reads together.
+/// The reading side of a connection, with one deadline for all reads together.
 #[derive(Debug)]
 pub struct TimedStream<'a> {
     stream: &'a TcpStream,
-    limit: Instant,
+    deadline: Instant,
 }
 
 impl<'a> TimedStream<'a> {
-    /// Creates the reading side; reads fail after `limit`.
-    pub const fn new(stream: &'a TcpStream, limit: Instant) -> Self {
-        Self { stream, limit }
+    /// Creates the reading side of `stream`. Reads fail after `deadline`.
+    pub const fn new(stream: &'a TcpStream, deadline: Instant) -> Self {
+        Self { stream, deadline }
     }
 }
 
 impl Read for TimedStream<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        let rest = self.limit.saturating_duration_since(Instant::now());
-        if rest.is_zero() {
+        let timeout = self.deadline.saturating_duration_since(Instant::now());
+        if timeout.is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
         }
-        self.stream.set_read_timeout(Some(rest))?;
+        self.stream.set_read_timeout(Some(timeout))?;
         match self.stream.read(buffer) {
-            // The system reports the passing of a timeout as `WouldBlock`.
+            // The system reports an expired timeout as `WouldBlock`.
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Err(io::ErrorKind::TimedOut.into()),
             result => result,
         }
--- a/azureway-entry/tests/process.rs
+++ b/azureway-entry/tests/process.rs
@@ -1,4 +1,4 @@
-//! The daemon as a real process against stand-ins in another.
+//! The daemon as a process of its own, against an engine and a platform in the test's process.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,18 +14,19 @@
 
 /// The daemon's program.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_azureway-entry");
-/// A guard against a hang; no test's verdict depends on it.
-const GUARD: Duration = Duration::from_secs(60);
-/// The tokens of an answer: enough for two signals to strike in its midst.
+/// Timeout that keeps a failing test from hanging. No result depends on it.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
+/// Tokens of an answer. They are enough for two signals to arrive while it is streamed.
 const TOKENS: u64 = 100;
 
-/// Writes settings to a file that is named after the test.
+/// Writes settings to a file that is named after the test, and returns its path.
 fn write_settings(test: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}.ini"));
     fs::write(&path, text).expect("the settings are written");
     path
 }
 
+/// Returns the settings of an entry whose platform is at `platform`.
 fn settings(platform: SocketAddr) -> String {
     format!(
         "[entry]\ninstance = entry-1\nzone = kranj-a\nlisten = 127.0.0.1:0\n\
@@ -33,6 +34,7 @@
     )
 }
 
+/// Runs the program's check of settings and returns its output.
 fn check(test: &str, text: &str) -> Output {
     let path = write_settings(test, text);
     let mut command = Command::new(PROGRAM);
@@ -44,7 +46,7 @@
         .expect("the program runs")
 }
 
-/// A daemon's process, which ends with the test.
+/// A daemon's process, which is killed when the test ends.
 struct Daemon {
     child: Child,
     log: BufReader<ChildStdout>,
@@ -64,19 +66,19 @@
         Self { child, log }
     }
 
-    /// Reads the log until a line holds `mark`, and returns the line.
-    fn read_until(&mut self, mark: &str) -> String {
+    /// Reads the log until a line contains `text`, and returns the line.
+    fn read_until(&mut self, text: &str) -> String {
         loop {
             let mut line = String::new();
             let count = self.log.read_line(&mut line).expect("a log");
-            assert_ne!(count, 0, "the log ended before {mark:?}");
-            if line.contains(mark) {
+            assert_ne!(count, 0, "the log ended before {text:?}");
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Returns the address that the log names.
+    /// Returns the address for callers, which the log names.
     fn address(&mut self) -> SocketAddr {
         let line = self.read_until("listening");
         let rest = line.split("peer=").nth(1).expect("an address");
@@ -84,6 +86,7 @@
         address.parse().expect("an address")
     }
 
+    /// Sends the signal `name` to the process.
     fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         let status = Command::new("sh")
@@ -102,13 +105,16 @@
     }
 }
 
+/// Sends a chat request for a stream and returns the connection.
 fn open_chat(entry: SocketAddr) -> BufReader<TcpStream> {
     let body = format!(
         r#"{{"model":"advice","stream":true,"max_tokens":{TOKENS},
             "messages":[{{"role":"user","content":"Which wax?"}}]}}"#
     );
     let mut stream = TcpStream::connect(entry).expect("a connection");
-    stream.set_read_timeout(Some(GUARD)).expect("a guard");
+    stream
+        .set_read_timeout(Some(READ_TIMEOUT))
+        .expect("a timeout");
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nauthorization: Bearer wax-desk-key\r\n\
          content-length: {}\r\n\r\n{body}",
@@ -119,7 +125,7 @@
 }
 
 #[gtest]
-fn good_settings_pass_the_check() {
+fn check_accepts_valid_settings() {
     let output = check(
         "good",
         &settings("127.0.0.1:1".parse().expect("an address")),
@@ -128,7 +134,7 @@
 }
 
 #[gtest]
-fn a_wrong_line_is_named_and_nothing_starts() {
+fn check_names_an_invalid_line() {
     let output = check(
         "wrong",
         "[entry]\ninstance = e\nzone = a\nlisten = nowhere\nplatfrom = x\n",
@@ -142,17 +148,17 @@
     expect_that!(text, contains_substring("did you mean `platform`?"));
 }
 
-/// Starts one engine without an entry.
-fn stand_ins() -> System {
+/// Starts a platform and one engine, without an entry.
+fn start_system() -> System {
     let layout = Layout::new()
         .with_zones(&["kranj-a"])
         .with_engines(1)
         .with_entries(0);
     let engine = EngineConfig::new().with_interval(Duration::from_millis(10));
-    System::start(&layout, &engine, &Bounds::new()).expect("the stand-ins start")
+    System::start(&layout, &engine, &Bounds::new()).expect("the system starts")
 }
 
-/// Reads a stream until a few of its events have come.
+/// Reads a stream until its first events have arrived.
 fn read_events(stream: &mut BufReader<TcpStream>) {
     let mut line = String::new();
     while line.trim_end() != "id: 2" {
@@ -162,8 +168,8 @@
 }
 
 #[gtest]
-fn a_killed_daemon_leaves_no_answer_that_looks_whole_and_no_work_at_the_engine() {
-    let system = stand_ins();
+fn a_killed_daemon_truncates_its_answer_and_stops_the_engine() {
+    let system = start_system();
     let mut daemon = Daemon::start("killed", system.platform_address());
     let address = daemon.address();
     daemon.read_until("a configuration is in force");
@@ -174,22 +180,23 @@
     let _ = stream.read_to_string(&mut rest);
     expect_that!(rest, not(contains_substring("[DONE]")));
     expect_that!(rest, not(ends_with("0\r\n\r\n")));
-    // Returns once the engine has stopped; the test would hang otherwise.
+    // Returns when the engine is idle. If the engine did not stop, the test would hang here.
     system.engines[0].wait_idle();
     expect_that!(system.engines[0].running(), eq(0));
     system.drain();
 }
 
 #[gtest]
-fn a_paused_daemon_finishes_its_stream_when_it_goes_on() {
-    let system = stand_ins();
+fn a_paused_daemon_finishes_its_stream_when_it_continues() {
+    let system = start_system();
     let mut daemon = Daemon::start("paused", system.platform_address());
     let address = daemon.address();
     daemon.read_until("a configuration is in force");
     let mut stream = open_chat(address);
     read_events(&mut stream);
     daemon.signal("STOP");
-    // The engine streams into the connection meanwhile; the guard is no part of the verdict.
+    // The engine goes on writing to the connection meanwhile. The result does not depend on how
+    // long the pause takes.
     std::thread::park_timeout(Duration::from_millis(300));
     daemon.signal("CONT");
     let mut rest = String::new();
@@ -201,8 +208,8 @@
 }
 
 #[gtest]
-fn a_signal_drains_and_a_second_one_is_reported_not_obeyed() {
-    let system = stand_ins();
+fn a_signal_drains_and_a_second_signal_is_only_logged() {
+    let system = start_system();
     let mut daemon = Daemon::start("drain", system.platform_address());
     let address = daemon.address();
     daemon.read_until("a configuration is in force");
