--- a/azureway-entry/tests/dialect/mod.rs
+++ b/azureway-entry/tests/dialect/mod.rs
@@ -1,4 +1,4 @@
-//! How the tests' backend servers are spoken to.
+//! The headers of the tests' backend servers.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
 
 use std::fmt::Write as _;
@@ -15,7 +15,7 @@
 impl BackendDialect for TestDialect {
     fn write_headers(
         &self,
-        order: &Dispatch,
+        dispatch: &Dispatch,
         _: &UpstreamRequest,
         left: Duration,
         out: &mut String,
@@ -23,7 +23,7 @@
         let _ = write!(
             out,
             "x-server: {}\r\nx-left: {}\r\n",
-            order.server,
+            dispatch.server,
             left.as_millis()
         );
     }
--- a/azureway-entry/tests/exchange.rs
+++ b/azureway-entry/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! What a try makes of what a backend server sends: the table of faults.
+//! Tests the outcome of an attempt for good and faulty answers of a backend server.
 
 mod dialect;
 
@@ -19,15 +19,16 @@
 use googletest::prelude::*;
 use socket2::SockRef;
 
-/// The caller's attempt in every case.
+/// The caller's attempt ID in every case.
 const ATTEMPT: &str = "attempt-1";
-/// How long the try lets a server be silent.
-const PATIENCE: Duration = Duration::from_millis(200);
-/// A guard against a hang; no verdict depends on it.
+/// The read timeout of the attempt.
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
+/// The time limit that keeps a fault from hanging a test; no result depends on it.
 const GUARD: Duration = Duration::from_secs(30);
 
-/// One try at `address`, with the rings that its answer and its end come through.
-fn launch(
+/// Starts an attempt at `address`. Returns the rings of its answer and of its reports, and its
+/// handle.
+fn start_attempt(
     address: SocketAddr,
     pool: &ConnectionPool,
     once: bool,
@@ -38,11 +39,11 @@
     Arc<CancelHandle>,
 ) {
     let (chunks, answer) = flume::bounded(64);
-    let (decide, news) = flume::bounded(64);
+    let (decide, reports) = flume::bounded(64);
     let (clock, handle) = (Clock::new(), Arc::new(CancelHandle::new()));
     let position = StreamPosition::new(position);
-    let job = ExchangeAttempt {
-        dispatch: order(address, position),
+    let exchange = ExchangeAttempt {
+        dispatch: dispatch(address, position),
         upstream: Arc::new(upstream(once, clock.now() + GUARD)),
         chunks,
         decide,
@@ -54,11 +55,11 @@
         next_position: position,
         output: TokenCount::ZERO,
     };
-    thread::spawn(move || job.run());
-    (answer, news, handle)
+    thread::spawn(move || exchange.run());
+    (answer, reports, handle)
 }
 
-fn order(address: SocketAddr, position: StreamPosition) -> Dispatch {
+fn dispatch(address: SocketAddr, position: StreamPosition) -> Dispatch {
     Dispatch {
         attempt: Attempt::new(RequestId::new(1, 1), 1),
         server: ServerId::new("s"),
@@ -74,7 +75,7 @@
     }
 }
 
-fn upstream(once: bool, until: Timestamp) -> UpstreamRequest {
+fn upstream(once: bool, deadline: Timestamp) -> UpstreamRequest {
     UpstreamRequest {
         kind: ServiceKind::Plain,
         streamed: false,
@@ -92,18 +93,19 @@
                 ("last-event-id".into(), "9".into()),
             ],
             priority: 3,
-            deadline: until,
-            read_timeout: PATIENCE,
+            deadline,
+            read_timeout: READ_TIMEOUT,
             max_attempts: 2,
         }),
     }
 }
 
-/// Plays the server's side of the table on one connection after the request has come.
+/// Accepts a connection, reads the request and runs `script` of the server. Returns the connection
+/// and the request.
 fn serve(listener: &TcpListener, script: &str) -> (TcpStream, String) {
     let (mut stream, _) = listener.accept().expect("a connection");
     let request = read_request(&mut stream);
-    play(&mut stream, script);
+    run_script(&mut stream, script);
     (stream, request)
 }
 
@@ -118,7 +120,7 @@
     String::from_utf8(bytes).expect("text")
 }
 
-fn play(stream: &mut TcpStream, script: &str) {
+fn run_script(stream: &mut TcpStream, script: &str) {
     let script = script.trim();
     let (text, end) = script.rsplit_once(' ').unwrap_or(("", script));
     let text = text
@@ -129,10 +131,10 @@
     match end {
         "close" => stream.shutdown(std::net::Shutdown::Write).expect("closed"),
         "reset" => {
-            // Lets the bytes arrive before the reset overtakes them.
+            // Gives the bytes time to arrive: a reset discards those not yet read.
             thread::sleep(Duration::from_millis(50));
-            let lost = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
-            lost.expect("a reset");
+            let reset = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
+            reset.expect("a reset");
             *stream = TcpStream::connect(stream.local_addr().expect("an address"))
                 .expect("a connection in its place");
         }
@@ -141,7 +143,8 @@
     }
 }
 
-fn told(chunk: &AnswerChunk) -> String {
+/// Returns a chunk in the notation of the table.
+fn describe(chunk: &AnswerChunk) -> String {
     match chunk {
         AnswerChunk::Forwarded(_, body) => format!("full {}", String::from_utf8_lossy(body)),
         AnswerChunk::Fallback(head, _) => format!("held {}", head.status),
@@ -157,8 +160,9 @@
     }
 }
 
-fn ended(news: &Receiver<DecideMessage>) -> String {
-    let told = news.iter().find_map(|message| match message {
+/// Returns the reported outcome in the notation of the table.
+fn outcome(reports: &Receiver<DecideMessage>) -> String {
+    let outcome = reports.iter().find_map(|message| match message {
         DecideMessage::Finished(_) => Some("finished".to_owned()),
         DecideMessage::Failed(failure) => {
             let position = match failure.position.get() {
@@ -169,32 +173,32 @@
         }
         _ => None,
     });
-    told.unwrap_or_else(|| "nothing".to_owned())
+    outcome.unwrap_or_else(|| "nothing".to_owned())
 }
 
-/// Joins the bytes of events, which come in as many pieces as the system makes of them.
-fn joined(chunks: &[String]) -> String {
+/// Joins chunks, and merges the bytes of events: how many reads they arrive in varies.
+fn join_chunks(chunks: &[String]) -> String {
     let text = chunks.join("; ");
     text.replace("##; bytes ", "##")
 }
 
 #[gtest]
-fn answers_are_judged_as_the_table_says() {
+fn each_answer_has_the_outcome_in_the_table() {
     for line in include_str!("../testdata/exchange.txt").lines() {
         if line.starts_with('#') {
             continue;
         }
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
-        let [fault, script, reaches, end] = cells[..] else {
+        let [fault, script, received, end] = cells[..] else {
             panic!("four cells: {line}");
         };
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (answer, news, _) = launch(address, &ConnectionPool::new(8), true, 0);
+        let (answer, reports, _) = start_attempt(address, &ConnectionPool::new(8), true, 0);
         let (_stream, _) = serve(&listener, script);
-        let chunks: Vec<String> = answer.iter().map(|c| told(&c)).collect();
-        expect_that!(joined(&chunks).as_str(), eq(reaches), "{fault}");
-        expect_that!(ended(&news).as_str(), eq(end), "{fault}");
+        let chunks: Vec<String> = answer.iter().map(|c| describe(&c)).collect();
+        expect_that!(join_chunks(&chunks).as_str(), eq(received), "{fault}");
+        expect_that!(outcome(&reports).as_str(), eq(end), "{fault}");
     }
 }
 
@@ -202,10 +206,10 @@
 const GOOD: &str = "HTTP/1.1 200 OK~x-sign: 1~content-length: 2~~ok hold";
 
 #[gtest]
-fn a_request_is_passed_on_unchanged_with_what_the_dialect_adds() {
+fn a_request_is_sent_unchanged_with_the_headers_of_the_dialect() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (_answer, _news, _) = launch(address, &ConnectionPool::new(8), true, 0);
+    let (_answer, _reports, _) = start_attempt(address, &ConnectionPool::new(8), true, 0);
     let (_stream, request) = serve(&listener, GOOD);
     expect_that!(
         request.as_str(),
@@ -220,10 +224,10 @@
 }
 
 #[gtest]
-fn a_resumed_stream_asks_for_what_follows_and_passes_on_nothing_twice() {
+fn a_resumed_stream_asks_for_the_missing_events_and_forwards_none_twice() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (answer, news, _) = launch(address, &ConnectionPool::new(8), false, 5);
+    let (answer, reports, _) = start_attempt(address, &ConnectionPool::new(8), false, 5);
     let script = "HTTP/1.1 200 OK~x-sign: 1~content-type: text/event-stream~~\
                   id: 4#data: a##id: 8#data: b## close";
     let (_stream, request) = serve(&listener, script);
@@ -232,16 +236,16 @@
         request.as_str(),
         not(contains_substring("last-event-id: 9"))
     );
-    let chunks: Vec<String> = answer.iter().map(|c| told(&c)).collect();
+    let chunks: Vec<String> = answer.iter().map(|c| describe(&c)).collect();
     expect_that!(
-        joined(&chunks).as_str(),
+        join_chunks(&chunks).as_str(),
         eq("head; bytes id: 8#data: b##; end")
     );
-    expect_that!(ended(&news).as_str(), eq("finished"));
+    expect_that!(outcome(&reports).as_str(), eq("finished"));
 }
 
 #[gtest]
-fn a_connection_is_used_again_only_while_nothing_speaks_against_it() {
+fn a_connection_is_pooled_only_if_it_can_be_reused() {
     let rows = [
         ("HTTP/1.1 200 OK~x-sign: 1~content-length: 2~~ok hold", true),
         (
@@ -266,61 +270,61 @@
         ),
         ("HTTP/1.1 200 OK~x-sign: 1~~ok close", false),
     ];
-    for (script, kept) in rows {
+    for (script, pooled) in rows {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let pool = ConnectionPool::new(8);
-        let (answer, news, _) = launch(address, &pool, false, 0);
+        let (answer, reports, _) = start_attempt(address, &pool, false, 0);
         let (_stream, _) = serve(&listener, script);
         answer.iter().for_each(drop);
-        ended(&news);
-        expect_that!(pool.take(address, false).is_some(), eq(kept), "{script}");
+        outcome(&reports);
+        expect_that!(pool.take(address, false).is_some(), eq(pooled), "{script}");
     }
 }
 
-/// Each row: whether the request may run only once, and how it ends on a kept connection that
-/// the server closes without an answer.
+/// Each row: whether the request may run only once, and its outcome on a pooled connection that the
+/// server closes without an answer.
 #[gtest]
-fn a_lost_connection_is_replaced_only_for_what_may_run_twice() {
+fn a_request_on_a_closed_connection_is_resent_only_if_it_may_run_twice() {
     for (once, expected) in [(false, "finished"), (true, "Broken MaybeRun")] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let pool = ConnectionPool::new(8);
-        let (answer, news, _) = launch(address, &pool, once, 0);
-        let (mut kept, _) = serve(&listener, GOOD);
+        let (answer, reports, _) = start_attempt(address, &pool, once, 0);
+        let (mut pooled, _) = serve(&listener, GOOD);
         answer.iter().for_each(drop);
-        ended(&news);
-        let (answer, news, _) = launch(address, &pool, once, 0);
-        read_request(&mut kept);
-        play(&mut kept, "close");
+        outcome(&reports);
+        let (answer, reports, _) = start_attempt(address, &pool, once, 0);
+        read_request(&mut pooled);
+        run_script(&mut pooled, "close");
         let second = thread::spawn(move || {
             if !once {
                 serve(&listener, GOOD);
             }
         });
         answer.iter().for_each(drop);
-        expect_that!(ended(&news).as_str(), eq(expected), "once: {once}");
+        expect_that!(outcome(&reports).as_str(), eq(expected), "once: {once}");
         second.join().expect("the server's side");
     }
 }
 
 #[gtest]
-fn a_server_that_cannot_be_reached_was_sent_nothing() {
+fn a_request_to_an_unreachable_server_is_unsent() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let (_answer, news, _) = launch(address, &ConnectionPool::new(8), true, 0);
-    expect_that!(ended(&news).as_str(), eq("Unreachable Unsent"));
+    let (_answer, reports, _) = start_attempt(address, &ConnectionPool::new(8), true, 0);
+    expect_that!(outcome(&reports).as_str(), eq("Unreachable Unsent"));
 }
 
 #[gtest]
-fn a_cancelled_try_closes_its_connection_and_reports_nothing() {
+fn a_cancelled_attempt_closes_its_connection_and_reports_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (answer, news, handle) = launch(address, &ConnectionPool::new(8), true, 0);
+    let (answer, reports, handle) = start_attempt(address, &ConnectionPool::new(8), true, 0);
     let (mut stream, _) = serve(&listener, "hold");
     handle.cancel();
     expect_that!(stream.read(&mut [0]).expect("the close"), eq(0));
     expect_that!(answer.iter().count(), eq(0));
-    expect_that!(ended(&news).as_str(), eq("nothing"));
+    expect_that!(outcome(&reports).as_str(), eq("nothing"));
 }
--- a/azureway-entry/tests/gateway.rs
+++ b/azureway-entry/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! A whole entry that serves a site, over sockets: callers, one backend server and the platform.
+//! Tests an entry that serves a site over sockets, with callers, a backend server and the platform.
 
 mod support;
 
@@ -10,22 +10,22 @@
 use googletest::prelude::*;
 use support::{GUARD, Server, SiteFixture, read_answer};
 
-fn get(fixture: &SiteFixture, head: &str) -> TcpStream {
+fn send(fixture: &SiteFixture, head: &str) -> TcpStream {
     let mut stream = TcpStream::connect(fixture.address()).expect("a connection");
     stream.set_read_timeout(Some(GUARD)).expect("a guard");
     stream.write_all(head.as_bytes()).expect("sent");
     stream
 }
 
-fn ask(fixture: &SiteFixture, head: &str) -> String {
-    read_answer(&mut get(fixture, head))
+fn fetch(fixture: &SiteFixture, head: &str) -> String {
+    read_answer(&mut send(fixture, head))
 }
 
 #[gtest]
 fn one_connection_carries_many_requests() {
     let server = Server::start(|_, stream| support::answer(stream, "ok"));
     let fixture = SiteFixture::start(Some(&server));
-    let mut stream = get(&fixture, "");
+    let mut stream = send(&fixture, "");
     for number in 0..3 {
         let head = format!("GET /safe/{number} HTTP/1.1\r\nhost: one\r\n\r\n");
         stream.write_all(head.as_bytes()).expect("sent");
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn bodies_in_chunks_and_with_a_length_reach_the_server_alike() {
+fn chunked_and_sized_bodies_reach_the_server_alike() {
     let (seen, bodies) = flume::bounded(4);
     let server = Server::start(move |request, stream| {
         let _ = seen.send(request.to_owned());
@@ -50,24 +50,24 @@
     let sized = "POST /safe/x HTTP/1.1\r\nhost: one\r\ncontent-length: 4\r\n\r\nbody";
     let chunks = "POST /safe/x HTTP/1.1\r\nhost: one\r\ntransfer-encoding: chunked\r\n\r\n\
                   2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n";
-    let mut stream = get(&fixture, sized);
+    let mut stream = send(&fixture, sized);
     read_answer(&mut stream);
     stream.write_all(chunks.as_bytes()).expect("sent");
     read_answer(&mut stream);
     let (first, second) = (bodies.recv(), bodies.recv());
-    let same = |s: String| {
+    let without_time_left = |s: String| {
         s.lines()
             .filter(|l| !l.starts_with("x-left"))
             .collect::<String>()
     };
-    let first = same(first.expect("the first"));
+    let first = without_time_left(first.expect("the first"));
     expect_that!(first.as_str(), ends_with("body"));
-    expect_that!(same(second.expect("the second")), eq(&first));
+    expect_that!(without_time_left(second.expect("the second")), eq(&first));
 }
 
-/// Each row: a request, and the first line of its answer.
+/// Each row: a request and the status line of its answer.
 #[gtest]
-fn what_cannot_be_routed_is_refused_as_what_it_is() {
+fn requests_that_cannot_be_routed_get_the_matching_status() {
     let server = Server::start(|_, stream| support::answer(stream, "ok"));
     let fixture = SiteFixture::start(Some(&server));
     let rows = [
@@ -101,16 +101,16 @@
         ),
     ];
     for (request, status) in rows {
-        let answer = ask(&fixture, request);
+        let answer = fetch(&fixture, request);
         let expected = format!("HTTP/1.1 {status}\r\n");
         expect_that!(answer, starts_with(expected), "{request}");
     }
 }
 
 #[gtest]
-fn an_entry_without_a_configuration_says_that_nothing_has_run() {
+fn an_entry_without_a_configuration_refuses_requests_and_is_not_ready() {
     let fixture = SiteFixture::start(None);
-    let answer = ask(&fixture, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
+    let answer = fetch(&fixture, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
     expect_that!(answer.as_str(), starts_with("HTTP/1.1 503 "));
     expect_that!(
         answer.as_str(),
@@ -120,7 +120,7 @@
 }
 
 #[gtest]
-fn a_stream_that_breaks_off_does_not_look_complete() {
+fn an_interrupted_stream_does_not_look_complete() {
     let server = Server::start(|_, stream| {
         let head = "HTTP/1.1 200 OK\r\nx-sign: 1\r\ncontent-type: text/event-stream\r\n\
                     transfer-encoding: chunked\r\n\r\n";
@@ -129,9 +129,9 @@
         let _ = stream.shutdown(Shutdown::Both);
     });
     let fixture = SiteFixture::start(Some(&server));
-    let mut stream = get(&fixture, "POST /once/ HTTP/1.1\r\nhost: one\r\n\r\n");
+    let mut stream = send(&fixture, "POST /once/ HTTP/1.1\r\nhost: one\r\n\r\n");
     let mut text = Vec::new();
-    // The caller may see the end as a close or as a reset.
+    // The caller may see the end as a close or a reset.
     let _ = stream.read_to_end(&mut text);
     let text = String::from_utf8(text).expect("text");
     expect_that!(text.as_str(), contains_substring("data: a"));
@@ -139,14 +139,14 @@
 }
 
 #[gtest]
-fn a_failure_of_the_server_s_own_reaches_the_caller_as_it_is() {
+fn an_error_answer_of_the_server_reaches_the_caller_unchanged() {
     let server = Server::start(|_, stream| {
         let answer = "HTTP/1.1 500 Oops\r\nx-sign: 7\r\ncontent-length: 3\r\n\r\nbad";
         let _ = stream.write_all(answer.as_bytes());
     });
     let fixture = SiteFixture::start(Some(&server));
     for path in ["/safe/", "/once/"] {
-        let answer = ask(
+        let answer = fetch(
             &fixture,
             &format!("POST {path} HTTP/1.1\r\nhost: one\r\n\r\n"),
         );
@@ -157,30 +157,30 @@
 }
 
 #[gtest]
-fn a_caller_who_hangs_up_stops_the_server_s_work() {
+fn a_disconnected_caller_cancels_its_request_at_the_server() {
     let (seen, closed) = flume::bounded(1);
     let server = Server::start(move |_, stream| {
-        // The entry sends nothing more, so the read ends with its close.
+        // The entry sends nothing more, so the read ends when it closes the connection.
         let _ = seen.send(stream.read(&mut [0]).unwrap_or(0));
     });
     let fixture = SiteFixture::start(Some(&server));
-    let stream = get(&fixture, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
+    let stream = send(&fixture, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
     server.wait_request();
     drop(stream);
     expect_that!(closed.recv_timeout(GUARD), ok(eq(0)));
 }
 
 #[gtest]
-fn a_request_is_given_up_when_its_time_has_passed() {
+fn a_request_is_refused_when_its_deadline_passes() {
     let server = Server::start(|_, stream| drop(stream.read(&mut [0])));
     let fixture = SiteFixture::start(Some(&server));
-    let began = Instant::now();
-    let answer = ask(
+    let started = Instant::now();
+    let answer = fetch(
         &fixture,
         "POST /once/ HTTP/1.1\r\nhost: one\r\nx-wait: 300\r\n\r\n",
     );
     expect_that!(answer.as_str(), starts_with("HTTP/1.1 504 "));
-    expect_that!(began.elapsed(), ge(Duration::from_millis(300)));
+    expect_that!(started.elapsed(), ge(Duration::from_millis(300)));
 }
 
 #[gtest]
@@ -192,14 +192,15 @@
     });
     let fixture = SiteFixture::start(Some(&server));
     expect_that!(fixture.ready(), eq(200));
-    let mut running = get(&fixture, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
+    let mut running = send(&fixture, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
     server.wait_request();
     let ready = fixture.ready_address();
     let drained = fixture.drain();
     while support::status(ready) != 503 {
         thread::yield_now();
     }
-    // The first one was taken before the signal; the second one comes while the entry lingers.
+    // The first request was accepted before the drain; the second one arrives while the entry is
+    // draining and still accepts requests.
     let mut second = TcpStream::connect(drained.address).expect("a connection");
     second.set_read_timeout(Some(GUARD)).expect("a guard");
     let head = "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n";
@@ -213,7 +214,8 @@
     drained.thread.join().expect("the drain ends");
 }
 
-/// The kept connection asks again and again, as callers do who do not heed the close.
+/// Requests are sent on new connections until one is refused, as by callers that still come to a
+/// draining entry.
 #[gtest]
 fn a_leaving_entry_sends_latecomers_elsewhere() {
     let server = Server::start(|_, stream| support::answer(stream, "ok"));
@@ -240,7 +242,7 @@
 }
 
 #[gtest]
-fn a_port_that_is_taken_is_an_error_at_the_start() {
+fn starting_on_a_port_in_use_fails() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address");
     expect_that!(
