--- a/azureway-dev/benches/decisions.rs
+++ b/azureway-dev/benches/decisions.rs
@@ -152,7 +152,7 @@
     let text = serde_json::to_string(&news()).expect("news");
     bencher.bench_local(|| {
         let read: EngineNews = serde_json::from_str(black_box(&text)).expect("news");
-        read.ops().map(|ops| ops.len())
+        read.cache_ops().map(|ops| ops.len())
     });
 }
 
--- a/azureway-dev/src/slopes/event_probe.rs
+++ b/azureway-dev/src/slopes/event_probe.rs
@@ -32,7 +32,7 @@
         let text = serde_json::to_string(&news).unwrap_or_default();
         let time = time_of(MESSAGES, |_| {
             let read: Option<EngineNews> = serde_json::from_str(&text).ok();
-            drop(std::hint::black_box(read.map(|n| n.ops())));
+            drop(std::hint::black_box(read.map(|n| n.cache_ops())));
         });
         Sample {
             size,
--- a/azureway-dev/tests/engine.rs
+++ b/azureway-dev/tests/engine.rs
@@ -120,7 +120,7 @@
     ask(&server, &[]);
     let first = news(&server, "after=0&wait_ms=0");
     expect_that!(
-        (first.first, first.events.len(), first.next()),
+        (first.first, first.events.len(), first.next_event()),
         eq((0, 1, 1))
     );
     ask(&server, &[(header::SALT, "8")]);
--- a/azureway-entry/src/feed/http_feed.rs
+++ b/azureway-entry/src/feed/http_feed.rs
@@ -35,16 +35,16 @@
         let answer = answer.map_err(|e| error(ErrorKind::Unavailable, e.to_string()))?;
         let news: EngineNews = serde_json::from_slice(answer.as_bytes())
             .map_err(|e| error(ErrorKind::Protocol, e.to_string()))?;
-        let ops = news.ops();
+        let ops = news.cache_ops();
         Ok(FeedBatch {
             incarnation: Some(Incarnation::new(news.incarnation)),
             epoch: news.incarnation,
-            next: news.next(),
+            next: news.next_event(),
             first: Some(news.first),
             lost: false,
             snapshot: news.whole,
             ops: ops.map_err(|e| error(ErrorKind::Protocol, e.to_string()))?,
-            load: Some(news.load(server.clone())),
+            load: Some(news.load_report(server.clone())),
         })
     }
 }
--- a/azureway-wire/src/engine/engine_news.rs
+++ b/azureway-wire/src/engine/engine_news.rs
@@ -35,7 +35,7 @@
 
 impl EngineNews {
     /// Returns the number of the event that follows.
-    pub fn next(&self) -> u64 {
+    pub fn next_event(&self) -> u64 {
         let len = if self.whole {
             0
         } else {
@@ -45,7 +45,7 @@
     }
 
     /// Returns what the news say of the load of `server`.
-    pub fn load(&self, server: ServerId) -> LoadReport {
+    pub fn load_report(&self, server: ServerId) -> LoadReport {
         LoadReport {
             server,
             incarnation: Incarnation::new(self.incarnation),
@@ -62,7 +62,7 @@
     /// # Errors
     ///
     /// Returns an error if a key is no hexadecimal number of 128 bits.
-    pub fn ops(&self) -> Result<Vec<CacheOp>, std::num::ParseIntError> {
+    pub fn cache_ops(&self) -> Result<Vec<CacheOp>, std::num::ParseIntError> {
         self.events.iter().map(CacheOp::try_from).collect()
     }
 }
