--- a/azureway-cli/tests/entries.rs
+++ b/azureway-cli/tests/entries.rs
@@ -135,7 +135,7 @@
     let system = system();
     let (name, zone) = (InstanceId::new("keyed"), ZoneId::new("kranj-a"));
     let settings = EntrySettings::new(name, zone, system.platform_address());
-    let slot = EntrySlot::start(&settings.with_operator(KeyHash::of("sesame")));
+    let slot = EntrySlot::start(&settings.with_operator_key(KeyHash::of("sesame")));
     let slot = slot.expect("the entry starts");
     let admin = slot.admin_address().expect("an address");
     for (key, exit) in [
--- a/azureway-config/src/settings/bounds.rs
+++ b/azureway-config/src/settings/bounds.rs
@@ -8,23 +8,23 @@
     /// The caller connections at once.
     pub connections: usize,
     /// The bytes of a request's head.
-    pub head: usize,
+    pub head_bytes: usize,
     /// The bytes of a request's body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// The time in which a request must have arrived whole.
-    pub arrival: Duration,
+    pub request_timeout: Duration,
     /// The time between two events of a stream after which it counts as silent.
-    pub gap: Duration,
+    pub event_timeout: Duration,
     /// The time in which a connection to a backend server must be made.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// The idle connections that are kept to a backend server.
-    pub idle: usize,
+    pub idle_connections: usize,
     /// The requests that wait for a pool.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// The messages in each ring between duties.
-    pub ring: usize,
+    pub ring_capacity: usize,
     /// The loads of weights that begin in a second, over all pools: the weight store's rate.
-    pub loads: u32,
+    pub load_rate: u32,
 }
 
 impl Bounds {
@@ -32,15 +32,15 @@
     pub const fn new() -> Self {
         Self {
             connections: 1_000,
-            head: 16 * 1024,
-            body: 4 * 1024 * 1024,
-            arrival: Duration::from_secs(10),
-            gap: Duration::from_secs(5),
-            connect: Duration::from_secs(1),
-            idle: 8,
-            queue: 2_000,
-            ring: 1_024,
-            loads: 4,
+            head_bytes: 16 * 1024,
+            body_bytes: 4 * 1024 * 1024,
+            request_timeout: Duration::from_secs(10),
+            event_timeout: Duration::from_secs(5),
+            connect_timeout: Duration::from_secs(1),
+            idle_connections: 8,
+            queue_limit: 2_000,
+            ring_capacity: 1_024,
+            load_rate: 4,
         }
     }
 }
--- a/azureway-config/src/settings/entry_settings.rs
+++ b/azureway-config/src/settings/entry_settings.rs
@@ -20,7 +20,7 @@
     /// The address that operators reach.
     pub admin: SocketAddr,
     /// The digest of the operators' key, where the entry asks for one.
-    pub operator: Option<KeyHash>,
+    pub operator_key: Option<KeyHash>,
     /// The address of the platform's object API.
     pub platform: SocketAddr,
     /// The other entry instances.
@@ -42,7 +42,7 @@
             listen: any,
             peer: any,
             admin: any,
-            operator: None,
+            operator_key: None,
             platform,
             peers: Vec::new(),
             bounds,
@@ -66,8 +66,8 @@
 
     /// Sets the digest of the operators' key.
     #[must_use]
-    pub fn with_operator(mut self, operator: KeyHash) -> Self {
-        self.operator = Some(operator);
+    pub fn with_operator_key(mut self, operator_key: KeyHash) -> Self {
+        self.operator_key = Some(operator_key);
         self
     }
 
--- a/azureway-config/src/settings/parse.rs
+++ b/azureway-config/src/settings/parse.rs
@@ -78,8 +78,8 @@
     let peer = reader.required_value("peer", ADDRESS, address);
     let platform = reader.required_value("platform", ADDRESS, address);
     let admin = reader.value("admin", DEFAULT_ADMIN, ADDRESS, address);
-    let operator = reader.secret("operator", None, DIGEST, |t| KeyHash::parse(t).map(Some));
-    if operator.is_none() && !admin.ip().is_loopback() {
+    let operator_key = reader.secret("operator", None, DIGEST, |t| KeyHash::parse(t).map(Some));
+    if operator_key.is_none() && !admin.ip().is_loopback() {
         let detail = "an address beyond loopback needs the `operator` key".to_owned();
         reader.reject(Some("admin"), detail);
     }
@@ -87,7 +87,7 @@
     let mut settings = EntrySettings::new(instance, zone, platform?).with_listen(listen?);
     settings.peer = peer?;
     settings.admin = admin;
-    settings.operator = operator;
+    settings.operator_key = operator_key;
     Some(settings)
 }
 
@@ -108,33 +108,33 @@
 
 fn site(reader: &mut SectionReader<'_, '_>) -> Option<SiteSettings> {
     let ready = reader.required_value("ready", ADDRESS, address);
-    let share = reader.required_value("retries", "a share from 0 to 1", share);
+    let retry_percent = reader.required_value("retries", "a share from 0 to 1", share);
     // The platform may state each of these as a fraction.
-    let slack = reader.number("slack", 0.0, 0.0, 1_000_000.0, "retries");
+    let retry_slack = reader.number("slack", 0.0, 0.0, 1_000_000.0, "retries");
     let mut millis = |key, default: f64, low: f64| {
         let millis = reader.number(key, default, low, 3_600_000.0, "milliseconds");
         Duration::from_secs_f64(millis / 1_000.0)
     };
-    let (term, rollout) = (
+    let (lease_term, rollout_timeout) = (
         millis("term", 3_000.0, 1.0),
         millis("rollout", 8_000.0, 1.0),
     );
-    let settle = millis("settle", 0.0, 0.0);
+    let startup_grace = millis("settle", 0.0, 0.0);
     let mut seconds = |key, default: f64| {
         Duration::from_secs_f64(reader.number(key, default, 1.0, 3_600.0, "seconds"))
     };
-    let (window, grace) = (seconds("window", 10.0), seconds("grace", 8.0));
+    let (retry_window, shutdown_grace) = (seconds("window", 10.0), seconds("grace", 8.0));
     Some(SiteSettings {
         ready: ready?,
         zones: Vec::new(),
-        retries: share?,
+        retry_percent: retry_percent?,
         // Rounded down, and within its range.
-        slack: slack as u32,
-        window,
-        term,
-        rollout,
-        settle,
-        grace,
+        retry_slack: retry_slack as u32,
+        retry_window,
+        lease_term,
+        rollout_timeout,
+        startup_grace,
+        shutdown_grace,
     })
 }
 
@@ -150,29 +150,29 @@
 fn read_bounds(reader: &mut SectionReader<'_, '_>) -> Bounds {
     let base = Bounds::new();
     let connections = reader.number("connections", base.connections, 1, 100_000, "connections");
-    let head = reader.number("head", base.head, 1_024, 1_048_576, "bytes");
-    let body = reader.number("body", base.body, 1_024, 67_108_864, "bytes");
-    let idle = reader.number("idle", base.idle, 0, 10_000, "connections");
-    let queue = reader.number("queue", base.queue, 1, 1_000_000, "requests");
-    let loads = reader.number("loads", base.loads, 1, 1_000, "loads a second");
-    let ring = reader.number("ring", base.ring, 1, 1_000_000, "messages");
+    let head_bytes = reader.number("head", base.head_bytes, 1_024, 1_048_576, "bytes");
+    let body_bytes = reader.number("body", base.body_bytes, 1_024, 67_108_864, "bytes");
+    let idle_connections = reader.number("idle", base.idle_connections, 0, 10_000, "connections");
+    let queue_limit = reader.number("queue", base.queue_limit, 1, 1_000_000, "requests");
+    let load_rate = reader.number("loads", base.load_rate, 1, 1_000, "loads a second");
+    let ring_capacity = reader.number("ring", base.ring_capacity, 1, 1_000_000, "messages");
     let mut millis = |key, default: Duration| {
         let default = u64::try_from(default.as_millis()).unwrap_or(u64::MAX);
         Duration::from_millis(reader.number(key, default, 1, 3_600_000, "milliseconds"))
     };
-    let arrival = millis("arrival", base.arrival);
-    let gap = millis("gap", base.gap);
-    let connect = millis("connect", base.connect);
+    let request_timeout = millis("arrival", base.request_timeout);
+    let event_timeout = millis("gap", base.event_timeout);
+    let connect_timeout = millis("connect", base.connect_timeout);
     Bounds {
         connections,
-        head,
-        body,
-        arrival,
-        gap,
-        connect,
-        idle,
-        queue,
-        ring,
-        loads,
+        head_bytes,
+        body_bytes,
+        request_timeout,
+        event_timeout,
+        connect_timeout,
+        idle_connections,
+        queue_limit,
+        ring_capacity,
+        load_rate,
     }
 }
--- a/azureway-config/src/settings/site_settings.rs
+++ b/azureway-config/src/settings/site_settings.rs
@@ -13,17 +13,17 @@
     /// The availability zones with their regions.
     pub zones: Vec<AvailabilityZone>,
     /// The retries that are allowed, in percent of a service's requests.
-    pub retries: u32,
+    pub retry_percent: u32,
     /// The retries beyond these that all entries together may make within the window.
-    pub slack: u32,
+    pub retry_slack: u32,
     /// The window of the slack.
-    pub window: Duration,
+    pub retry_window: Duration,
     /// How long whoever gives orders must have been silent before another one gives any.
-    pub term: Duration,
+    pub lease_term: Duration,
     /// The time in which newly named weights must answer everything.
-    pub rollout: Duration,
+    pub rollout_timeout: Duration,
     /// How long after its start a process is not held to the bounds of the platform.
-    pub settle: Duration,
+    pub startup_grace: Duration,
     /// The time between the signal to stop and the end of the process.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
 }
--- a/azureway-config/tests/settings.rs
+++ b/azureway-config/tests/settings.rs
@@ -95,19 +95,19 @@
     let parse = |extra: &str| settings::parse(&format!("{}\n{extra}\n", GOOD.join("\n")));
     let read = parse(&format!("{good}\n[zone a]\nregion = r")).expect("good settings");
     let site = read.site.expect("a site");
-    expect_that!((site.retries, site.slack), eq((20, 52)));
+    expect_that!((site.retry_percent, site.retry_slack), eq((20, 52)));
     expect_that!(site.zones.len(), eq(1));
-    expect_that!(site.grace.as_secs(), eq(8));
+    expect_that!(site.shutdown_grace.as_secs(), eq(8));
     // A platform may state any of its figures as a fraction; counts are rounded down.
     let fractions = good.replace("slack = 52", "slack = 38.0392\nterm = 2500.5\nsettle = 0.5");
     let fractions = fractions.replace("grace = 8", "grace = 7.5\nwindow = 9.25");
     let read = parse(&fractions).expect("good settings");
     let site = read.site.expect("a site");
-    expect_that!(site.slack, eq(38));
-    expect_that!(site.term.as_micros(), eq(2_500_500));
-    expect_that!(site.settle.as_micros(), eq(500));
-    expect_that!(site.grace.as_millis(), eq(7_500));
-    expect_that!(site.window.as_millis(), eq(9_250));
+    expect_that!(site.retry_slack, eq(38));
+    expect_that!(site.lease_term.as_micros(), eq(2_500_500));
+    expect_that!(site.startup_grace.as_micros(), eq(500));
+    expect_that!(site.shutdown_grace.as_millis(), eq(7_500));
+    expect_that!(site.retry_window.as_millis(), eq(9_250));
     let rows = [
         (
             "retries = 0.2",
--- a/azureway-dev/tests/bad_input.rs
+++ b/azureway-dev/tests/bad_input.rs
@@ -19,8 +19,8 @@
 /// Bounds that are soon reached.
 fn bounds() -> Bounds {
     Bounds {
-        arrival: Duration::from_millis(300),
-        body: 1_024,
+        request_timeout: Duration::from_millis(300),
+        body_bytes: 1_024,
         ..Bounds::new()
     }
 }
--- a/azureway-dev/tests/streams.rs
+++ b/azureway-dev/tests/streams.rs
@@ -18,7 +18,7 @@
 /// Bounds that find a silent connection soon.
 fn bounds() -> Bounds {
     Bounds {
-        gap: Duration::from_millis(400),
+        event_timeout: Duration::from_millis(400),
         ..Bounds::new()
     }
 }
--- a/azureway-entry/src/caller/connection.rs
+++ b/azureway-entry/src/caller/connection.rs
@@ -43,7 +43,7 @@
     pub fn run(self) {
         let _ = self.stream.set_nodelay(true);
         let _ = self.stream.set_write_timeout(Some(WRITE_TIMEOUT));
-        let deadline = Instant::now() + self.bounds.arrival;
+        let deadline = Instant::now() + self.bounds.request_timeout;
         match self.receive(deadline) {
             Ok((head, body)) => self.answer(head, body),
             Err(BadInput::Closed) => {}
@@ -53,7 +53,7 @@
 
     fn receive(&self, deadline: Instant) -> Result<(Head, Vec<u8>), BadInput> {
         let mut stream = TimedStream::new(&self.stream, deadline);
-        let (head, early) = HeadReader::new(self.bounds.head).read(&mut stream)?;
+        let (head, early) = HeadReader::new(self.bounds.head_bytes).read(&mut stream)?;
         let body = BodyReader::new(&head)?;
         if head
             .get("expect")
@@ -61,7 +61,7 @@
         {
             let _ = (&self.stream).write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        let body = body.read(&early, &mut stream, self.bounds.body)?;
+        let body = body.read(&early, &mut stream, self.bounds.body_bytes)?;
         Ok((head, body))
     }
 
--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -78,7 +78,7 @@
         shutdown: Sender<()>,
     ) -> Result<Self, Error> {
         let process_id = process_id(settings);
-        let rings = Rings::new(settings.bounds.ring);
+        let rings = Rings::new(settings.bounds.ring_capacity);
         let stop = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
         let ids = RequestIds::new(process_id);
@@ -186,7 +186,7 @@
         ids: ids.clone(),
         instance: settings.instance.clone(),
         zone: settings.zone.clone(),
-        operator_key: settings.operator,
+        operator_key: settings.operator_key,
         admit: rings.admit.clone(),
         decide: rings.decide.clone(),
         shutdown,
@@ -203,7 +203,8 @@
     settings: &EntrySettings,
     rings: &Rings,
 ) -> Decider<PrefixLoad, RelayLauncher, FeedReaders<HttpFeed>> {
-    let config = RouterConfig::new(settings.zone.clone()).with_queue_limit(settings.bounds.queue);
+    let config =
+        RouterConfig::new(settings.zone.clone()).with_queue_limit(settings.bounds.queue_limit);
     let router = Router::new(config, PrefixLoad::new());
     let launcher = RelayLauncher::new(
         rings.decide.clone(),
@@ -222,7 +223,7 @@
     process_id: u64,
 ) -> Orderer<HttpObjects, HttpOrders> {
     let lease = Lease::new(LeaseConfig::new(), settings.instance.clone(), process_id);
-    let config = OrderConfig::new().with_store_rate(settings.bounds.loads);
+    let config = OrderConfig::new().with_store_rate(settings.bounds.load_rate);
     let (link, messages) = (HttpOrders::new(), rings.order_messages.clone());
     let orderer = Orderer::new(api.clone(), link, messages, rings.clock, lease, config);
     orderer.with_sweeps(api, process_id)
--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -91,7 +91,7 @@
         let error = |e| Error::new(ErrorKind::System, STEP, e).with_peer(settings.peer);
         let peers = peers.map_err(error)?;
         let process_id = process_id(settings);
-        let rings = Rings::new(settings.bounds.ring);
+        let rings = Rings::new(settings.bounds.ring_capacity);
         let ids = RequestIds::new(process_id);
         let (serving, ready) = (ServingState::new(), Arc::clone(&rings.ready));
         let watcher = DisconnectWatcher::new(rings.decide.clone())?;
@@ -142,7 +142,7 @@
             serving,
             decide: rings.decide,
             peer: rings.peer,
-            grace: site_settings.grace,
+            grace: site_settings.shutdown_grace,
         })
     }
 
@@ -189,12 +189,12 @@
     news: N,
 ) -> Decider<PrefixLoad, ExchangeLauncher<S>, FeedReaders<N>> {
     let slack = RetrySlack {
-        count: site_settings.slack,
-        window: site_settings.window,
+        count: site_settings.retry_slack,
+        window: site_settings.retry_window,
     };
     let config = RouterConfig::new(settings.zone.clone())
-        .with_queue_limit(settings.bounds.queue)
-        .with_retry_budget(site_settings.retries, slack)
+        .with_queue_limit(settings.bounds.queue_limit)
+        .with_retry_budget(site_settings.retry_percent, slack)
         .with_remote_delay(REMOTE_DELAY)
         .with_traffic_rate(TRAFFIC_RATE)
         .with_shared_servers();
@@ -215,11 +215,11 @@
     process_id: u64,
 ) -> Result<(), Error> {
     let (update_tx, update_rx): (Sender<SiteUpdate>, _) = flume::bounded(SITE_RING);
-    let rollout_grace = site_settings.rollout.saturating_sub(ROLLOUT_MARGIN);
+    let rollout_grace = site_settings.rollout_timeout.saturating_sub(ROLLOUT_MARGIN);
     let state = SiteState::new(site_settings.zones.clone(), rollout_grace);
     let named_since = state.named_since(
         rings.clock.now(),
-        site_settings.settle.saturating_sub(ROLLOUT_MARGIN),
+        site_settings.startup_grace.saturating_sub(ROLLOUT_MARGIN),
     );
     for kind in SiteKind::ALL {
         let schedule =
@@ -275,14 +275,14 @@
     link: L,
     process_id: u64,
 ) -> Result<(), Error> {
-    let margin = site_settings.term / MARGIN_DIVISOR;
+    let margin = site_settings.lease_term / MARGIN_DIVISOR;
     let config = LeaseConfig::new()
-        .with_term(site_settings.term, margin)
-        .with_cooldown(site_settings.term)
+        .with_term(site_settings.lease_term, margin)
+        .with_cooldown(site_settings.lease_term)
         .with_single_process();
     let lease = Lease::new(config, settings.instance.clone(), process_id);
     let config = OrderConfig::new()
-        .with_store_rate(settings.bounds.loads)
+        .with_store_rate(settings.bounds.load_rate)
         .with_slot_timeout(SLOT_TIMEOUT)
         .with_mode(LoadMode::Swap);
     let messages = rings.order_messages.clone();
--- a/azureway-entry/src/exchange/launcher.rs
+++ b/azureway-entry/src/exchange/launcher.rs
@@ -41,7 +41,7 @@
     pub fn new(dialect: D, decide: Sender<DecideMessage>, bounds: Bounds, clock: Clock) -> Self {
         Self {
             dialect,
-            pool: ConnectionPool::new(bounds.idle),
+            pool: ConnectionPool::new(bounds.idle_connections),
             decide,
             bounds,
             clock,
@@ -80,7 +80,7 @@
             dialect: self.dialect.clone(),
             pool: self.pool.clone(),
             handle,
-            connect_timeout: self.bounds.connect,
+            connect_timeout: self.bounds.connect_timeout,
             clock: self.clock,
             output: TokenCount::ZERO,
         };
--- a/azureway-entry/src/relay/relay_attempt.rs
+++ b/azureway-entry/src/relay/relay_attempt.rs
@@ -115,8 +115,8 @@
         let dispatch = &self.dispatch;
         let request = RequestBuilder::try_new(method, url).map_err(|_| faulty)?;
         let mut request = request
-            .connect_timeout(self.bounds.connect)
-            .read_timeout(self.bounds.gap)
+            .connect_timeout(self.bounds.connect_timeout)
+            .read_timeout(self.bounds.event_timeout)
             .follow_redirects(false)
             .proxy_settings(attohttpc::ProxySettings::builder().build())
             .try_header("content-type", self.upstream.content_type.as_ref())
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -269,13 +269,13 @@
         let served = SiteSettings {
             ready: "127.0.0.1:0".parse().expect("an address"),
             zones: Vec::new(),
-            retries: 20,
-            slack: 50,
-            window: Duration::from_secs(10),
-            term: Duration::from_secs(3),
-            settle: Duration::ZERO,
-            rollout: Duration::from_secs(8),
-            grace: Duration::from_secs(8),
+            retry_percent: 20,
+            retry_slack: 50,
+            retry_window: Duration::from_secs(10),
+            lease_term: Duration::from_secs(3),
+            startup_grace: Duration::ZERO,
+            rollout_timeout: Duration::from_secs(8),
+            shutdown_grace: Duration::from_secs(8),
         };
         let gateway = Gateway::start(
             &settings, &served, TestSite, PlainCodec, HttpOrders, HttpFeed,
