--- a/azureway-entry/tests/gateway.rs
+++ b/azureway-entry/tests/gateway.rs
@@ -185,9 +185,9 @@
 
 #[gtest]
 fn a_leaving_entry_finishes_what_it_has_and_says_that_it_leaves() {
-    let (go, gone) = flume::bounded::<()>(0);
+    let (release, released) = flume::bounded::<()>(0);
     let server = Server::start(move |_, stream| {
-        let _ = gone.recv();
+        let _ = released.recv();
         support::answer(stream, "late");
     });
     let fixture = SiteFixture::start(Some(&server));
@@ -206,7 +206,7 @@
     let head = "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n";
     second.write_all(head.as_bytes()).expect("sent");
     server.wait_request();
-    drop(go);
+    drop(release);
     expect_that!(read_answer(&mut running), ends_with("late"));
     let answer = read_answer(&mut second);
     expect_that!(answer.as_str(), ends_with("late"));
