--- a/azureway-entry/src/admin/admin_duty.rs
+++ b/azureway-entry/src/admin/admin_duty.rs
@@ -1,4 +1,4 @@
-//! The duty itself.
+//! The duty that serves the operators' interface.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -14,19 +14,19 @@
 use super::{AdminError, AdminHandles, Explainer};
 use crate::decide::{DecideMessage, Query};
 
-/// The operators' duty: answers one request after the other.
+/// The duty that serves the operators' interface, one request after the other.
 pub struct AdminDuty {
     server: Arc<Server>,
     handles: AdminHandles,
 }
 
-/// How long the other duties may take to answer.
-const LIMIT: Duration = Duration::from_secs(2);
-/// The bytes of a request's body at most.
+/// The timeout of the other duties' replies.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
+/// The maximum size of a request body, in bytes.
 const BODY_MAX: u64 = 4 * 1024 * 1024;
 
 impl AdminDuty {
-    /// Creates the duty and binds its address.
+    /// Creates the duty and binds `address`.
     ///
     /// # Errors
     ///
@@ -40,7 +40,7 @@
         Ok(Self { server, handles })
     }
 
-    /// Returns the server, through which the duty is stopped.
+    /// Returns the HTTP server. Unblocking it stops the duty.
     pub fn server(&self) -> Arc<Server> {
         Arc::clone(&self.server)
     }
@@ -51,7 +51,7 @@
             match self.answer(&mut request) {
                 Ok(body) => reply(request, 200, &body),
                 Err(e) => {
-                    log::warn!(step = "admin", status = e.status(), error:% = e; "refused an operator");
+                    log::warn!(step = "admin", status = e.status(), error:% = e; "refused an operator's request");
                     reply(
                         request,
                         e.status(),
@@ -69,7 +69,7 @@
         let url = request.url().to_owned();
         let (path, query) = url.split_once('?').unwrap_or((&url, ""));
         match (request.method(), path) {
-            (Method::Get, STATUS_PATH) => value(&self.status()?),
+            (Method::Get, STATUS_PATH) => to_json(&self.status()?),
             (Method::Post, EXPLAIN_PATH) => self.explain(request, query),
             (Method::Post, DRAIN_PATH) => self.drain(),
             _ => Err(AdminError::NotFound),
@@ -77,24 +77,24 @@
     }
 
     fn drain(&self) -> Result<serde_json::Value, AdminError> {
-        // A second request finds the ring full, and the daemon drains already.
+        // A full ring means that an earlier request already started the drain.
         if let Err(TrySendError::Disconnected(())) = self.handles.shutdown.try_send(()) {
             return Err(AdminError::Embedded);
         }
-        log::info!(step = "admin"; "an operator drains this instance");
+        log::info!(step = "admin"; "an operator started the drain of this instance");
         Ok(serde_json::json!({ "draining": true }))
     }
 
     fn is_allowed(&self, request: &Request) -> bool {
-        let Some(operator) = &self.handles.operator_key else {
+        let Some(hash) = &self.handles.operator_key else {
             return true;
         };
         let headers = request.headers().iter();
-        let mut named = headers.filter(|h| h.field.equiv("authorization"));
-        let key = named
+        let mut values = headers.filter(|h| h.field.equiv("authorization"));
+        let key = values
             .next()
             .and_then(|h| h.value.as_str().strip_prefix("Bearer "));
-        key.is_some_and(|k| operator.matches(&KeyHash::of(k.trim())))
+        key.is_some_and(|k| hash.matches(&KeyHash::of(k.trim())))
     }
 
     fn status(&self) -> Result<StatusBody, AdminError> {
@@ -102,19 +102,21 @@
         let sent = self
             .handles
             .decide
-            .send_timeout(DecideMessage::Query(Query::Status(reply)), LIMIT);
-        sent.map_err(|_| AdminError::Busy)?;
-        let standing = answer.recv_timeout(LIMIT).map_err(|_| AdminError::Busy)?;
+            .send_timeout(DecideMessage::Query(Query::Status(reply)), REPLY_TIMEOUT);
+        sent.map_err(|_| AdminError::Timeout)?;
+        let status = answer
+            .recv_timeout(REPLY_TIMEOUT)
+            .map_err(|_| AdminError::Timeout)?;
         Ok(StatusBody {
             instance: self.handles.instance.as_str().into(),
             zone: self.handles.zone.as_str().into(),
-            rejected: standing.rejected.map(|v| v.get()),
-            servers: standing
+            rejected: status.rejected.map(|v| v.get()),
+            servers: status
                 .servers
                 .iter()
-                .map(|s| ServerBody::new(s, standing.at))
+                .map(|s| ServerBody::new(s, status.at))
                 .collect(),
-            ..standing.overview.into()
+            ..status.overview.into()
         })
     }
 
@@ -130,18 +132,20 @@
         let mut body = Vec::new();
         let read = request.as_reader().take(BODY_MAX).read_to_end(&mut body);
         read.map_err(|_| invalid("the body did not arrive"))?;
-        value(&Explainer::new(&self.handles, LIMIT).explain(account, rank, body)?)
+        to_json(&Explainer::new(&self.handles, REPLY_TIMEOUT).explain(account, rank, body)?)
     }
 }
 
-fn value(body: &impl Serialize) -> Result<serde_json::Value, AdminError> {
+fn to_json(body: &impl Serialize) -> Result<serde_json::Value, AdminError> {
     serde_json::to_value(body).map_err(|e| AdminError::Invalid(e.to_string().into()))
 }
 
 fn reply(request: Request, status: u16, body: &serde_json::Value) {
-    let media = Header::from_bytes("content-type", "application/json");
+    let content_type = Header::from_bytes("content-type", "application/json");
     let response = Response::from_string(body.to_string()).with_status_code(status);
-    let response = media.into_iter().fold(response, Response::with_header);
-    // An operator who is gone needs no answer.
+    let response = content_type
+        .into_iter()
+        .fold(response, Response::with_header);
+    // The operator may have disconnected; no one else needs the answer.
     let _ = request.respond(response);
 }
--- a/azureway-entry/src/admin/admin_handles.rs
+++ b/azureway-entry/src/admin/admin_handles.rs
@@ -1,4 +1,4 @@
-//! What the operators' interface reaches of the daemon.
+//! The handles of the operators' interface to the daemon.
 
 use azureway_core::prelude::{InstanceId, KeyHash, ZoneId};
 use flume::Sender;
@@ -7,23 +7,23 @@
 use crate::clock::Clock;
 use crate::decide::DecideMessage;
 
-/// What the operators' interface reaches of the daemon, and what it tells of it.
+/// The handles of the operators' interface to the daemon, and the daemon's identity.
 #[derive(Clone, Debug)]
 pub struct AdminHandles {
-    /// The name of the instance.
+    /// The id of the instance.
     pub instance: InstanceId,
-    /// The availability zone.
+    /// The availability zone of the instance.
     pub zone: ZoneId,
-    /// The digest of the operators' key, if one is asked for.
+    /// The digest of the operators' key, if one is required.
     pub operator_key: Option<KeyHash>,
-    /// The admitting duty.
+    /// The sender to the admitting duty.
     pub admit: Sender<AdmitMessage>,
-    /// The deciding duty.
+    /// The sender to the deciding duty.
     pub decide: Sender<DecideMessage>,
-    /// Told when the daemon is to shut down.
+    /// Signalled when an operator wants the daemon to shut down.
     pub shutdown: Sender<()>,
-    /// The identities of requests.
+    /// The generator of request ids.
     pub ids: RequestIds,
-    /// The clock.
+    /// The clock of the daemon.
     pub clock: Clock,
 }
--- a/azureway-entry/src/admin/explainer.rs
+++ b/azureway-entry/src/admin/explainer.rs
@@ -1,4 +1,4 @@
-//! Explanations.
+//! Explanations of routing decisions.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 use crate::admit::{AdmitMessage, Call, ExplainCall};
 use crate::caller::Head;
 
-/// Asks the duties where a request would go, and why.
+/// Queries the duties for the server to which a request would be routed, and why.
 #[derive(Debug)]
 pub struct Explainer<'a> {
     handles: &'a AdminHandles,
-    limit: Duration,
+    timeout: Duration,
 }
 
 impl<'a> Explainer<'a> {
-    /// Creates an explainer that waits up to `limit` for the duties.
-    pub const fn new(handles: &'a AdminHandles, limit: Duration) -> Self {
-        Self { handles, limit }
+    /// Creates an explainer that waits up to `timeout` for each reply of a duty.
+    pub const fn new(handles: &'a AdminHandles, timeout: Duration) -> Self {
+        Self { handles, timeout }
     }
 
-    /// Explains the chat request `body` of an account at a rank.
+    /// Explains the routing of the chat request `body` of an account at a rank.
     ///
     /// # Errors
     ///
-    /// Returns an error if the request is not understood or the duties do not answer.
+    /// Returns an error if the request is malformed or the duties do not reply in time.
     pub fn explain(
         &self,
         account: &str,
@@ -41,10 +41,10 @@
             reply,
         };
         let message = AdmitMessage::Explain(Box::new(call));
-        let sent = self.handles.admit.send_timeout(message, self.limit);
-        sent.map_err(|_| AdminError::Busy)?;
-        let answer = answer.recv_timeout(self.limit);
-        let answer = answer.map_err(|_| AdminError::Busy)?;
+        let sent = self.handles.admit.send_timeout(message, self.timeout);
+        sent.map_err(|_| AdminError::Timeout)?;
+        let answer = answer.recv_timeout(self.timeout);
+        let answer = answer.map_err(|_| AdminError::Timeout)?;
         let (request, options) = answer.map_err(|r| AdminError::Invalid(r.detail))?;
         Ok(ExplainBody {
             service: request.service.as_str().into(),
@@ -55,7 +55,7 @@
         })
     }
 
-    /// Returns the call as a caller would make it.
+    /// Returns the call that a caller would make with this body.
     fn call(&self, rank: Rank, body: Vec<u8>) -> Result<Call, AdminError> {
         let head = format!(
             "POST /v1/chat/completions HTTP/1.1\r\n{}: {rank}\r\n\r\n",
@@ -63,7 +63,7 @@
         );
         let head = Head::parse(head.as_bytes()).ok().flatten();
         let (head, _) = head.ok_or_else(|| AdminError::Invalid("no head".into()))?;
-        // Nothing is run, so nothing ever comes of it.
+        // The call is only explained, so it never gets updates.
         let (updates, _) = flume::bounded(1);
         Ok(Call {
             id: self.handles.ids.next(),
--- a/azureway-entry/src/admin/mod.rs
+++ b/azureway-entry/src/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' interface: state, explanations and shutdown, on an address of its own.
+//! The operators' interface: status, explanations and drain, on a separate address.
 //!
-//! Callers cannot reach it, so that neither their load nor their mistakes meet operators'
-//! requests. Beyond loopback each request must bear the operators' key.
+//! Callers cannot reach this address, so neither their load nor their errors affect operators.
+//! On an address other than loopback each request must carry the operators' key.
 
 mod admin_duty;
 mod admin_error;
