--- a/azureway-entry/src/clock.rs
+++ b/azureway-entry/src/clock.rs
@@ -5,42 +5,42 @@
 use azureway_core::prelude::Timestamp;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The clock of the daemon: the one place where time enters the decisions.
+/// The clock of the daemon, and the only source of time for decisions.
 ///
-/// It counts the time for which the machine was suspended, unlike the clock of [`Instant`]: a
-/// lease, a bound on a rollout or a suspicion must not outlive a suspension.
+/// Unlike [`Instant`] it includes the time for which the machine was suspended: a lease, a rollout
+/// limit or a suspicion must not outlive a suspension.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Duration,
 }
 
-/// How long before its start the origin of a clock lies: longer than any bound that is counted
-/// from a time that nobody knows.
-const PAST: Duration = Duration::from_secs(3_600);
+/// The time on a new clock. It is longer than any timeout, so that a timeout counted from an
+/// unknown time, [`Timestamp::ZERO`], has expired.
+const START_TIME: Duration = Duration::from_secs(3_600);
 
 impl Clock {
-    /// Creates a clock whose origin lies in the past, so that [`Timestamp::ZERO`] is long ago.
+    /// Creates a clock that starts at one hour, so that [`Timestamp::ZERO`] is long past.
     pub fn new() -> Self {
         Self {
             origin: since_boot(),
         }
     }
 
-    /// Returns the time.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
-        let micros = (since_boot().saturating_sub(self.origin) + PAST).as_micros();
+        let micros = (since_boot().saturating_sub(self.origin) + START_TIME).as_micros();
         Timestamp::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
-    /// Returns the time of day, in seconds of the Unix epoch. Only the age of claims uses it.
+    /// Returns the wall-clock time in seconds since the Unix epoch. Only the age of claims uses it.
     pub fn unix_seconds() -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         since.map_or(0, |t| t.as_secs())
     }
 
-    /// Returns the system's own form of a time, just after it.
+    /// Returns the [`Instant`] just after a time.
     pub fn instant(&self, time: Timestamp) -> Instant {
-        // A deadline is past only after its microsecond, so the wake-up lies one later.
+        // A deadline expires only after its microsecond, so the wake-up is one microsecond later.
         Instant::now() + time.since(self.now()) + Duration::from_micros(1)
     }
 }
@@ -51,10 +51,10 @@
     }
 }
 
-/// Returns the time since the machine was started, suspensions included.
+/// Returns the time since the machine booted, including suspensions.
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let (seconds, nanos) = (u64::try_from(time.tv_sec), u32::try_from(time.tv_nsec));
-    // The kernel gives neither a negative time nor more than a second of nanoseconds.
+    // The kernel returns neither a negative time nor more than a second of nanoseconds.
     Duration::new(seconds.unwrap_or_default(), nanos.unwrap_or_default())
 }
--- a/azureway-entry/src/lib.rs
+++ b/azureway-entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! The entry daemon of azureway: it stands between callers and backend servers.
+//! The entry daemon of azureway, which routes requests from callers to backend servers.
 //!
-//! Every duty has a thread of its own, and bounded rings join them. A request passes
-//! through `caller` (its connection), `admit` (who asks for what), `decide` (the core) and
-//! `relay` (the backend server), and its answer returns from the relay to the connection
-//! through a ring that belongs to the one try alone.
+//! Every duty has a thread of its own, and bounded rings connect them. A request passes through
+//! `caller` (its connection), `admit` (authentication and parsing), `decide` (routing by the
+//! core) and `relay` (the backend server). The answer returns from the relay to the connection
+//! through a ring that belongs to that attempt alone.
 
 pub mod admin;
 pub mod admit;
--- a/azureway-entry/src/logs/flusher.rs
+++ b/azureway-entry/src/logs/flusher.rs
@@ -1,30 +1,30 @@
-//! The end of the logs.
+//! The flush of the logs at the end of a process.
 
 use std::time::Duration;
 
 use flume::{Receiver, Sender};
 
-/// Lets a process that ends write its last lines.
+/// Flushes the logs at the end of a process.
 #[derive(Debug)]
 pub struct LogFlusher {
     lines: Sender<Vec<u8>>,
-    written: Receiver<()>,
+    flushed: Receiver<()>,
 }
 
-/// How long a process that ends waits for an output that takes nothing.
-const LIMIT: Duration = Duration::from_millis(200);
+/// The longest wait for an output that is blocked.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl LogFlusher {
-    /// Creates the end of a ring whose writer tells when it has come to an empty line.
-    pub const fn new(lines: Sender<Vec<u8>>, written: Receiver<()>) -> Self {
-        Self { lines, written }
+    /// Creates a flusher for the ring `lines`, whose writer signals `flushed` at an empty line.
+    pub const fn new(lines: Sender<Vec<u8>>, flushed: Receiver<()>) -> Self {
+        Self { lines, flushed }
     }
 
-    /// Waits until what was logged is written, for a bounded time.
+    /// Waits until all queued lines are written, for a bounded time.
     pub fn flush(self) {
-        if self.lines.send_timeout(Vec::new(), LIMIT).is_ok() {
-            // Without an answer in time the last lines are lost, and nobody can be told.
-            let _ = self.written.recv_timeout(LIMIT);
+        if self.lines.send_timeout(Vec::new(), FLUSH_TIMEOUT).is_ok() {
+            // After a timeout the last lines are lost, and there is nowhere to report it.
+            let _ = self.flushed.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
--- a/azureway-entry/src/logs/mod.rs
+++ b/azureway-entry/src/logs/mod.rs
@@ -1,8 +1,8 @@
-//! Logs that never hold up whoever writes them.
+//! Non-blocking, rate-limited logs.
 //!
-//! A [`LogRing`] takes lines from every duty without waiting and within a rate; a
-//! [`LogWriter`] writes them to standard output. What finds no room is counted, and the count is
-//! written as a line of its own.
+//! A [`LogRing`] accepts lines from every duty without blocking, up to a rate limit, and a
+//! [`LogWriter`] writes them to standard output. Dropped lines are counted, and the count is
+//! logged as a line of its own.
 
 mod flusher;
 mod ring;
@@ -12,18 +12,18 @@
 pub use ring::LogRing;
 pub use writer::LogWriter;
 
-/// Starts the logs of a process: lines of `level` and above, unless the environment says else.
-/// What is returned lets the process write its last lines.
+/// Starts the logs of a process at `level`, unless the environment sets another filter, and
+/// returns the flusher to call before the process ends.
 ///
 /// # Errors
 ///
-/// Returns an error if the system has no thread for the writer.
+/// Returns an error if the system cannot create the writer's thread.
 pub fn start(level: &str) -> Result<LogFlusher, azureway_core::prelude::Error> {
-    let (ring, writer, end) = LogRing::new();
+    let (ring, writer, flusher) = LogRing::new();
     crate::daemon::spawn("logs", move || writer.run(&mut std::io::stdout()))?;
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(level))
         .format_timestamp_millis()
         .target(env_logger::Target::Pipe(Box::new(ring)))
         .init();
-    Ok(end)
+    Ok(flusher)
 }
--- a/azureway-entry/src/logs/ring.rs
+++ b/azureway-entry/src/logs/ring.rs
@@ -1,4 +1,4 @@
-//! The side of the logs that duties write to.
+//! The sending side of the logs.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -9,53 +9,54 @@
 
 use super::{LogFlusher, LogWriter};
 
-/// The side of the logs that duties write to. A line that is too much is dropped and counted.
+/// The sending side of the logs. A line beyond the rate limit or the ring's capacity is dropped
+/// and counted.
 #[derive(Debug)]
 pub struct LogRing {
     lines: Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
-    left: u32,
-    since: Instant,
+    available: u32,
+    period_start: Instant,
 }
 
-/// The lines that wait to be written: about a second of them.
+/// The capacity of the ring in lines, about one second's worth.
 const RING_SIZE: usize = 1_024;
-/// The lines that are taken in a second: several for each request that a small instance serves
-/// in that time at its peak, and few enough to cost it little.
-const LINES_MAX: u32 = 1_000;
-/// The time after which lines are taken anew.
+/// The maximum number of lines per period. It allows several for each request that a small
+/// instance serves at its peak, and costs little.
+const LINES_PER_PERIOD: u32 = 1_000;
+/// The period of the rate limit.
 const PERIOD: Duration = Duration::from_secs(1);
 
 impl LogRing {
-    /// Creates the ring, the duty that empties it, and the end of both.
+    /// Creates the ring, the writer that empties it, and the flusher of both.
     pub fn new() -> (Self, LogWriter, LogFlusher) {
-        let (lines, written) = flume::bounded(RING_SIZE);
+        let (lines, receiver) = flume::bounded(RING_SIZE);
         let dropped = Arc::new(AtomicU64::new(0));
-        let (done, last) = flume::bounded(1);
-        let writer = LogWriter::new(written, Arc::clone(&dropped), done);
-        let end = LogFlusher::new(lines.clone(), last);
+        let (flushed, flush_signal) = flume::bounded(1);
+        let writer = LogWriter::new(receiver, Arc::clone(&dropped), flushed);
+        let flusher = LogFlusher::new(lines.clone(), flush_signal);
         let ring = Self {
             lines,
             dropped,
-            left: LINES_MAX,
-            since: Instant::now(),
+            available: LINES_PER_PERIOD,
+            period_start: Instant::now(),
         };
-        (ring, writer, end)
+        (ring, writer, flusher)
     }
 
-    /// Tells whether the rate allows one more line.
+    /// Returns whether the rate limit allows one more line, and counts it.
     fn allows(&mut self) -> bool {
-        if self.since.elapsed() >= PERIOD {
-            (self.left, self.since) = (LINES_MAX, Instant::now());
+        if self.period_start.elapsed() >= PERIOD {
+            (self.available, self.period_start) = (LINES_PER_PERIOD, Instant::now());
         }
-        let allowed = self.left > 0;
-        self.left = self.left.saturating_sub(1);
+        let allowed = self.available > 0;
+        self.available = self.available.saturating_sub(1);
         allowed
     }
 }
 
 impl Write for LogRing {
-    /// Takes a line. It never waits and never fails: whoever logs has other work.
+    /// Queues a line. It never blocks and never fails, so that logging cannot delay a duty.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if !self.allows() || self.lines.try_send(line.to_vec()).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
--- a/azureway-entry/src/logs/writer.rs
+++ b/azureway-entry/src/logs/writer.rs
@@ -1,4 +1,4 @@
-//! The duty that writes the logs.
+//! The writing side of the logs.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -6,26 +6,30 @@
 
 use flume::{Receiver, Sender};
 
-/// The duty that writes the logs, and how many lines found no room.
+/// The duty that writes the logs and the number of dropped lines.
 #[derive(Debug)]
 pub struct LogWriter {
     lines: Receiver<Vec<u8>>,
     dropped: Arc<AtomicU64>,
-    done: Sender<()>,
+    flushed: Sender<()>,
 }
 
 impl LogWriter {
-    /// Creates the duty that empties a ring and tells `done` when it has come to an empty line.
-    pub const fn new(lines: Receiver<Vec<u8>>, dropped: Arc<AtomicU64>, done: Sender<()>) -> Self {
+    /// Creates the duty that writes `lines` and signals `flushed` after each empty line.
+    pub const fn new(
+        lines: Receiver<Vec<u8>>,
+        dropped: Arc<AtomicU64>,
+        flushed: Sender<()>,
+    ) -> Self {
         Self {
             lines,
             dropped,
-            done,
+            flushed,
         }
     }
 
-    /// Writes until the ring ends. Nobody can be told of an output that takes nothing; the lines
-    /// are then lost, and the daemon goes on.
+    /// Writes until every sender of lines is dropped. If the output fails, the lines are lost and
+    /// the daemon continues, since there is nowhere to report the error.
     pub fn run(self, out: &mut impl Write) {
         while let Ok(line) = self.lines.recv() {
             let _ = out.write_all(&line);
@@ -40,7 +44,7 @@
                 let _ = out.flush();
             }
             if line.is_empty() {
-                let _ = self.done.try_send(());
+                let _ = self.flushed.try_send(());
             }
         }
     }
--- a/azureway-entry/src/main.rs
+++ b/azureway-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The entry daemon's program.
+//! The program of the entry daemon.
 
 use std::thread;
 
@@ -10,8 +10,8 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// What the program is for.
-const ABOUT: &str = "Stands between callers and backend servers";
+/// The summary of the program in its help text.
+const ABOUT: &str = "Routes requests from callers to backend servers";
 
 fn main() -> Result<()> {
     let logs = logs::start("info")?;
@@ -26,20 +26,20 @@
         return Ok(());
     }
     let signals = Signals::new([SIGINT, SIGTERM]).context("wait for signals")?;
-    let (stopper, asked) = flume::bounded(1);
-    let entry = Entry::start_with(&settings, stopper.clone())?;
-    wait(signals, stopper, asked)?;
+    let (shutdown, shutdown_requests) = flume::bounded(1);
+    let entry = Entry::start_with(&settings, shutdown.clone())?;
+    wait(signals, shutdown, shutdown_requests)?;
     entry.drain();
     log::info!(step = "stop"; "drained");
     Ok(())
 }
 
-/// Waits for the first signal or for an operator. Later signals are reported while the daemon
-/// drains.
-fn wait(mut signals: Signals, stopper: Sender<()>, asked: Receiver<()>) -> Result<()> {
+/// Waits for the first signal or an operator's drain request. Later signals are logged while the
+/// daemon drains.
+fn wait(mut signals: Signals, shutdown: Sender<()>, shutdown_requests: Receiver<()>) -> Result<()> {
     let duty = move || {
         for signal in signals.forever() {
-            if stopper.try_send(()).is_err() {
+            if shutdown.try_send(()).is_err() {
                 log::warn!(step = "stop", signal = signal; "still draining; streams are being finished");
             }
         }
@@ -48,9 +48,9 @@
         .name("signal".to_owned())
         .spawn(duty)
         .context("start thread signal")?;
-    asked.recv().context("wait for signals")?;
-    // From here on the ring is closed, and every further signal is reported.
-    drop(asked);
+    shutdown_requests.recv().context("wait for signals")?;
+    // This closes the ring, so that every further signal is logged.
+    drop(shutdown_requests);
     log::info!(step = "stop"; "draining");
     Ok(())
 }
--- a/azureway-entry/src/program.rs
+++ b/azureway-entry/src/program.rs
@@ -1,4 +1,4 @@
-//! What the programs of every daemon do before they start it.
+//! The command line and settings that the programs of all daemons share.
 
 use std::fs;
 
@@ -6,7 +6,7 @@
 use azureway_config::settings::{self, EntrySettings};
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
-/// Returns the command line of a daemon.
+/// Returns the command line definition of a daemon.
 pub fn command(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
         .about(about)
@@ -15,7 +15,7 @@
                 .long("settings")
                 .value_name("FILE")
                 .required(true)
-                .help("The settings, in INI"),
+                .help("The settings file, in INI format"),
         )
         .arg(
             Arg::new("check")
@@ -25,22 +25,22 @@
         )
 }
 
-/// Reads the settings that a command line names.
+/// Reads the settings file named on the command line.
 ///
 /// # Errors
 ///
-/// Returns an error if the file cannot be read, or every fault of its text.
+/// Returns an error if the file cannot be read, or one that lists every fault of its text.
 pub fn read_settings(matches: &ArgMatches) -> Result<EntrySettings> {
     let path = path(matches)?;
     let text = fs::read_to_string(path).with_context(|| format!("read settings {path}"))?;
     settings::parse(&text).with_context(|| format!("check settings {path}"))
 }
 
-/// Tells whether good settings were only to be checked, and says so.
+/// Returns whether `--check` was given, and reports that the settings are valid if so.
 ///
 /// # Errors
 ///
-/// Returns an error if the command line names no settings.
+/// Returns an error if the command line names no settings file.
 pub fn is_check(matches: &ArgMatches) -> Result<bool> {
     let check = matches.get_flag("check");
     if check {
