--- a/azureway-entry/tests/dialect/mod.rs
+++ b/azureway-entry/tests/dialect/mod.rs
@@ -8,7 +8,7 @@
 use azureway_entry::admit::UpstreamRequest;
 use azureway_entry::exchange::{AnswerHead, AnswerMetadata, BackendDialect};
 
-/// A dialect with headers of its own.
+/// A backend dialect with test headers (`x-server`, `x-left`).
 #[derive(Clone, Copy)]
 pub struct TestDialect;
 
@@ -17,14 +17,14 @@
         &self,
         dispatch: &Dispatch,
         _: &UpstreamRequest,
-        left: Duration,
+        remaining: Duration,
         out: &mut String,
     ) {
         let _ = write!(
             out,
             "x-server: {}\r\nx-left: {}\r\n",
             dispatch.server,
-            left.as_millis()
+            remaining.as_millis()
         );
     }
 
--- a/azureway-entry/tests/gateway.rs
+++ b/azureway-entry/tests/gateway.rs
@@ -8,11 +8,13 @@
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
-use support::{GUARD, Server, SiteFixture, read_answer};
+use support::{Server, SiteFixture, TEST_TIMEOUT, read_answer};
 
 fn send(fixture: &SiteFixture, head: &str) -> TcpStream {
     let mut stream = TcpStream::connect(fixture.address()).expect("a connection");
-    stream.set_read_timeout(Some(GUARD)).expect("a guard");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a guard");
     stream.write_all(head.as_bytes()).expect("sent");
     stream
 }
@@ -167,7 +169,7 @@
     let stream = send(&fixture, "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n");
     server.wait_request();
     drop(stream);
-    expect_that!(closed.recv_timeout(GUARD), ok(eq(0)));
+    expect_that!(closed.recv_timeout(TEST_TIMEOUT), ok(eq(0)));
 }
 
 #[gtest]
@@ -202,7 +204,9 @@
     // The first request was accepted before the drain; the second one arrives while the entry is
     // draining and still accepts requests.
     let mut second = TcpStream::connect(drained.address).expect("a connection");
-    second.set_read_timeout(Some(GUARD)).expect("a guard");
+    second
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a guard");
     let head = "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n";
     second.write_all(head.as_bytes()).expect("sent");
     server.wait_request();
@@ -224,7 +228,9 @@
     let refused = loop {
         let stream = TcpStream::connect(drained.address);
         let mut stream = stream.expect("a connection until the end");
-        stream.set_read_timeout(Some(GUARD)).expect("a guard");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a guard");
         let head = "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n";
         stream.write_all(head.as_bytes()).expect("sent");
         let answer = read_answer(&mut stream);
--- a/azureway-entry/tests/logs.rs
+++ b/azureway-entry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs that never hold up whoever writes them.
+//! Tests of the non-blocking, rate-limited logs.
 
 use std::io::Write;
 
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 
 #[gtest]
-fn lines_are_written_in_their_order() {
+fn lines_are_written_in_order() {
     let (mut ring, writer, _) = LogRing::new();
     for number in 0..5 {
         writeln!(ring, "line {number}").expect("a ring takes every line");
@@ -19,9 +19,9 @@
     expect_that!(text.find("line 1"), lt(text.find("line 4")));
 }
 
-/// Nobody empties the ring here: a write that waited would hang.
+/// Nothing empties the ring during the flood, so a blocking write would hang the test.
 #[gtest]
-fn a_flood_is_cut_counted_and_never_waited_for() {
+fn flood_is_limited_and_counted_without_blocking() {
     let (mut ring, writer, _) = LogRing::new();
     let flood = 100_000;
     for _ in 0..flood {
@@ -38,15 +38,15 @@
 }
 
 #[gtest]
-fn a_process_that_ends_waits_for_its_last_lines() {
-    let (mut ring, writer, end) = LogRing::new();
+fn flush_waits_for_the_last_line() {
+    let (mut ring, writer, flusher) = LogRing::new();
     let thread = std::thread::spawn(move || {
         let mut out = Vec::new();
         writer.run(&mut out);
         out
     });
     ring.write_all(b"last\n").expect("a ring takes every line");
-    end.flush();
+    flusher.flush();
     drop(ring);
     let out = thread.join().expect("the writer ends");
     expect_that!(out, eq(&b"last\n".to_vec()));
--- a/azureway-entry/tests/meter.rs
+++ b/azureway-entry/tests/meter.rs
@@ -1,4 +1,4 @@
-//! The measuring duty: names, values and bounded labels.
+//! Tests of the measuring duty: metric names, values and bounded labels.
 
 use std::thread;
 use std::time::Duration;
@@ -9,29 +9,29 @@
 use azureway_objects::CallCounter;
 use googletest::prelude::*;
 
-/// Runs the duty over some measures and returns what it writes out.
-fn scrape(measures: Vec<MetricEvent>) -> String {
+/// Runs the duty over `events` and returns the text of the metrics.
+fn scrape(events: Vec<MetricEvent>) -> String {
     let (admit, _at_admit) = flume::bounded(1);
     let (decide, at_decide) = flume::bounded(1);
     let rings = RingMonitor {
         admit: admit.downgrade(),
         decide: decide.downgrade(),
     };
-    let (sender, receiver) = flume::bounded(measures.len() + 1);
+    let (sender, receiver) = flume::bounded(events.len() + 1);
     let (reply, text) = flume::bounded(1);
-    for measure in measures.into_iter().chain([MetricEvent::Scrape(reply)]) {
-        sender.send(measure).expect("room");
+    for event in events.into_iter().chain([MetricEvent::Scrape(reply)]) {
+        sender.send(event).expect("space in the ring");
     }
     drop(sender);
-    let decider = thread::spawn(move || answer(&at_decide));
+    let decider = thread::spawn(move || answer_queries(&at_decide));
     MeterDuty::new(receiver, rings, CallCounter::default()).run();
     drop(decide);
     decider.join().expect("the deciding duty ends");
     text.recv().expect("an answer")
 }
 
-/// Answers the question for the state, as the deciding duty does.
-fn answer(messages: &flume::Receiver<DecideMessage>) {
+/// Answers status queries as the deciding duty does, until the ring closes.
+fn answer_queries(messages: &flume::Receiver<DecideMessage>) {
     while let Ok(DecideMessage::Query(Query::Status(reply))) = messages.recv() {
         let late = OutcomeCount {
             requests: 3,
@@ -53,7 +53,7 @@
     }
 }
 
-fn served(account: &str, streaming: u64) -> MetricEvent {
+fn finished(account: &str, stream_millis: u64) -> MetricEvent {
     MetricEvent::Finished(Box::new(FinishedRequest {
         account: AccountId::new(account),
         rank: Rank::Urgent,
@@ -61,19 +61,19 @@
         cached: TokenCount::new(1_250),
         expected_cached: TokenCount::new(1_500),
         output: TokenCount::new(22),
-        stream_time: Duration::from_millis(streaming),
+        stream_time: Duration::from_millis(stream_millis),
     }))
 }
 
 #[gtest]
-fn the_metrics_say_what_happened() {
+fn scrape_reports_the_recorded_events() {
     let id = RequestId::new(1, 1);
     let text = scrape(vec![
         MetricEvent::RingWait(Duration::from_micros(300)),
         MetricEvent::Sent(Rank::Urgent, Duration::from_millis(3)),
         MetricEvent::FirstToken(Rank::Drafting, Duration::from_millis(900)),
-        served("wax-desk", 1_050),
-        served("wax-desk", 2_100),
+        finished("wax-desk", 1_050),
+        finished("wax-desk", 2_100),
         MetricEvent::Refused(RefusalReason::Overloaded),
         MetricEvent::Retried,
         MetricEvent::Cancelled(Attempt::new(id, 1)),
@@ -87,7 +87,7 @@
 }
 
 #[gtest]
-fn a_newer_bad_version_shows() {
+fn rejected_version_is_reported_beside_the_accepted_one() {
     let text = scrape(vec![
         MetricEvent::Configured(ConfigVersion::new(7)),
         MetricEvent::Rejected(ConfigVersion::new(9)),
@@ -100,9 +100,9 @@
 }
 
 #[gtest]
-fn accounts_beyond_the_bound_share_a_label() {
+fn accounts_beyond_the_limit_share_the_label_other() {
     let names = (0..ACCOUNTS_MAX + 50).map(|n| format!("account-{n}"));
-    let text = scrape(names.map(|name| served(&name, 100)).collect());
+    let text = scrape(names.map(|name| finished(&name, 100)).collect());
     let series = text
         .lines()
         .filter(|l| l.starts_with("azureway_account_requests_total"));
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of a whole site share: a site in a spelling of its own, and its backend server.
+//! Fixtures for tests of a whole site: a test site, its backend server and the entry.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
 
 #[path = "../dialect/mod.rs"]
@@ -27,10 +27,10 @@
 use dialect::TestDialect;
 use flume::{Receiver, Sender};
 
-/// A guard against a hang; no test's verdict depends on it.
-pub const GUARD: Duration = Duration::from_secs(30);
+/// The timeout that keeps a failing test from hanging. No passing test depends on its value.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A site in a spelling of its own.
+/// A site with a header format and objects of its own.
 #[derive(Clone, Copy)]
 struct TestSite;
 
@@ -54,12 +54,12 @@
 impl BackendDialect for TestSite {
     fn write_headers(
         &self,
-        order: &Dispatch,
+        dispatch: &Dispatch,
         call: &UpstreamRequest,
-        left: Duration,
+        remaining: Duration,
         out: &mut String,
     ) {
-        TestDialect.write_headers(order, call, left, out);
+        TestDialect.write_headers(dispatch, call, remaining, out);
     }
 
     fn read<'a>(&self, head: &'a AnswerHead) -> AnswerMetadata<'a> {
@@ -136,44 +136,44 @@
         rank: Rank::Urgent,
         priority: 0,
         max_attempts: 2,
-        timeout: GUARD,
-        target_latency: GUARD,
+        timeout: TEST_TIMEOUT,
+        target_latency: TEST_TIMEOUT,
     }
 }
 
-/// A backend server, which answers each request by a function.
+/// A backend server that answers each request with a function.
 pub struct Server {
     address: SocketAddr,
     requests: Receiver<()>,
 }
 
 impl Server {
-    /// Starts a server on any free port.
+    /// Starts a server on a free port.
     pub fn start(answer: impl Fn(&str, &mut TcpStream) + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (seen, requests) = flume::bounded(64);
+        let (received, requests) = flume::bounded(64);
         let answer = Arc::new(answer);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (answer, seen) = (Arc::clone(&answer), seen.clone());
+                let (answer, received) = (Arc::clone(&answer), received.clone());
                 let stream = stream.expect("a connection");
-                thread::spawn(move || serve(stream, &seen, answer.as_ref()));
+                thread::spawn(move || serve(stream, &received, answer.as_ref()));
             }
         });
         Self { address, requests }
     }
 
-    /// Waits until a request has come.
+    /// Waits until a request has arrived.
     pub fn wait_request(&self) {
-        self.requests.recv_timeout(GUARD).expect("a request");
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("a request");
     }
 }
 
-fn serve(mut stream: TcpStream, seen: &Sender<()>, answer: &impl Fn(&str, &mut TcpStream)) {
+fn serve(mut stream: TcpStream, received: &Sender<()>, answer: &impl Fn(&str, &mut TcpStream)) {
     while let Some(request) = read_request(&mut stream) {
-        // Tests that wait for a request take the first ones; nobody waits for the rest.
-        let _ = seen.try_send(());
+        // Tests wait for the first requests only, so a full ring is no error.
+        let _ = received.try_send(());
         answer(&request, &mut stream);
     }
 }
@@ -203,45 +203,46 @@
     line.map_or(0, |l| l.parse().expect("a length"))
 }
 
-/// Answers a request well.
+/// Writes a successful answer with a body.
 pub fn answer(stream: &mut TcpStream, body: &str) {
     let head = format!(
         "HTTP/1.1 200 OK\r\nx-sign: 1\r\ncontent-length: {}\r\n\r\n",
         body.len()
     );
-    // A caller that is gone is the business of the test.
+    // The test checks the caller's side, which may have disconnected.
     let _ = stream.write_all(head.as_bytes());
     let _ = stream.write_all(body.as_bytes());
 }
 
-/// Reads one answer that has a length.
+/// Reads one answer with a `content-length`.
 pub fn read_answer(stream: &mut TcpStream) -> String {
     read_request(stream).expect("an answer")
 }
 
-/// Returns the status that an address answers with.
+/// Returns the status of `GET /ready` at an address.
 pub fn status(address: SocketAddr) -> u16 {
     let answer = minreq::get(format!("http://{address}/ready")).send();
     answer.expect("an answer").status_code
 }
 
-/// A whole entry of a site, with its platform.
+/// A running entry of a test site, with its platform.
 pub struct SiteFixture {
     gateway: Gateway,
     ready: SocketAddr,
     _platform: StandIn,
 }
 
-/// An entry that drains.
+/// An entry that is draining.
 pub struct DrainingSite {
     /// The address that callers reach.
     pub address: SocketAddr,
-    /// Ends with the drain.
+    /// The thread that drains the entry and ends with the drain.
     pub thread: JoinHandle<()>,
 }
 
 impl SiteFixture {
-    /// Starts an entry and waits until it serves. Without a server there is no configuration.
+    /// Starts an entry and waits until it is ready. Without a server the platform holds no
+    /// configuration, and the entry never becomes ready.
     pub fn start(server: Option<&Server>) -> Self {
         let platform = Arc::new(Platform::new());
         if let Some(server) = server {
@@ -263,10 +264,10 @@
     }
 
     fn start_with(platform: Arc<Platform>, listen: SocketAddr) -> Result<Self, String> {
-        let stand = StandIn::start(platform).map_err(|e| e.to_string())?;
+        let stand_in = StandIn::start(platform).map_err(|e| e.to_string())?;
         let (instance, zone) = (InstanceId::new("entry"), ZoneId::new("a"));
-        let settings = EntrySettings::new(instance, zone, stand.address()).with_listen(listen);
-        let served = SiteSettings {
+        let settings = EntrySettings::new(instance, zone, stand_in.address()).with_listen(listen);
+        let site = SiteSettings {
             ready: "127.0.0.1:0".parse().expect("an address"),
             zones: Vec::new(),
             retry_percent: 20,
@@ -277,14 +278,12 @@
             rollout_timeout: Duration::from_secs(8),
             shutdown_grace: Duration::from_secs(8),
         };
-        let gateway = Gateway::start(
-            &settings, &served, TestSite, PlainCodec, HttpOrders, HttpFeed,
-        );
+        let gateway = Gateway::start(&settings, &site, TestSite, PlainCodec, HttpOrders, HttpFeed);
         let gateway = gateway.map_err(|e| e.to_string())?;
         Ok(Self {
             ready: gateway.ready_address().expect("an address"),
             gateway,
-            _platform: stand,
+            _platform: stand_in,
         })
     }
 
@@ -293,17 +292,17 @@
         self.gateway.address()
     }
 
-    /// Returns the address on which readiness is told.
+    /// Returns the address of the readiness endpoint.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Returns the status that the balancer sees.
+    /// Returns the status of the readiness endpoint, which the load balancer reads.
     pub fn ready(&self) -> u16 {
         status(self.ready)
     }
 
-    /// Lets the entry drain.
+    /// Starts draining the entry.
     pub fn drain(self) -> DrainingSite {
         let address = self.address();
         let thread = thread::spawn(move || self.gateway.drain());
--- a/azureway-entry/tests/sweep.rs
+++ b/azureway-entry/tests/sweep.rs
@@ -1,4 +1,4 @@
-//! Old claims are deleted, and only those.
+//! Tests of the sweeper, which deletes old claims and no others.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -14,10 +14,10 @@
 /// A day, in seconds.
 const DAY: u64 = 24 * 60 * 60;
 
-/// The answer of a call.
+/// The result of a platform call.
 type Answer<T> = std::result::Result<T, Error>;
 
-/// A platform that holds one shard of claims and counts calls.
+/// A platform that stores one shard of claims and counts calls.
 #[derive(Clone, Default)]
 struct Shard {
     objects: Arc<Mutex<BTreeMap<String, ObjectBody>>>,
@@ -26,7 +26,7 @@
 
 impl ObjectApi for Shard {
     fn get(&self, _: &str, _: &str) -> Answer<Option<ObjectBody>> {
-        unreachable!("a sweep lists")
+        unreachable!("a sweep only lists and deletes")
     }
 
     fn list(&self, kind: &str) -> Answer<ObjectList> {
@@ -40,7 +40,7 @@
     }
 
     fn put(&self, _: &Put<'_>) -> Answer<u64> {
-        unreachable!("a sweep writes nothing")
+        unreachable!("a sweep does not write")
     }
 
     fn delete(&self, _: &str, name: &str, expected: u64) -> Answer<()> {
@@ -71,12 +71,12 @@
 }
 
 #[gtest]
-fn only_claims_of_more_than_a_day_go_and_at_no_more_than_20_a_second() {
+fn sweep_deletes_only_claims_older_than_a_day_at_20_per_second() {
     let shard = Shard::default();
     let now = 10 * DAY;
     let old = (0..50).map(|n| claim(&format!("old-{n}"), now - DAY - 1 - n));
-    let young = [claim("young", now - DAY), claim("new", now)];
-    *shard.objects.lock().expect("the lock") = old.chain(young).collect();
+    let recent = [claim("young", now - DAY), claim("new", now)];
+    *shard.objects.lock().expect("the lock") = old.chain(recent).collect();
     let mut sweeper = Sweeper::new(shard.clone(), 7);
     for millis in 0..10_000 {
         sweeper.step(Timestamp::from_millis(millis), now);
@@ -84,7 +84,7 @@
     let left = shard.objects.lock().expect("the lock");
     let left: Vec<&str> = left.keys().map(String::as_str).collect();
     expect_that!(left, eq(&vec!["new", "young"]));
-    // One list and 50 deletions; the next shard is not due yet.
+    // One list call and 50 deletions. The next shard is not due yet.
     expect_that!(*shard.calls.lock().expect("the lock"), eq(51));
     expect_that!(sweeper.due(), gt(Timestamp::from_millis(50 * 50)));
 }
