--- a/azureway-entry/src/feed/feed_reader.rs
+++ b/azureway-entry/src/feed/feed_reader.rs
@@ -81,12 +81,12 @@
     fn handle_batch(&mut self, batch: FeedBatch) {
         let incarnation = batch.incarnation.unwrap_or_else(|| self.control.listed());
         if batch.epoch != self.epoch {
-            let known = self.epoch != 0;
+            let restarted = self.epoch != 0;
             self.epoch = batch.epoch;
             // After lost events the numbering starts at 1, so that the cache's content counts as
             // unknown.
             self.next_event = u64::from(batch.lost);
-            if known && batch.first.is_none() {
+            if restarted && batch.first.is_none() {
                 // The platform's list may not show the new incarnation yet. An empty snapshot
                 // drops the cache content of the previous one.
                 self.send_update(incarnation, true, Vec::new(), 0);
@@ -109,8 +109,8 @@
             snapshot,
             ops,
         };
-        // Sending cannot fail: the deciding duty ends only with the process or after it has
-        // stopped this reader.
+        // An error needs no handling: the deciding duty ends only with the process or after it
+        // has stopped this reader.
         let _ = self.decide.send(DecideMessage::Cache(update));
     }
 }
--- a/azureway-entry/src/meter/prompt_metrics.rs
+++ b/azureway-entry/src/meter/prompt_metrics.rs
@@ -27,7 +27,7 @@
         r.register("prompt_tokens", "Tokens of prompts", metrics.prompt.clone());
         let help = "Prompt tokens that the backend server found in its cache";
         r.register("cached_tokens", help, metrics.cached.clone());
-        let help = "Prompt tokens that were expected_cached cached and computed again";
+        let help = "Prompt tokens that were believed cached and computed again";
         r.register("recomputed_tokens", help, metrics.recomputed.clone());
         r.register("output_tokens", "Tokens of answers", metrics.output.clone());
         metrics
--- a/azureway-entry/src/peer/peer_call.rs
+++ b/azureway-entry/src/peer/peer_call.rs
@@ -36,7 +36,7 @@
         let message = match answer.map_err(|e| self.error(&e)).and_then(|a| read(&a)) {
             Ok(heartbeat) => PeerMessage::Reply(Box::new(heartbeat)),
             Err(e) => {
-                log::debug!(step = e.step().as_str(), peer:% = self.peer.id, error:% = e; "a peer did not answer a heartbeat");
+                log::debug!(step = e.step().as_str(), peer:% = self.peer.id, error:% = e; "a heartbeat to a peer failed");
                 PeerMessage::Timeout(self.peer.id.clone())
             }
         };
@@ -58,7 +58,7 @@
             }
             Ok(_) => PeerMessage::FetchFailed(self.peer.id.clone()),
             Err(e) => {
-                log::debug!(step = "fetch document", peer:% = self.peer.id, error:% = e; "a peer did not return its configuration");
+                log::debug!(step = "fetch document", peer:% = self.peer.id, error:% = e; "the fetch of a peer's configuration failed");
                 PeerMessage::FetchFailed(self.peer.id.clone())
             }
         };
--- a/azureway-entry/src/peer/peer_duty.rs
+++ b/azureway-entry/src/peer/peer_duty.rs
@@ -32,9 +32,9 @@
     rounds: u64,
 }
 
-/// The longest wait for a message. It bounds wake-ups that lie too far in the future for a timer.
+/// The longest wait for a message. It guards against a wake-up too far in the future for a timer.
 const WAIT_MAX: Duration = Duration::from_secs(60);
-/// The number of heartbeat rounds after which duties are notified again of the live entries.
+/// The number of heartbeat rounds after which the selection is notified again of the live entries.
 const NOTIFY_ROUNDS: u64 = 5;
 /// The maximum size of a message from a peer, in bytes.
 const MESSAGE_MAX: usize = 256 * 1024;
@@ -262,7 +262,8 @@
         self.handle(PeerEvent::Version(version)).await;
     }
 
-    /// Reports the size of a heartbeat, which is dropped if the ring is full.
+    /// Reports the size of a heartbeat to the measuring duty. The report is dropped if its ring is
+    /// full.
     fn count_bytes(&self, message: &peer::Heartbeat) {
         let event = MetricEvent::Gossip(message.encoded_len());
         let _ = self.rings.meter.try_send(event);
@@ -271,7 +272,7 @@
 
 /// Serves peers until the task is aborted.
 async fn serve(service: PeerService, listener: TcpListener) {
-    let served = async {
+    let result = async {
         listener.set_nonblocking(true)?;
         let listener = tokio::net::TcpListener::from_std(listener)?;
         let service = peer::PeerServer::new(service).max_decoding_message_size(MESSAGE_MAX);
@@ -280,7 +281,7 @@
         let end = server.serve_with_incoming(incoming).await;
         end.map_err(std::io::Error::other)
     };
-    if let Err(e) = served.await {
+    if let Err(e) = result.await {
         log::error!(step = "serve peers", error:% = e; "the peer service failed; peers cannot reach this instance");
     }
 }
--- a/azureway-entry/src/peer/peer_message.rs
+++ b/azureway-entry/src/peer/peer_message.rs
@@ -33,7 +33,7 @@
     Timeout(InstanceId),
     /// A peer returned its configuration document.
     Fetched(InstanceId, Document),
-    /// A peer returned no document that is newer than the known one.
+    /// A peer was asked for its configuration document and did not return a newer one.
     FetchFailed(InstanceId),
     /// The daemon shuts down and announces this to its peers.
     Leave,
--- a/azureway-entry/src/peer/peer_service.rs
+++ b/azureway-entry/src/peer/peer_service.rs
@@ -20,7 +20,10 @@
         Self { peer }
     }
 
-    async fn ask<T>(&self, message: impl FnOnce(Sender<T>) -> PeerMessage) -> Result<T, Status> {
+    async fn forward<T>(
+        &self,
+        message: impl FnOnce(Sender<T>) -> PeerMessage,
+    ) -> Result<T, Status> {
         let (reply, answer) = flume::bounded(1);
         let stopped = || Status::unavailable("the instance stops");
         let sent = self.peer.send_async(message(reply)).await;
@@ -39,7 +42,7 @@
         let heartbeat = heartbeat.map_err(|e| Status::invalid_argument(e.to_string()))?;
         let heartbeat = Box::new(heartbeat);
         let answer = self
-            .ask(|reply| PeerMessage::Heartbeat(heartbeat, reply))
+            .forward(|reply| PeerMessage::Heartbeat(heartbeat, reply))
             .await?;
         Ok(Response::new((&answer).into()))
     }
@@ -50,7 +53,7 @@
     ) -> Result<Response<peer::FetchReply>, Status> {
         let known = ConfigVersion::new(request.get_ref().newer_than);
         let document = self
-            .ask(|reply| PeerMessage::FetchRequest(known, reply))
+            .forward(|reply| PeerMessage::FetchRequest(known, reply))
             .await?;
         let reply = document.map_or_else(peer::FetchReply::default, |d| peer::FetchReply {
             version: d.version.get(),
