--- a/azureway-wire/src/admin/count_body.rs
+++ b/azureway-wire/src/admin/count_body.rs
@@ -1,20 +1,20 @@
-//! How many requests ended in one way.
+//! The number of requests with one outcome.
 
 use azureway_core::prelude::{Outcome, OutcomeCount, Rank, RequestKind};
 use serde::{Deserialize, Serialize};
 
-/// How many requests of a rank and a kind ended in one way.
+/// The number and the worth of the requests of one rank and kind that had one outcome.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct CountBody {
-    /// The rank.
+    /// The rank of the requests.
     pub rank: Box<str>,
-    /// Whether the requests may run more than once.
+    /// The kind of the requests: whether they may run more than once.
     pub kind: Box<str>,
-    /// How they ended.
+    /// The outcome of the requests.
     pub outcome: Box<str>,
-    /// The requests.
+    /// The number of requests.
     pub requests: u64,
-    /// The sum of their worth.
+    /// The sum of the requests' worth.
     pub worth: u64,
 }
 
--- a/azureway-wire/src/admin/explain_body.rs
+++ b/azureway-wire/src/admin/explain_body.rs
@@ -1,20 +1,20 @@
-//! Why a request would go where.
+//! The explanation of a routing decision.
 
 use serde::{Deserialize, Serialize};
 
 use super::OptionBody;
 
-/// Why a request would go where it would go.
+/// The explanation of where a request would be sent, and why.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ExplainBody {
-    /// The service.
+    /// The requested service.
     pub service: Box<str>,
-    /// The client account.
+    /// The client account of the request.
     pub account: Box<str>,
-    /// The rank.
+    /// The rank of the request.
     pub rank: Box<str>,
-    /// The tokens of the prompt.
+    /// The length of the prompt, in tokens.
     pub prompt: u64,
-    /// The servers of the service's pool, in the order of their names.
+    /// The servers of the service's pool, sorted by name.
     pub options: Vec<OptionBody>,
 }
--- a/azureway-wire/src/admin/mod.rs
+++ b/azureway-wire/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' interface of an entry instance.
+//! The admin interface of an entry instance.
 
 mod count_body;
 mod explain_body;
@@ -12,9 +12,9 @@
 pub use server_body::ServerBody;
 pub use status_body::StatusBody;
 
-/// The path of an instance's state.
+/// The path that returns the state of the instance.
 pub const STATUS_PATH: &str = "/admin/status";
-/// The path of explanations; the account follows as `?account=NAME`.
+/// The path that explains a routing decision; the account is given as `?account=NAME`.
 pub const EXPLAIN_PATH: &str = "/admin/explain";
-/// The path of an instance's shutdown.
+/// The path that starts the shutdown of the instance.
 pub const DRAIN_PATH: &str = "/admin/drain";
--- a/azureway-wire/src/admin/option_body.rs
+++ b/azureway-wire/src/admin/option_body.rs
@@ -1,28 +1,28 @@
-//! One backend server in an explanation.
+//! One candidate server in the explanation of a routing decision.
 
 use azureway_core::prelude::RouteOption;
 use serde::{Deserialize, Serialize};
 
-/// One backend server in an explanation.
+/// One candidate server in the explanation of a routing decision.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct OptionBody {
-    /// The server.
+    /// The name of the server.
     pub server: Box<str>,
-    /// The availability zone.
+    /// The availability zone of the server.
     pub zone: Box<str>,
-    /// Whether the request would go here.
+    /// Whether the request would be sent to the server.
     pub chosen: bool,
-    /// Why it would not.
+    /// The reason why the server is not chosen; absent for the chosen one.
     pub obstacle: Option<Box<str>>,
-    /// Whether the prefix is kept on this server.
+    /// Whether the server is one of the replicas that keep the prefix.
     pub home: bool,
-    /// The tokens of the prompt that it is believed to hold.
+    /// The number of prompt tokens that the server is assumed to have cached.
     pub cached: u64,
-    /// The estimated time until it turns to the prompt, in microseconds.
+    /// The estimated queueing time until the server starts on the prompt, in microseconds.
     pub wait: u64,
-    /// The estimated time to compute what is not cached, in microseconds.
+    /// The estimated time to compute the uncached prompt tokens, in microseconds.
     pub prefill: u64,
-    /// The time on the link, there and back, in microseconds.
+    /// The round-trip time of the network link, in microseconds.
     pub link: u64,
     /// The estimated time to first token, in microseconds.
     pub total: u64,
--- a/azureway-wire/src/admin/server_body.rs
+++ b/azureway-wire/src/admin/server_body.rs
@@ -1,37 +1,37 @@
-//! What an entry knows of a backend server.
+//! The state of a backend server as an entry instance knows it.
 
 use azureway_core::prelude::{ServerState, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// What an entry knows of a backend server.
+/// The state of a backend server as an entry instance knows it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ServerBody {
-    /// The name.
+    /// The name of the server.
     pub name: Box<str>,
-    /// The pool.
+    /// The pool that the server belongs to.
     pub pool: Box<str>,
-    /// The availability zone.
+    /// The availability zone of the server.
     pub zone: Box<str>,
-    /// The address that it serves on.
+    /// The address that the server accepts requests on.
     pub address: Box<str>,
-    /// `live`, `suspect` or `leaving`.
+    /// The health of the server: `live`, `suspect` or `leaving`.
     pub health: Box<str>,
-    /// The incarnation that was last heard of; 0 for none.
+    /// The latest known incarnation; 0 if none is known.
     pub incarnation: u64,
-    /// The weights version that it has loaded, once it is known.
+    /// The weights version that the server has loaded, if known.
     pub weights: Option<u64>,
-    /// The requests that it runs at once.
+    /// The number of requests that the server runs at once.
     pub slots: u32,
-    /// The requests of this entry in flight there.
+    /// The number of this entry's requests in flight at the server.
     pub flights: u32,
-    /// The requests that it runs or holds, as far as they are known.
+    /// The number of requests that the server runs or has queued, as far as known.
     pub load: u32,
-    /// The prompt tokens ahead of a new request, as far as they are known.
+    /// The number of prompt tokens ahead of a new request, as far as known.
     pub ahead: u64,
 }
 
 impl ServerBody {
-    /// Creates what is known of a server at `now`.
+    /// Creates the body from the state of a server at `now`.
     pub fn new(state: &ServerState, now: Timestamp) -> Self {
         let server = &state.server;
         Self {
--- a/azureway-wire/src/admin/status_body.rs
+++ b/azureway-wire/src/admin/status_body.rs
@@ -5,42 +5,42 @@
 
 use super::{CountBody, ServerBody};
 
-/// The state of an entry instance.
+/// The state of an entry instance, as its admin interface returns it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct StatusBody {
     /// The name of the instance.
     pub instance: Box<str>,
-    /// The availability zone.
+    /// The availability zone of the instance.
     pub zone: Box<str>,
     /// The version of the configuration in force; 0 for none.
     pub version: u64,
-    /// A newer version that is bad.
+    /// The newer version that was rejected as invalid, if any.
     pub rejected: Option<u64>,
     /// Whether the instance is shutting down.
     pub draining: bool,
-    /// The entry instances that share the zone's servers, with this one.
+    /// The number of entry instances that share the zone's servers, including this one.
     pub entries: u32,
-    /// The urgent requests that wait for a server.
+    /// The number of queued urgent requests.
     pub urgent: usize,
-    /// The drafting requests that wait for a server.
+    /// The number of queued drafting requests.
     pub drafting: usize,
-    /// The requests in flight.
+    /// The number of requests in flight.
     pub flights: usize,
-    /// The requests that wait to be tried again.
+    /// The number of requests that wait for a retry.
     pub retries: usize,
-    /// The retries that are left in the budget.
+    /// The retries that are left in the retry budget.
     pub budget: u64,
-    /// The claims that are asked for, held or being settled.
+    /// The number of claims that are being created, held or being closed.
     pub claims: usize,
-    /// The requests that were running when one backend server broke.
+    /// The number of requests that were running when one backend server failed.
     #[serde(default)]
     pub suspects: usize,
-    /// The requests that do not run, since two backend servers broke under them.
+    /// The number of requests that may not run because two backend servers failed while they ran.
     #[serde(default)]
     pub quarantined: usize,
-    /// How the requests ended.
+    /// The counts of ended requests by rank, kind and outcome.
     pub counts: Vec<CountBody>,
-    /// The backend servers.
+    /// The backend servers that the instance knows.
     pub servers: Vec<ServerBody>,
 }
 
--- a/azureway-wire/src/change/change_body.rs
+++ b/azureway-wire/src/change/change_body.rs
@@ -1,4 +1,4 @@
-//! The record of a change.
+//! The record of a change to the operators' document.
 
 use azureway_core::config::{
     AcceptedChange, ChangeId, ChangeMetadata, ChangeRecord, ChangeTime, Delta, TeamId,
@@ -8,40 +8,40 @@
 
 use super::SectionBody;
 
-/// The record of a change, as it is archived and shown.
+/// The record of a change to the operators' document, as archived and displayed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ChangeBody {
-    /// The identity of the change.
+    /// The identifier of the change.
     pub id: Box<str>,
-    /// The version that the change made; 0 in the document's own record.
+    /// The version that the change created; 0 in the record inside the document.
     #[serde(default)]
     pub version: u64,
     /// The version that the change was made to.
     pub from: u64,
     /// When the change was made, in seconds since 1970-01-01 UTC.
     pub time: u64,
-    /// The person.
+    /// The person who made the change.
     pub author: Box<str>,
     /// The team that the person acted for.
     pub team: Box<str>,
-    /// Why.
+    /// The reason for the change.
     pub reason: Box<str>,
-    /// What it did.
+    /// What the change did to each section.
     pub sections: Vec<SectionBody>,
 }
 
 impl ChangeBody {
-    /// Creates the body of a record whose version is not known yet.
+    /// Creates the body of a record whose version is not known yet and is set to 0.
     pub fn new(record: &ChangeRecord) -> Self {
-        let note = &record.metadata;
+        let metadata = &record.metadata;
         Self {
-            id: note.id.as_str().into(),
+            id: metadata.id.as_str().into(),
             version: 0,
             from: record.from.get(),
-            time: note.time.get(),
-            author: note.author.clone(),
-            team: note.team.as_str().into(),
-            reason: note.reason.clone(),
+            time: metadata.time.get(),
+            author: metadata.author.clone(),
+            team: metadata.team.as_str().into(),
+            reason: metadata.reason.clone(),
             sections: record.delta.changes().iter().map(Into::into).collect(),
         }
     }
@@ -60,10 +60,10 @@
 impl From<ChangeBody> for ChangeRecord {
     fn from(body: ChangeBody) -> Self {
         let (id, team) = (ChangeId::new(&body.id), TeamId::new(&body.team));
-        let note = ChangeMetadata::new(id, &body.author, team, ChangeTime::new(body.time));
+        let metadata = ChangeMetadata::new(id, &body.author, team, ChangeTime::new(body.time));
         let changes = body.sections.into_iter().map(Into::into);
         Self {
-            metadata: note.with_reason(&body.reason),
+            metadata: metadata.with_reason(&body.reason),
             from: ConfigVersion::new(body.from),
             delta: Delta::new(changes.collect()),
         }
--- a/azureway-wire/src/change/mod.rs
+++ b/azureway-wire/src/change/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' document and its audit trail as the platform holds them.
+//! The operators' document and its audit trail as the platform stores them.
 
 mod change_body;
 mod section_body;
@@ -14,10 +14,11 @@
 pub const DOCUMENT_KIND: &str = "config";
 /// The name of the object that holds the document.
 pub const DOCUMENT_NAME: &str = "document";
-/// The largest value of an object, in bytes.
+/// The maximum size of an object's value, in bytes.
 pub const VALUE_MAX: usize = 1024 * 1024;
 
-/// Returns the kind of the archived records of a day, whose names are the changes' identities.
+/// Returns the object kind under which the records of a day are archived. The objects are named
+/// after the identifiers of the changes.
 pub fn archive_kind(time: ChangeTime) -> String {
     format!("change-{}", time.date())
 }
--- a/azureway-wire/src/change/section_body.rs
+++ b/azureway-wire/src/change/section_body.rs
@@ -1,17 +1,18 @@
-//! What a change does to one section.
+//! The change of one section of the operators' document.
 
 use azureway_core::config::SectionChange;
 use serde::{Deserialize, Serialize};
 
-/// What a change does to one section.
+/// The change of one section of the operators' document.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct SectionBody {
     /// The name of the section.
     pub name: Box<str>,
-    /// The text before, if the section existed.
+    /// The text before the change, if the section existed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub before: Option<Box<str>>,
-    /// The text after, if the section exists; left out in the document's own record.
+    /// The text after the change, if the section still exists; omitted in the record inside the
+    /// document.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<Box<str>>,
 }
--- a/azureway-wire/src/change/stored_document.rs
+++ b/azureway-wire/src/change/stored_document.rs
@@ -1,25 +1,27 @@
-//! The value of the object that holds the document.
+//! The stored form of the operators' document.
 
 use azureway_core::config::{ChangeRecord, Sections, Snapshot};
 use azureway_core::prelude::ConfigVersion;
 
 use super::ChangeBody;
 
-/// The value of the object that holds the document: the record of its last change in a
-/// comment on the first line, and the text below. One write thus makes both.
+/// The stored form of the operators' document: the record of its last change in a comment on the
+/// first line, followed by the text. One write thus stores both atomically.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredDocument<'a> {
-    /// The record, without the texts after the change, which the document holds.
+    /// The record of the last change, if any. It omits the texts after the change, which are those
+    /// of the document.
     pub record: Option<ChangeBody>,
-    /// The text.
+    /// The text of the document.
     pub text: &'a str,
 }
 
-/// What the first line begins with.
+/// The prefix of a first line that holds a record.
 const RECORD_PREFIX: &str = "; azureway-change ";
 
 impl<'a> StoredDocument<'a> {
-    /// Splits a value. One that was written without a record has none.
+    /// Splits a stored value into record and text. The record is absent if the value was written
+    /// without one or if it cannot be parsed.
     pub fn parse(value: &'a str) -> Self {
         let split = value.strip_prefix(RECORD_PREFIX);
         let Some((line, text)) = split.map(|v| v.split_once('\n').unwrap_or((v, ""))) else {
@@ -32,16 +34,16 @@
         Self { record, text }
     }
 
-    /// Returns the value that holds `text` and the record of the change that made it.
+    /// Returns the value that stores `text` and the record of the change that produced it.
     pub fn encode(record: &ChangeRecord, text: &str) -> String {
         let mut body = ChangeBody::new(record);
         body.sections.iter_mut().for_each(|s| s.after = None);
-        // A record is a tree of strings and numbers, which always has a JSON form.
+        // Serialization cannot fail: a record consists of strings and numbers only.
         let line = serde_json::to_string(&body).unwrap_or_default();
         format!("{RECORD_PREFIX}{line}\n{text}")
     }
 
-    /// Returns the document as it was read at `version`.
+    /// Returns the document as a snapshot at `version`.
     pub fn snapshot(self, version: ConfigVersion) -> Snapshot {
         let sections = Sections::parse(self.text);
         let record = self.record.map(|mut body| {
--- a/azureway-wire/src/chat/chat_content.rs
+++ b/azureway-wire/src/chat/chat_content.rs
@@ -1,4 +1,4 @@
-//! The content of a message.
+//! The content of a chat message.
 
 use std::borrow::Cow;
 
@@ -6,14 +6,14 @@
 
 use super::ChatPart;
 
-/// The content of a message: one text or several parts.
+/// The content of a chat message: one text or several parts.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub enum ChatContent<'a> {
-    /// One text.
+    /// A single text.
     #[serde(borrow)]
     Text(Cow<'a, str>),
-    /// Several parts.
+    /// A list of parts.
     Parts(Vec<ChatPart>),
 }
 
--- a/azureway-wire/src/chat/chat_message.rs
+++ b/azureway-wire/src/chat/chat_message.rs
@@ -1,4 +1,4 @@
-//! A message of a chat.
+//! A message of a chat-completions request.
 
 use std::borrow::Cow;
 
@@ -6,19 +6,19 @@
 
 use super::ChatContent;
 
-/// A message of a chat.
+/// A message of a chat-completions request.
 #[derive(Debug, Deserialize)]
 pub struct ChatMessage<'a> {
-    /// Who speaks.
+    /// The role of the message's author.
     #[serde(borrow)]
     pub role: Cow<'a, str>,
-    /// What is said.
+    /// The content of the message.
     #[serde(borrow)]
     pub content: ChatContent<'a>,
 }
 
 impl ChatMessage<'_> {
-    /// Returns the message's text with its role, as a level of the nested prefix.
+    /// Returns the role and the text of the message, which form one level of the nested prefix.
     pub fn level(&self) -> String {
         let mut text = format!("{}\n", self.role);
         self.content.append_to(&mut text);
--- a/azureway-wire/src/chat/chat_part.rs
+++ b/azureway-wire/src/chat/chat_part.rs
@@ -1,11 +1,11 @@
-//! A part of a message's content.
+//! A part of a chat message's content.
 
 use serde::Deserialize;
 
-/// A part of a message's content. Parts that are no text count as empty.
+/// A part of a chat message's content. A part other than text counts as an empty text.
 #[derive(Debug, Deserialize)]
 pub struct ChatPart {
-    /// The text.
+    /// The text of the part.
     #[serde(default)]
     pub text: String,
 }
--- a/azureway-wire/src/chat/chat_request.rs
+++ b/azureway-wire/src/chat/chat_request.rs
@@ -7,26 +7,26 @@
 
 use super::ChatMessage;
 
-/// A chat-completions request, borrowed from its body. Fields that azureway does not look
-/// at are passed on as they are, since the body itself is.
+/// A chat-completions request, borrowed from its body. The body is forwarded unchanged, so fields
+/// that are not listed here reach the backend server as well.
 #[derive(Debug, Deserialize)]
 pub struct ChatRequest<'a> {
-    /// The service that is asked for.
+    /// The name of the requested service.
     #[serde(borrow)]
     pub model: Cow<'a, str>,
-    /// The messages; each is a level of the nested prefix.
+    /// The messages, each of which forms one level of the nested prefix.
     #[serde(borrow)]
     pub messages: Vec<ChatMessage<'a>>,
-    /// Whether the answer is streamed.
+    /// Whether the caller requests a streamed answer.
     #[serde(default)]
     pub stream: bool,
-    /// The most tokens of the answer.
+    /// The maximum length of the answer, in tokens.
     #[serde(default, alias = "max_completion_tokens")]
     pub max_tokens: Option<u64>,
 }
 
 impl ChatRequest<'_> {
-    /// Derives the blocks of the prompt.
+    /// Returns the chain of cache blocks of the prompt under `salt`.
     pub fn chain(&self, salt: Salt) -> BlockChain {
         let levels: Vec<_> = self.messages.iter().map(ChatMessage::level).collect();
         BlockChain::new(salt, levels.iter().map(|l| l.as_bytes()))
--- a/azureway-wire/src/chat/usage.rs
+++ b/azureway-wire/src/chat/usage.rs
@@ -1,17 +1,17 @@
-//! The tokens that an answer took.
+//! The token usage of a request.
 
 use serde::{Deserialize, Serialize};
 
 use super::UsageDetails;
 
-/// The tokens that an answer took.
+/// The token usage of a request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Usage {
-    /// The tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// The tokens of the answer.
+    /// The number of tokens in the answer.
     pub completion_tokens: u64,
-    /// More on the prompt.
+    /// The breakdown of the prompt tokens.
     #[serde(default, rename = "prompt_tokens_details")]
     pub prompt_details: UsageDetails,
 }
--- a/azureway-wire/src/chat/usage_details.rs
+++ b/azureway-wire/src/chat/usage_details.rs
@@ -1,11 +1,11 @@
-//! More on the tokens of a prompt.
+//! The breakdown of the prompt tokens.
 
 use serde::{Deserialize, Serialize};
 
-/// More on the tokens of a prompt.
+/// The breakdown of the prompt tokens.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct UsageDetails {
-    /// The tokens that were found in the cache.
+    /// The number of prompt tokens that were found in the prefix cache.
     #[serde(default)]
     pub cached_tokens: u64,
 }
--- a/azureway-wire/src/chat/usage_frame.rs
+++ b/azureway-wire/src/chat/usage_frame.rs
@@ -1,13 +1,13 @@
-//! The part of an event that tells the tokens.
+//! The part of an answer that states the token usage.
 
 use serde::Deserialize;
 
 use super::Usage;
 
-/// The part of a stream's last event, or of a whole answer, that tells the tokens.
+/// The part of a complete answer, or of the last event of a stream, that states the token usage.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct UsageFrame {
-    /// The tokens, where the event tells them.
+    /// The token usage, if the answer or event states it.
     #[serde(default)]
     pub usage: Option<Usage>,
 }
--- a/azureway-wire/src/claim/claim_answer.rs
+++ b/azureway-wire/src/claim/claim_answer.rs
@@ -1,16 +1,16 @@
-//! A kept answer.
+//! The answer that is stored with a claim.
 
 use azureway_core::prelude::ShortAnswer;
 use serde::{Deserialize, Serialize};
 
-/// A kept answer.
+/// The answer that is stored with a claim, to be returned to repeated requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ClaimAnswer {
-    /// The HTTP status.
+    /// The HTTP status code of the answer.
     pub status: u16,
-    /// The media type.
+    /// The media type of the body.
     pub media: String,
-    /// The body.
+    /// The body of the answer.
     pub body: String,
 }
 
--- a/azureway-wire/src/claim/claim_body.rs
+++ b/azureway-wire/src/claim/claim_body.rs
@@ -1,4 +1,4 @@
-//! The value of a claim.
+//! The stored form of a claim.
 
 use azureway_core::prelude::{
     ClaimNonce, ClaimRecord, ClaimState, Error, ErrorKind, Fingerprint, Step,
@@ -7,25 +7,26 @@
 
 use super::ClaimAnswer;
 
-/// The value of a claim.
+/// The stored form of a claim.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ClaimBody {
-    /// The mark of the holder.
+    /// The nonce of the holder.
     pub nonce: String,
     /// The fingerprint of the request, as 32 hexadecimal digits.
     pub fingerprint: String,
-    /// When the claim was made, in seconds of the Unix epoch by the holder's clock.
+    /// When the claim was written, in seconds since the Unix epoch by the holder's clock.
     pub made: u64,
-    /// Whether the request has run to its end.
+    /// Whether the request has finished.
     #[serde(default)]
     pub finished: bool,
-    /// The answer, if it is kept.
+    /// The answer, if it is stored.
     #[serde(default)]
     pub answer: Option<ClaimAnswer>,
 }
 
 impl ClaimBody {
-    /// Creates the value of a record that is written at `made`.
+    /// Creates the stored form of a record that is written at `made`, in seconds since the Unix
+    /// epoch.
     pub fn new(record: &ClaimRecord, made: u64) -> Self {
         let (finished, answer) = match &record.state {
             ClaimState::Open => (false, None),
@@ -48,7 +49,11 @@
     fn try_from(body: ClaimBody) -> Result<Self, Error> {
         let number = u128::from_str_radix(&body.fingerprint, 16).map_err(|e| {
             let step = Step::new("read claim");
-            Error::new(ErrorKind::Protocol, step, format_args!("fingerprint: {e}"))
+            Error::new(
+                ErrorKind::Protocol,
+                step,
+                format_args!("invalid fingerprint: {e}"),
+            )
         })?;
         let state = if body.finished {
             ClaimState::Finished(body.answer.map(Into::into))
--- a/azureway-wire/src/claim/mod.rs
+++ b/azureway-wire/src/claim/mod.rs
@@ -1,4 +1,4 @@
-//! Claims on idempotency keys, as the platform holds them.
+//! Claims on idempotency keys, as the platform stores them.
 
 mod claim_answer;
 mod claim_body;
--- a/azureway-wire/src/engine/cache_event.rs
+++ b/azureway-wire/src/engine/cache_event.rs
@@ -1,15 +1,15 @@
-//! A cache event.
+//! An event of an engine's prefix cache.
 
 use azureway_core::prelude::{BlockKey, CacheOp};
 use serde::{Deserialize, Serialize};
 
-/// A cache event.
+/// An event of an engine's prefix cache.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEvent {
-    /// The block with this key, in hexadecimal digits, was stored.
+    /// The block with this key, a hexadecimal number, was stored.
     Stored(String),
-    /// The block with this key, in hexadecimal digits, was evicted.
+    /// The block with this key, a hexadecimal number, was evicted.
     Evicted(String),
 }
 
--- a/azureway-wire/src/engine/engine_news.rs
+++ b/azureway-wire/src/engine/engine_news.rs
@@ -1,4 +1,4 @@
-//! The answer of an engine to a caller that waits for news.
+//! The answer of an engine to a poll for its load and cache events.
 
 use azureway_core::prelude::{
     CacheOp, Incarnation, LoadReport, ServerId, TokenCount, WeightsVersion,
@@ -7,34 +7,35 @@
 
 use super::CacheEvent;
 
-/// What an engine tells of its load and its cache.
+/// The answer of an engine to a poll: its load and the events of its prefix cache.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct EngineNews {
-    /// The incarnation.
+    /// The incarnation of the engine.
     pub incarnation: u64,
-    /// The weights version that it has loaded.
+    /// The weights version that the engine has loaded.
     pub weights: u64,
-    /// The requests that it runs.
+    /// The number of running requests.
     pub running: u32,
-    /// The requests that wait in it.
+    /// The number of queued requests.
     pub queued: u32,
-    /// The prompt tokens that it has yet to compute.
+    /// The number of prompt tokens that are still to be computed.
     pub pending: u64,
-    /// Whether it is leaving.
+    /// Whether the engine is shutting down.
     #[serde(default)]
     pub leaving: bool,
-    /// The number of the first event below, or of the next one if `whole` is set.
+    /// The sequence number of the first event in `events`, or of the next event to come if `whole`
+    /// is set.
     pub first: u64,
-    /// Whether the events are the whole content of the cache.
+    /// Whether the events are a snapshot of the whole cache.
     #[serde(default)]
     pub whole: bool,
-    /// The cache events in order.
+    /// The cache events, oldest first.
     #[serde(default)]
     pub events: Vec<CacheEvent>,
 }
 
 impl EngineNews {
-    /// Returns the number of the event that follows.
+    /// Returns the sequence number of the first event after these.
     pub fn next_event(&self) -> u64 {
         let len = if self.whole {
             0
@@ -44,7 +45,7 @@
         self.first + len
     }
 
-    /// Returns what the news say of the load of `server`.
+    /// Returns the load report of the engine, which is known as `server`.
     pub fn load_report(&self, server: ServerId) -> LoadReport {
         LoadReport {
             server,
@@ -57,11 +58,11 @@
         }
     }
 
-    /// Returns the cache events.
+    /// Returns the cache events as operations on the cache index.
     ///
     /// # Errors
     ///
-    /// Returns an error if a key is no hexadecimal number of 128 bits.
+    /// Returns an error if a key is not a hexadecimal number of at most 128 bits.
     pub fn cache_ops(&self) -> Result<Vec<CacheOp>, std::num::ParseIntError> {
         self.events.iter().map(CacheOp::try_from).collect()
     }
--- a/azureway-wire/src/engine/kv_blocks.rs
+++ b/azureway-wire/src/engine/kv_blocks.rs
@@ -1,20 +1,20 @@
-//! Blocks of KV cache that one engine fetches from another.
+//! Blocks of the KV cache that one engine fetches from another.
 
 use azureway_core::prelude::{Block, BlockKey, WeightsVersion};
 use serde::{Deserialize, Serialize};
 
-/// Blocks of KV cache, by their keys. The keys are salted with client account, model and
-/// weights version, so a block can only be found by whoever may use it.
+/// Blocks of the KV cache, by key. The keys are salted with client account, model and weights
+/// version, so that only a request that may use a block can find it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct KvBlocks {
     /// The weights version that the blocks were computed with.
     pub weights: u64,
-    /// The keys in hexadecimal digits.
+    /// The keys of the blocks, as hexadecimal numbers.
     pub keys: Vec<String>,
 }
 
 impl KvBlocks {
-    /// Creates a list of blocks.
+    /// Creates the list of `blocks` that were computed with `weights`.
     pub fn new(weights: WeightsVersion, blocks: &[Block]) -> Self {
         let keys = blocks
             .iter()
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the keys. One that is no number stands for no block and is left out.
+    /// Returns the keys of the blocks. A key that is not a valid number is skipped.
     pub fn block_keys(&self) -> impl Iterator<Item = BlockKey> {
         let keys = self
             .keys
--- a/azureway-wire/src/engine/mod.rs
+++ b/azureway-wire/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! What a model engine tells of itself.
+//! The interface through which model engines report their load and cache.
 
 mod cache_event;
 mod engine_news;
--- a/azureway-wire/src/error/error_body.rs
+++ b/azureway-wire/src/error/error_body.rs
@@ -1,14 +1,14 @@
-//! The body of an error.
+//! The body of an error response.
 
 use azureway_core::prelude::Refusal;
 use serde::{Deserialize, Serialize};
 
 use super::ErrorDetail;
 
-/// The body of an error.
+/// The body of an error response.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// The description of the error.
     pub error: ErrorDetail,
 }
 
--- a/azureway-wire/src/error/error_detail.rs
+++ b/azureway-wire/src/error/error_detail.rs
@@ -1,14 +1,14 @@
-//! What an error tells.
+//! The description of an error in a response.
 
 use azureway_core::prelude::Refusal;
 use serde::{Deserialize, Serialize};
 
-/// What an error tells.
+/// The description of an error in a response.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ErrorDetail {
-    /// The stable code.
+    /// The stable error code.
     pub code: String,
-    /// What the caller can do about it.
+    /// The explanation for the caller, with what can be done about the error.
     pub message: String,
     /// Whether it is certain that no backend server has run the request.
     pub not_run: bool,
--- a/azureway-wire/src/error/mod.rs
+++ b/azureway-wire/src/error/mod.rs
@@ -1,4 +1,4 @@
-//! The one shape of errors that callers see.
+//! The error responses that callers get, all of one format.
 
 mod error_body;
 mod error_detail;
--- a/azureway-wire/src/error/reason_phrase.rs
+++ b/azureway-wire/src/error/reason_phrase.rs
@@ -1,6 +1,7 @@
-//! The reason phrase of a status.
+//! The reason phrases of HTTP status codes.
 
-/// Returns the reason phrase that goes with a status.
+/// Returns the reason phrase of an HTTP status code, or `Status` for one that azureway does not
+/// send.
 pub const fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/azureway-wire/src/error/status.rs
+++ b/azureway-wire/src/error/status.rs
@@ -1,8 +1,8 @@
-//! The HTTP status of a refusal.
+//! The HTTP status codes of refusals.
 
 use azureway_core::prelude::RefusalReason;
 
-/// Returns the HTTP status that goes with a reason.
+/// Returns the HTTP status code for a refusal reason.
 pub const fn status_of(reason: RefusalReason) -> u16 {
     match reason {
         RefusalReason::Malformed => 400,
--- a/azureway-wire/src/header.rs
+++ b/azureway-wire/src/header.rs
@@ -2,29 +2,29 @@
 
 /// The caller's API key, as `Bearer KEY`.
 pub const AUTHORIZATION: &str = "authorization";
-/// The caller's mark of a request that may be sent again.
+/// The key by which the caller marks repeated sends of one request.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The client account, on requests to backend servers; idempotency keys are unique within it.
+/// The client account, in requests to backend servers; it scopes idempotency keys.
 pub const ACCOUNT: &str = "azureway-account";
-/// The rank: `urgent` or `drafting`.
+/// The rank of a request: `urgent` or `drafting`.
 pub const RANK: &str = "azureway-rank";
-/// The time to first token that the caller waits for, in milliseconds.
+/// The time to first token that the caller accepts at most, in milliseconds.
 pub const DEADLINE: &str = "azureway-deadline-ms";
-/// The worth of an answer in time.
+/// The worth of an answer that meets its deadline.
 pub const WORTH: &str = "azureway-worth";
 /// Whether the request may run more than once: `repeatable` or `at-most-once`.
 pub const KIND: &str = "azureway-kind";
-/// The identity of a request, on answers.
+/// The identifier of the request, in answers.
 pub const REQUEST_ID: &str = "azureway-request-id";
-/// The try of a request, on requests to backend servers.
+/// The identifier of an attempt at a request, in requests to backend servers.
 pub const ATTEMPT: &str = "azureway-attempt";
-/// The salt of the blocks that the server may use, as a decimal number.
+/// The salt of the cache blocks that the server may use, as a decimal number.
 pub const SALT: &str = "azureway-cache-salt";
-/// The incarnation that the server must have.
+/// The incarnation that the server must have to run the request.
 pub const INCARNATION: &str = "azureway-incarnation";
-/// The weights version that the server must have loaded.
+/// The weights version that the server must have loaded to run the request.
 pub const WEIGHTS: &str = "azureway-weights";
-/// The position at which the server resumes the stream.
+/// The stream position from which the server resumes.
 pub const RESUME: &str = "azureway-resume";
-/// The address of an engine from which the server can fetch blocks.
+/// The address of an engine from which the server can fetch cache blocks.
 pub const IMPORT: &str = "azureway-import";
--- a/azureway-wire/src/instance/instance_body.rs
+++ b/azureway-wire/src/instance/instance_body.rs
@@ -1,4 +1,4 @@
-//! An instance as the platform lists it.
+//! An instance in the platform's list.
 
 use std::net::SocketAddr;
 
@@ -7,22 +7,22 @@
 
 use super::InstanceRole;
 
-/// An instance as the platform lists it. The list lags.
+/// An instance in the platform's list, which may be out of date.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct InstanceBody {
-    /// What runs on it.
+    /// What runs on the instance.
     pub role: InstanceRole,
-    /// The availability zone.
+    /// The availability zone of the instance.
     pub zone: String,
-    /// The address that its peers or its callers reach.
+    /// The address at which peers or callers reach the instance.
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the instance is shutting down.
     #[serde(default)]
     pub leaving: bool,
 }
 
 impl InstanceBody {
-    /// Returns the instance under the name that it is listed by.
+    /// Returns the instance that is listed under `name`.
     pub fn instance(&self, name: &str) -> Instance {
         Instance::new(InstanceId::new(name), ZoneId::new(&self.zone), self.address)
     }
--- a/azureway-wire/src/instance/instance_role.rs
+++ b/azureway-wire/src/instance/instance_role.rs
@@ -1,8 +1,8 @@
-//! What runs on an instance.
+//! The role of an instance.
 
 use serde::{Deserialize, Serialize};
 
-/// What runs on an instance.
+/// The role of an instance: what runs on it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceRole {
--- a/azureway-wire/src/instance/mod.rs
+++ b/azureway-wire/src/instance/mod.rs
@@ -6,5 +6,5 @@
 pub use instance_body::InstanceBody;
 pub use instance_role::InstanceRole;
 
-/// The kind of the objects that the list consists of; their names are the instances' names.
+/// The kind of the objects that make up the list; they are named after the instances.
 pub const INSTANCE_KIND: &str = "instance";
--- a/azureway-wire/src/lib.rs
+++ b/azureway-wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages of azureway, each a type of its own, with conversions from and to the types of
-//! the core. Decisions never see these types.
+//! The message types of azureway's interfaces, with conversions from and to the types of
+//! `azureway-core`. Decision code never uses these types.
 
 pub mod admin;
 pub mod change;
--- a/azureway-wire/src/object/object_body.rs
+++ b/azureway-wire/src/object/object_body.rs
@@ -1,17 +1,17 @@
-//! An object of the platform.
+//! An object in the platform's store.
 
 use serde::{Deserialize, Serialize};
 
-/// An object of the platform, with its version.
+/// An object in the platform's store, with its version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ObjectBody {
-    /// The name.
+    /// The name of the object.
     pub name: String,
-    /// The version of the object; each change of any object takes a greater one.
+    /// The version of the object. Versions increase with every change to any object.
     pub version: u64,
-    /// The value.
+    /// The value of the object.
     pub value: String,
-    /// Whether the object was deleted by this version.
+    /// Whether the change to this version deleted the object.
     #[serde(default)]
     pub deleted: bool,
 }
--- a/azureway-wire/src/object/object_list.rs
+++ b/azureway-wire/src/object/object_list.rs
@@ -1,13 +1,14 @@
-//! Objects that a list or a watch returns.
+//! The objects that a list or watch request returns.
 
 use serde::{Deserialize, Serialize};
 
 use super::ObjectBody;
 
-/// Objects that a list or a watch returns, and the version up to which they are complete.
+/// The objects that a list or watch request returns, and the version up to which they are
+/// complete.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ObjectList {
-    /// The version from which a watch goes on.
+    /// The version from which the next watch request continues.
     pub version: u64,
     /// The objects.
     pub objects: Vec<ObjectBody>,
--- a/azureway-wire/src/order/lease_body.rs
+++ b/azureway-wire/src/order/lease_body.rs
@@ -1,23 +1,23 @@
-//! The value of a lease.
+//! The stored form of a lease.
 
 use std::time::Duration;
 
 use azureway_core::prelude::{FencingNumber, InstanceId, LeaseRecord};
 use serde::{Deserialize, Serialize};
 
-/// The value of a lease.
+/// The stored form of a lease.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct LeaseBody {
     /// The instance that holds the lease.
     pub holder: String,
-    /// The mark of the holder's process.
+    /// The identifier of the holder's process.
     pub mark: u64,
-    /// The number of the write.
+    /// The sequence number of the write.
     pub beat: u64,
-    /// The fencing number.
+    /// The fencing number, higher for each new holder.
     pub number: u64,
-    /// How long after the write servers that check no fencing number still rest, in milliseconds
-    /// rounded up.
+    /// How long after the write servers that check no fencing number still get no orders, in
+    /// milliseconds, rounded up.
     #[serde(default)]
     pub rest: u64,
 }
--- a/azureway-wire/src/order/mod.rs
+++ b/azureway-wire/src/order/mod.rs
@@ -1,4 +1,4 @@
-//! Orders to backend servers, and the lease of whoever gives them.
+//! Orders to backend servers, and the lease that permits an instance to give them.
 
 mod lease_body;
 mod order_body;
--- a/azureway-wire/src/order/order_body.rs
+++ b/azureway-wire/src/order/order_body.rs
@@ -1,16 +1,17 @@
-//! The body of an order.
+//! The body of a load order.
 
 use azureway_core::prelude::{FencingNumber, LoadOrder};
 use serde::{Deserialize, Serialize};
 
-/// The body of an order to load weights, which states the desired end.
+/// The body of an order to load weights. It states the desired state, not a
+/// change.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct OrderBody {
-    /// The weights to have.
+    /// The weights version to load.
     pub weights: u64,
-    /// The fencing number of whoever gives the order.
+    /// The fencing number of the lease holder that gives the order.
     pub fencing: u64,
-    /// The version of the configuration that asks for the weights.
+    /// The version of the configuration that requires the weights.
     pub config: u64,
 }
 
--- a/azureway-wire/src/peer/mod.rs
+++ b/azureway-wire/src/peer/mod.rs
@@ -1,8 +1,8 @@
 //! The interface between entry instances.
 
-mod fault;
 mod heartbeat;
 mod instance;
+mod invalid_field;
 mod news;
 
 #[path = "../gen/azureway.peer.v1.rs"]
@@ -11,7 +11,7 @@
     clippy::allow_attributes,
     missing_docs,
     unreachable_pub,
-    reason = "the generator does not know the house's rules"
+    reason = "the generated code does not follow the lints of the workspace"
 )]
 mod generated;
 
--- a/azureway-wire/src/peer/news.rs
+++ b/azureway-wire/src/peer/news.rs
@@ -1,4 +1,4 @@
-//! News as messages.
+//! Conversions of gossip updates.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
     ServerUpdate, StrikeState, WeightsVersion,
 };
 
-use super::fault::fault;
+use super::invalid_field::invalid_field;
 use super::{Loading, Member, News, Server, Strike, Subject};
 
 impl From<&core::GossipUpdate> for News {
-    fn from(news: &core::GossipUpdate) -> Self {
-        let subject = match news {
-            core::GossipUpdate::Member(news) => Subject::Member(Member {
-                instance: Some((&news.instance).into()),
-                liveness: news.liveness as u32,
+    fn from(update: &core::GossipUpdate) -> Self {
+        let subject = match update {
+            core::GossipUpdate::Member(member) => Subject::Member(Member {
+                instance: Some((&member.instance).into()),
+                liveness: member.liveness as u32,
             }),
-            core::GossipUpdate::Server(news) => Subject::Server(Server {
-                id: news.server.as_str().to_owned(),
-                incarnation: news.incarnation.get(),
-                sign: news.status as u32,
+            core::GossipUpdate::Server(server) => Subject::Server(Server {
+                id: server.server.as_str().to_owned(),
+                incarnation: server.incarnation.get(),
+                sign: server.status as u32,
             }),
             core::GossipUpdate::Strike(strike) => Subject::Strike(strike.into()),
             core::GossipUpdate::Loading(loading) => Subject::Loading(loading.into()),
@@ -68,7 +68,11 @@
     type Error = Error;
 
     fn try_from(message: &News) -> Result<Self, Error> {
-        match message.subject.as_ref().ok_or_else(|| fault("subject"))? {
+        match message
+            .subject
+            .as_ref()
+            .ok_or_else(|| invalid_field("subject"))?
+        {
             Subject::Member(member) => member.try_into().map(Self::Member),
             Subject::Server(server) => server.try_into().map(Self::Server),
             Subject::Strike(strike) => strike.try_into().map(Self::Strike),
@@ -81,8 +85,11 @@
     type Error = Error;
 
     fn try_from(message: &Member) -> Result<Self, Error> {
-        let instance = message.instance.as_ref().ok_or_else(|| fault("instance"))?;
-        let liveness = pick(&Liveness::ALL, message.liveness, "liveness")?;
+        let instance = message
+            .instance
+            .as_ref()
+            .ok_or_else(|| invalid_field("instance"))?;
+        let liveness = from_index(&Liveness::ALL, message.liveness, "liveness")?;
         Ok(Self::new(instance.try_into()?, liveness))
     }
 }
@@ -91,11 +98,11 @@
     type Error = Error;
 
     fn try_from(message: &Server) -> Result<Self, Error> {
-        let signs = [ServerStatus::Failed, ServerStatus::Leaving];
+        let statuses = [ServerStatus::Failed, ServerStatus::Leaving];
         Ok(Self {
             server: ServerId::new(&message.id),
             incarnation: Incarnation::new(message.incarnation),
-            status: pick(&signs, message.sign, "sign")?,
+            status: from_index(&statuses, message.sign, "sign")?,
         })
     }
 }
@@ -105,17 +112,17 @@
 
     fn try_from(message: &Strike) -> Result<Self, Error> {
         let bytes = <[u8; 16]>::try_from(message.fingerprint.as_slice());
-        let fingerprint = Fingerprint::from_bytes(bytes.map_err(|_| fault("fingerprint"))?);
+        let fingerprint = Fingerprint::from_bytes(bytes.map_err(|_| invalid_field("fingerprint"))?);
         let incarnation = Incarnation::new(message.incarnation);
         let site = CrashSite::new(ServerId::new(&message.server), incarnation);
-        let state = pick(&StrikeState::ALL, message.state, "state")?;
-        let left = Duration::from_millis(message.left_ms.into());
-        Ok(Self::new(fingerprint, site, state, left))
+        let state = from_index(&StrikeState::ALL, message.state, "state")?;
+        let ttl = Duration::from_millis(message.left_ms.into());
+        Ok(Self::new(fingerprint, site, state, ttl))
     }
 }
 
-/// Returns the value that a message gives by its place.
-fn pick<T: Copy>(values: &[T], place: u32, field: &str) -> Result<T, Error> {
-    let value = usize::try_from(place).ok().and_then(|p| values.get(p));
-    value.copied().ok_or_else(|| fault(field))
+/// Returns the value whose index in `values` is stated by `field` of a message.
+fn from_index<T: Copy>(values: &[T], index: u32, field: &str) -> Result<T, Error> {
+    let value = usize::try_from(index).ok().and_then(|i| values.get(i));
+    value.copied().ok_or_else(|| invalid_field(field))
 }
--- a/azureway-wire/src/sse/line.rs
+++ b/azureway-wire/src/sse/line.rs
@@ -1,15 +1,15 @@
-//! A line of a stream of events.
+//! A line of a server-sent event stream.
 
-/// A line of a stream of events.
+/// A line of a server-sent event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SseLine<'a> {
-    /// The position of the event.
+    /// The `id` field: the stream position of the event.
     Id(u64),
-    /// The data of the event.
+    /// The `data` field of the event.
     Data(&'a str),
-    /// The end of the event.
+    /// The empty line that ends an event.
     End,
-    /// A comment or a field that has no meaning here.
+    /// A comment, or a field that azureway does not use.
     Other,
 }
 
@@ -17,7 +17,7 @@
     /// The data that ends a chat-completions stream.
     pub const DONE: &'static str = "[DONE]";
 
-    /// Reads a line, with or without its line break.
+    /// Parses a line, with or without its line break.
     pub fn parse(line: &'a str) -> Self {
         let line = line.trim_end_matches(['\r', '\n']);
         if line.is_empty() {
--- a/azureway-wire/src/sse/mod.rs
+++ b/azureway-wire/src/sse/mod.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, line by line.
+//! Parsing of server-sent events, line by line.
 
 mod line;
 
--- a/azureway-wire/tests/peer.rs
+++ b/azureway-wire/tests/peer.rs
@@ -1,4 +1,4 @@
-//! The messages between entry instances, and what they cost.
+//! Tests of the messages between entry instances and of the traffic that they cause.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
 use googletest::prelude::*;
 use prost::Message;
 
-/// The bytes a second that control may cost a node, from the stated target.
-const BYTES_MAX: usize = 16 * 1024;
-/// What HTTP/2 and gRPC add to a call, both ways, with compressed headers, in bytes.
-const CALL_COST: usize = 300;
+/// The maximum control traffic of a node, in bytes per second, from the stated target.
+const MAX_TRAFFIC: usize = 16 * 1024;
+/// The overhead of HTTP/2 and gRPC per call, in both directions together, with compressed headers,
+/// in bytes.
+const CALL_OVERHEAD: usize = 300;
 
 fn instance(number: u64) -> Instance {
     let zone = ZoneId::new(&format!("maribor-{}", number % 7));
@@ -22,20 +23,20 @@
 
 fn strike(number: u8) -> Strike {
     let site = CrashSite::new(ServerId::new("maribor-3-engine-210"), Incarnation::new(9));
-    let print = Fingerprint::from_bytes([number; 16]);
+    let fingerprint = Fingerprint::from_bytes([number; 16]);
     Strike::new(
-        print,
+        fingerprint,
         site,
         StrikeState::Confirmed,
         Duration::from_secs(600),
     )
 }
 
-/// A heartbeat that is as full as it gets.
-fn full() -> Heartbeat {
+/// Returns a heartbeat of the maximum size.
+fn largest_heartbeat() -> Heartbeat {
     let config = MembershipConfig::new();
     let member = |n| GossipUpdate::Member(MemberUpdate::new(instance(n), Liveness::Suspect));
-    let news = (0..config.max_updates as u64).map(member);
+    let updates = (0..config.max_updates as u64).map(member);
     let demand = (0..config.max_accounts as u64).map(|n| {
         let account = AccountId::new(&format!("distributor-of-the-north-{n}"));
         (account, TokenRate::new(100_000))
@@ -45,29 +46,29 @@
         version: ConfigVersion::new(1_000_000),
         digest: u64::MAX,
         full: false,
-        updates: news.collect(),
+        updates: updates.collect(),
         demand: demand.collect(),
     }
 }
 
 #[gtest]
-fn a_heartbeat_survives_the_wire() {
-    let mut beat = full();
-    beat.updates.push(GossipUpdate::Strike(strike(7)));
-    beat.updates.push(GossipUpdate::Server(ServerUpdate {
+fn a_heartbeat_is_unchanged_after_encoding_and_decoding() {
+    let mut heartbeat = largest_heartbeat();
+    heartbeat.updates.push(GossipUpdate::Strike(strike(7)));
+    heartbeat.updates.push(GossipUpdate::Server(ServerUpdate {
         server: ServerId::new("engine-1"),
         incarnation: Incarnation::new(3),
         status: ServerStatus::Leaving,
     }));
-    let bytes = peer::Heartbeat::from(&beat).encode_to_vec();
+    let bytes = peer::Heartbeat::from(&heartbeat).encode_to_vec();
     let message = peer::Heartbeat::decode(bytes.as_slice()).expect("a message");
     let read = Heartbeat::try_from(&message).expect("a heartbeat");
-    expect_that!(read, eq(&beat));
+    expect_that!(read, eq(&heartbeat));
 }
 
 #[gtest]
-fn a_message_out_of_range_is_an_error_and_no_panic() {
-    let good = peer::Heartbeat::from(&full());
+fn invalid_fields_are_protocol_errors() {
+    let good = peer::Heartbeat::from(&largest_heartbeat());
     let mut no_sender = good.clone();
     no_sender.from = None;
     let mut bad_port = good.clone();
@@ -82,30 +83,32 @@
     }
 }
 
-/// The size to design for: 360 nodes in 7 zones. In every second a node sends its fan-out and
-/// as many answers, all of them full, and half as many early rounds; every second
-/// round it keeps the links to all other zones, if it is the unluckiest; and all news goes
-/// once in a refresh to a node that asks, with all members, and as often comes back.
+/// Checks the worst case at the design size of 360 nodes in 7 zones. Per round, a node sends
+/// heartbeats to its fan-out and as many replies, all of the maximum size; early rounds add half
+/// as much. Every second round it also maintains, at worst, the links to all 6 other zones. Once per sync
+/// interval it sends a full sync with all members to a node that requests one, and receives one
+/// as often.
 #[gtest]
-fn a_node_stays_under_its_budget_at_360_nodes() {
+fn control_traffic_stays_within_its_target_at_360_nodes() {
     let config = MembershipConfig::new();
-    let beat = peer::Heartbeat::from(&full()).encoded_len() + CALL_COST / 2;
-    let mut everything = full();
+    let heartbeat_bytes =
+        peer::Heartbeat::from(&largest_heartbeat()).encoded_len() + CALL_OVERHEAD / 2;
+    let mut sync = largest_heartbeat();
     let all =
         (0..360).map(|n| GossipUpdate::Member(MemberUpdate::new(instance(n), Liveness::Alive)));
-    everything.updates = all.collect();
-    let whole = peer::Heartbeat::from(&everything).encoded_len();
+    sync.updates = all.collect();
+    let sync_bytes = peer::Heartbeat::from(&sync).encoded_len();
     let rounds = 1.0 / config.interval.as_secs_f64();
-    // With the fan-out as many answers are sent as heartbeats are heard, the same on average.
-    let near = rounds * (config.fanout * 2 * beat) as f64;
-    let links = rounds / 2.0 * (6 * 2 * beat) as f64;
-    let refresh = whole as f64 / config.sync_interval.as_secs_f64();
-    let early = near / 2.0;
-    let regular = near + refresh;
-    let worst = near + early + links + refresh;
-    println!("heartbeat {beat} B, all news {whole} B");
+    // A node receives as many heartbeats as it sends on average, and replies to each.
+    let gossip = rounds * (config.fanout * 2 * heartbeat_bytes) as f64;
+    let links = rounds / 2.0 * (6 * 2 * heartbeat_bytes) as f64;
+    let sync_traffic = sync_bytes as f64 / config.sync_interval.as_secs_f64();
+    let early = gossip / 2.0;
+    let regular = gossip + sync_traffic;
+    let worst = gossip + early + links + sync_traffic;
+    println!("heartbeat {heartbeat_bytes} B, full sync {sync_bytes} B");
     println!(
-        "sent a second: {regular:.0} B by most nodes, {worst:.0} B with all links and early rounds"
+        "sent per second: {regular:.0} B by most nodes, {worst:.0} B with all links and early rounds"
     );
-    expect_that!(worst, lt(BYTES_MAX as f64));
+    expect_that!(worst, lt(MAX_TRAFFIC as f64));
 }
