--- a/azureway-entry/src/feed/feed_reader.rs
+++ b/azureway-entry/src/feed/feed_reader.rs
@@ -12,8 +12,8 @@
 /// Reads the load reports and cache events of one model engine and sends them to the deciding
 /// duty.
 #[derive(Debug)]
-pub struct FeedReader<L> {
-    source: L,
+pub struct FeedReader<S> {
+    source: S,
     server: ServerId,
     control: Arc<ReaderControl>,
     decide: Sender<DecideMessage>,
@@ -28,10 +28,10 @@
 /// The maximum backoff after a failed poll.
 const BACKOFF_CAP: Duration = Duration::from_secs(5);
 
-impl<L: FeedSource> FeedReader<L> {
+impl<S: FeedSource> FeedReader<S> {
     /// Creates the reader of `server`'s feed.
     pub const fn new(
-        source: L,
+        source: S,
         server: ServerId,
         control: Arc<ReaderControl>,
         decide: Sender<DecideMessage>,
@@ -62,8 +62,8 @@
                     failing = false;
                     backoff.reset();
                     self.handle_batch(batch);
-                    if !L::INTERVAL.is_zero() {
-                        std::thread::park_timeout(L::INTERVAL);
+                    if !S::INTERVAL.is_zero() {
+                        std::thread::park_timeout(S::INTERVAL);
                     }
                 }
                 Err(e) => {
--- a/azureway-entry/src/feed/feed_readers.rs
+++ b/azureway-entry/src/feed/feed_readers.rs
@@ -12,8 +12,8 @@
 
 /// The threads that read feeds, one for each model engine of the configuration.
 #[derive(Debug)]
-pub struct FeedReaders<L> {
-    source: L,
+pub struct FeedReaders<S> {
+    source: S,
     decide: Sender<DecideMessage>,
     controls: BTreeMap<ServerId, Arc<ReaderControl>>,
 }
@@ -21,9 +21,9 @@
 /// The stack size of a reader thread, in bytes.
 const STACK_SIZE: usize = 256 * 1024;
 
-impl<L: FeedSource> FeedReaders<L> {
+impl<S: FeedSource> FeedReaders<S> {
     /// Creates an empty set whose threads poll `source` and send updates to `decide`.
-    pub const fn new(source: L, decide: Sender<DecideMessage>) -> Self {
+    pub const fn new(source: S, decide: Sender<DecideMessage>) -> Self {
         Self {
             source,
             decide,
@@ -54,7 +54,7 @@
     }
 }
 
-impl<L: FeedSource> Subscribe for FeedReaders<L> {
+impl<S: FeedSource> Subscribe for FeedReaders<S> {
     /// Starts and stops threads so that each model engine of `fleet` has exactly one reader.
     fn reconfigure(&mut self, fleet: &Fleet) {
         let engines = engines(fleet);
@@ -85,7 +85,7 @@
     }
 
     fn stop(&self) {
-        self.controls.values().for_each(|l| l.stop());
+        self.controls.values().for_each(|c| c.stop());
     }
 }
 
--- a/azureway-entry/tests/sweep.rs
+++ b/azureway-entry/tests/sweep.rs
@@ -71,7 +71,7 @@
 }
 
 #[gtest]
-fn sweep_deletes_only_claims_older_than_a_day_at_20_per_second() {
+fn sweep_deletes_only_claims_older_than_a_day_at_most_20_per_second() {
     let shard = Shard::default();
     let now = 10 * DAY;
     let old = (0..50).map(|n| claim(&format!("old-{n}"), now - DAY - 1 - n));
