--- a/azureway-objects/src/call_counter.rs
+++ b/azureway-objects/src/call_counter.rs
@@ -1,16 +1,17 @@
-//! Counting calls.
+//! A counter of platform calls.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The calls made to the platform; a waiting watch counts as one. Clones share the count.
+/// A counter of the calls made to the platform. A watch counts as one call, however long it waits.
+/// Clones share the count.
 #[derive(Clone, Debug, Default)]
 pub struct CallCounter {
     calls: Arc<AtomicU64>,
 }
 
 impl CallCounter {
-    /// Creates a count of zero.
+    /// Creates a counter at zero.
     pub fn new() -> Self {
         Self::default()
     }
@@ -20,7 +21,7 @@
         self.calls.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the calls made so far.
+    /// Returns the number of calls made so far.
     pub fn get(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
--- a/azureway-objects/src/http_objects.rs
+++ b/azureway-objects/src/http_objects.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP.
+//! A client of the object API over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,27 +9,28 @@
 
 use super::{CallCounter, ObjectApi, ObjectCall, ObjectCodec, PlainCodec, Put};
 
-/// The object API over HTTP, in one codec or another. Each call takes a connection of its own.
+/// A client of the object API over HTTP, with the encoding `F`. Each call opens its own connection.
 #[derive(Clone, Debug)]
 pub struct HttpObjects<F = PlainCodec> {
     codec: F,
     address: SocketAddr,
+    /// The timeout of a call, in seconds.
     timeout: u64,
     calls: CallCounter,
 }
 
-/// The default limit of a call, in seconds.
+/// The default timeout of a call, in seconds.
 const DEFAULT_TIMEOUT: u64 = 2;
 
 impl HttpObjects {
-    /// Creates a client of the platform at `address` with a limit of 2 s a call.
+    /// Creates a client of the platform at `address` with [`PlainCodec`] and a timeout of 2 s a call.
     pub fn new(address: SocketAddr) -> Self {
         Self::with_codec(address, PlainCodec)
     }
 }
 
 impl<F: ObjectCodec> HttpObjects<F> {
-    /// Creates a client that speaks `codec`, with a limit of 2 s a call.
+    /// Creates a client of the platform at `address` with `codec` and a timeout of 2 s a call.
     pub fn with_codec(address: SocketAddr, codec: F) -> Self {
         Self {
             codec,
@@ -39,14 +40,14 @@
         }
     }
 
-    /// Sets the limit of a call, in seconds.
+    /// Sets the timeout of a call, in seconds. The wait of a watch is added to it.
     #[must_use]
     pub const fn with_timeout(mut self, seconds: u64) -> Self {
         self.timeout = seconds;
         self
     }
 
-    /// Returns the count of calls, which clones of this client share.
+    /// Returns the counter of calls, which clones of this client share.
     pub const fn calls(&self) -> &CallCounter {
         &self.calls
     }
@@ -54,8 +55,8 @@
     fn send(&self, step: Step, call: ObjectCall, wait: Duration) -> Result<Response, Error> {
         self.calls.add();
         let url = format!("http://{}/{}", self.address, call.path);
-        // The platform need not keep the connection, and one that it closes without an answer
-        // shows at once that the answer is lost.
+        // The platform need not keep the connection open. A connection that it closes without an
+        // answer shows at once that the answer is lost, before the timeout.
         let request = Request::new(method(call.method), url).with_header("connection", "close");
         let request = match call.body {
             Some(body) => request
@@ -78,8 +79,12 @@
         Error::new(kind, step, detail).with_peer(format_args!("platform {}", self.address))
     }
 
-    fn read<T>(&self, step: Step, read: Result<T, serde_json::Error>) -> Result<T, Error> {
-        read.map_err(|e| self.error(ErrorKind::Protocol, step, e))
+    fn check_decoded<T>(
+        &self,
+        step: Step,
+        decoded: Result<T, serde_json::Error>,
+    ) -> Result<T, Error> {
+        decoded.map_err(|e| self.error(ErrorKind::Protocol, step, e))
     }
 }
 
@@ -91,25 +96,26 @@
             return Ok(None);
         }
         let object = self.codec.read_object(answer.as_bytes());
-        self.read(STEP, object).map(Some)
+        self.check_decoded(STEP, object).map(Some)
     }
 
     fn list(&self, kind: &str) -> Result<ObjectList, Error> {
         const STEP: Step = Step::new("list objects");
-        let mut whole = ObjectList::default();
+        let mut all = ObjectList::default();
         loop {
-            let after = whole.objects.last().map(|o| o.name.as_str());
+            let after = all.objects.last().map(|o| o.name.as_str());
             let call = self.codec.list(kind, after);
             let answer = self.send(STEP, call, Duration::ZERO)?;
-            let (part, more) = self.read(STEP, self.codec.read_list(answer.as_bytes()))?;
-            // What changes while the parts are read is seen by a watch from the first part on.
-            if whole.objects.is_empty() {
-                whole.version = part.version;
+            let (page, more) = self.check_decoded(STEP, self.codec.read_list(answer.as_bytes()))?;
+            // The list has the version of its first page, so that a watch from there returns the
+            // changes made while the other pages were read.
+            if all.objects.is_empty() {
+                all.version = page.version;
             }
-            let empty = part.objects.is_empty();
-            whole.objects.extend(part.objects);
-            if !more || empty {
-                return Ok(whole);
+            let is_empty = page.objects.is_empty();
+            all.objects.extend(page.objects);
+            if !more || is_empty {
+                return Ok(all);
             }
         }
     }
@@ -121,7 +127,7 @@
             return Err(self.error(ErrorKind::Conflict, STEP, "the object does not exist"));
         }
         let object = self.codec.read_object(answer.as_bytes());
-        Ok(self.read(STEP, object)?.version)
+        Ok(self.check_decoded(STEP, object)?.version)
     }
 
     fn delete(&self, kind: &str, name: &str, expected: u64) -> Result<(), Error> {
@@ -137,7 +143,7 @@
     fn watch(&self, kind: &str, after: u64, wait: Duration) -> Result<ObjectList, Error> {
         const STEP: Step = Step::new("watch objects");
         let answer = self.send(STEP, self.codec.watch(kind, after, wait), wait)?;
-        self.read(STEP, self.codec.read_changes(answer.as_bytes()))
+        self.check_decoded(STEP, self.codec.read_changes(answer.as_bytes()))
     }
 }
 
--- a/azureway-objects/src/lib.rs
+++ b/azureway-objects/src/lib.rs
@@ -1,10 +1,10 @@
 //! The client side of the platform's object API.
 //!
-//! [`ObjectApi`] is the interface and [`HttpObjects`] its implementation over HTTP. A test
-//! implements the interface by a small fake. An answer can be lost after a write took
-//! effect: an error of [`ObjectApi::put`] with the kind
-//! [`Unavailable`](azureway_core::prelude::ErrorKind::Unavailable) says nothing of whether
-//! the object was written.
+//! [`ObjectApi`] is the interface and [`HttpObjects`] its implementation over HTTP; tests
+//! implement the interface with an in-memory fake. An answer can be lost after a write took
+//! effect, so after an error of [`ObjectApi::put`] with the kind
+//! [`Unavailable`](azureway_core::prelude::ErrorKind::Unavailable) the object may or may not
+//! have been written.
 
 mod call_counter;
 mod http_objects;
--- a/azureway-objects/src/object_api.rs
+++ b/azureway-objects/src/object_api.rs
@@ -7,28 +7,28 @@
 
 use super::Put;
 
-/// The platform's object API: versions, conditional updates and watches.
+/// The platform's object API: versioned objects with conditional writes and watches.
 pub trait ObjectApi {
     /// Returns an object, or `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Returns an error if the platform cannot be asked or limits the call.
+    /// Returns an error if the platform does not answer, rejects the call or limits the rate of calls.
     fn get(&self, kind: &str, name: &str) -> Result<Option<ObjectBody>, Error>;
 
     /// Returns all objects of a kind.
     ///
     /// # Errors
     ///
-    /// Returns an error if the platform cannot be asked or limits the call.
+    /// Returns an error if the platform does not answer, rejects the call or limits the rate of calls.
     fn list(&self, kind: &str) -> Result<ObjectList, Error>;
 
     /// Writes an object if it has the expected version, and returns the new version.
     ///
     /// # Errors
     ///
-    /// Returns an error of the kind `Conflict` if the object has another version. Any other
-    /// error leaves open whether the object was written.
+    /// Returns an error of the kind `Conflict` if the object has another version. After any other
+    /// error the object may or may not have been written.
     fn put(&self, put: &Put<'_>) -> Result<u64, Error>;
 
     /// Deletes an object if it has the expected version.
@@ -36,13 +36,13 @@
     /// # Errors
     ///
     /// Returns an error of the kind `Conflict` if the object has another version or does not
-    /// exist. Any other error leaves open whether the object was deleted.
+    /// exist. After any other error the object may or may not have been deleted.
     fn delete(&self, kind: &str, name: &str, expected: u64) -> Result<(), Error>;
 
     /// Waits up to `wait` for changes of a kind after version `after`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the platform cannot be asked or limits the call.
+    /// Returns an error if the platform does not answer, rejects the call or limits the rate of calls.
     fn watch(&self, kind: &str, after: u64, wait: Duration) -> Result<ObjectList, Error>;
 }
--- a/azureway-objects/src/object_call.rs
+++ b/azureway-objects/src/object_call.rs
@@ -1,11 +1,11 @@
-//! A call of an object API, as a form spells it.
+//! An encoded call of an object API.
 
-/// A call of an object API, as a form spells it.
+/// A call of an object API, as a codec encodes it for HTTP.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObjectCall {
-    /// The method.
+    /// The HTTP method.
     pub method: &'static str,
-    /// The path with its query, without the leading slash.
+    /// The path and query of the URL, without the leading slash.
     pub path: String,
     /// The body, if the call has one.
     pub body: Option<String>,
--- a/azureway-objects/src/object_codec.rs
+++ b/azureway-objects/src/object_codec.rs
@@ -1,4 +1,4 @@
-//! How an object API spells its calls and answers.
+//! The HTTP encoding of an object API.
 
 use std::time::Duration;
 
@@ -6,44 +6,45 @@
 
 use super::{ObjectCall, Put};
 
-/// How an object API spells its calls and answers. Statuses mean the same in every form.
+/// The HTTP encoding of an object API's calls and answers. The meaning of statuses does not depend
+/// on the codec; [`HttpObjects`](crate::HttpObjects) interprets them.
 pub trait ObjectCodec: Clone {
-    /// The media type of bodies.
+    /// The media type of request bodies.
     const CONTENT_TYPE: &'static str;
 
     /// Returns the call that reads an object.
     fn get(&self, kind: &str, name: &str) -> ObjectCall;
 
-    /// Returns the call that lists the objects of a kind whose names come after `after`.
+    /// Returns the call that lists the objects of a kind, or only those whose names sort after `after`.
     fn list(&self, kind: &str, after: Option<&str>) -> ObjectCall;
 
-    /// Returns the call that writes an object under its condition.
+    /// Returns the call that writes an object if it has the expected version.
     fn put(&self, put: &Put<'_>) -> ObjectCall;
 
-    /// Returns the call that deletes an object under its condition.
+    /// Returns the call that deletes an object if it has version `expected`.
     fn delete(&self, kind: &str, name: &str, expected: u64) -> ObjectCall;
 
-    /// Returns the call that waits for changes after a version.
+    /// Returns the call that waits up to `wait` for changes after version `after`.
     fn watch(&self, kind: &str, after: u64, wait: Duration) -> ObjectCall;
 
-    /// Reads an object.
+    /// Decodes an object.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are no object.
+    /// Returns an error if the bytes are not a valid object.
     fn read_object(&self, bytes: &[u8]) -> Result<ObjectBody, serde_json::Error>;
 
-    /// Reads a part of a list, and whether there is more of it.
+    /// Decodes a page of a list. Returns it with whether more pages follow.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are no list.
+    /// Returns an error if the bytes are not a valid list.
     fn read_list(&self, bytes: &[u8]) -> Result<(ObjectList, bool), serde_json::Error>;
 
-    /// Reads changes.
+    /// Decodes the changes that a watch returns.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are no changes.
+    /// Returns an error if the bytes are not a valid list of changes.
     fn read_changes(&self, bytes: &[u8]) -> Result<ObjectList, serde_json::Error>;
 }
--- a/azureway-objects/src/plain_codec.rs
+++ b/azureway-objects/src/plain_codec.rs
@@ -1,4 +1,4 @@
-//! The product's own form of the object API.
+//! The encoding of azureway's own object API.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::{ObjectCall, ObjectCodec, Put};
 
-/// The product's own form of the object API, as docs/INTERFACES.md gives it.
+/// Encodes azureway's own object API, which docs/INTERFACES.md describes. Its lists have one page.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainCodec;
 
