--- a/azureway-wire/tests/peer.rs
+++ b/azureway-wire/tests/peer.rs
@@ -85,9 +85,9 @@
 
 /// Checks the worst case at the design size of 360 nodes in 7 zones. Per round, a node sends
 /// heartbeats to its fan-out and as many replies, all of the maximum size; early rounds add half
-/// as much. Every second round it also maintains, at worst, the links to all 6 other zones. Once per sync
-/// interval it sends a full sync with all members to a node that requests one, and receives one
-/// as often.
+/// as much. At worst, it also maintains the links to all 6 other zones in every second round. Once
+/// per sync interval it sends a full sync with all members to a node that requests one, and
+/// receives one as often.
 #[gtest]
 fn control_traffic_stays_within_its_target_at_360_nodes() {
     let config = MembershipConfig::new();
