--- a/azureway-config/src/document/checker.rs
+++ b/azureway-config/src/document/checker.rs
@@ -1,4 +1,4 @@
-//! The check of a whole document before it is written.
+//! The check of a changed document before it is written.
 
 use azureway_core::config::DocumentCheck;
 use azureway_core::prelude::ConfigVersion;
@@ -6,12 +6,13 @@
 use super::parse;
 use crate::ini::Faults;
 
-/// The check of a whole document before it is written: the same that every entry makes.
+/// The check of a changed document before it is written. Entries check a new version in the same
+/// way.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Checker;
 
 impl Checker {
-    /// Creates the check.
+    /// Creates a checker.
     pub const fn new() -> Self {
         Self
     }
--- a/azureway-config/src/document/mod.rs
+++ b/azureway-config/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' document.
+//! Parsing, checking and editing of the operators' document.
 
 mod checker;
 mod name;
--- a/azureway-config/src/document/name.rs
+++ b/azureway-config/src/document/name.rs
@@ -1,12 +1,12 @@
-//! What a name in the document looks like.
+//! The format of names in the document.
 
-/// What a name looks like, for a fault's text.
-pub(super) const NAME: &str = "a name of 1 to 64 letters, digits, `.`, `_` or `-`";
-/// The letters of the longest name.
-const NAME_MAX: usize = 64;
+/// The format of a name, as stated in faults.
+pub(super) const NAME_FORMAT: &str = "a name of 1 to 64 letters, digits, `.`, `_` or `-`";
+/// The maximum length of a name, in bytes.
+const MAX_NAME_LENGTH: usize = 64;
 
-/// Tells whether `text` is a name that logs, labels and paths can carry.
-pub(super) fn is_name(text: &str) -> bool {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
-    (1..=NAME_MAX).contains(&text.len()) && text.bytes().all(fits)
+/// Returns whether `text` is a valid name, which is safe in logs, metric labels and paths.
+pub(super) fn is_valid_name(text: &str) -> bool {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
+    (1..=MAX_NAME_LENGTH).contains(&text.len()) && text.bytes().all(is_allowed)
 }
--- a/azureway-config/src/document/parse.rs
+++ b/azureway-config/src/document/parse.rs
@@ -1,88 +1,87 @@
-//! From the document's text to the fleet that it defines.
+//! Parsing of the document into the fleet that it defines.
 
 use std::time::Duration;
 
 use azureway_core::prelude::*;
 
-use super::name::{NAME, is_name};
+use super::name::{NAME_FORMAT, is_valid_name};
 use crate::ini::{self, Faults, Section, SectionReader};
 
-/// The kinds of sections.
+/// The known kinds of sections.
 const KINDS: [&str; 6] = ["account", "service", "pool", "server", "zone", "ranks"];
 
-/// Parses the document that is stored as `version`.
+/// Parses the text of the document, which is stored as `version`.
 ///
 /// # Errors
 ///
-/// Returns every fault of the text, names that are used but not defined among them.
+/// Returns every fault of the text, including references to names that are not defined.
 pub fn parse(text: &str, version: ConfigVersion) -> Result<Fleet, Faults> {
     let sections = ini::parse(text)?;
     let mut faults = Faults::new();
     let mut fleet = Fleet::new().with_version(version);
     for section in &sections {
-        read(section, &mut fleet, &mut faults);
+        read_section(section, &mut fleet, &mut faults);
     }
     check_ranks(&sections, &mut faults);
     for section in &sections {
-        check_links(section, &fleet, &mut faults);
+        check_references(section, &fleet, &mut faults);
         check_keys(section, &fleet, &mut faults);
     }
     faults.into_result(fleet)
 }
 
-fn read(section: &Section<'_>, fleet: &mut Fleet, faults: &mut Faults) {
+fn read_section(section: &Section<'_>, fleet: &mut Fleet, faults: &mut Faults) {
     let (kind, name) = section.split();
     let mut reader = SectionReader::new(section, faults);
     check_names(kind, name, &mut reader);
-    let twice = match kind {
+    let duplicate = match kind {
         "account" => {
-            let account = account(name, &mut reader);
+            let account = read_account(name, &mut reader);
             fleet.accounts.insert(account.id.clone(), account).is_some()
         }
-        "service" => service(name, &mut reader)
+        "service" => read_service(name, &mut reader)
             .is_some_and(|s| fleet.services.insert(s.id.clone(), s).is_some()),
         "pool" => {
-            let pool = pool(name, &mut reader);
+            let pool = read_pool(name, &mut reader);
             fleet.pools.insert(pool.id.clone(), pool).is_some()
         }
-        "server" => server(name, &mut reader)
+        "server" => read_server(name, &mut reader)
             .is_some_and(|s| fleet.servers.insert(s.id.clone(), s).is_some()),
-        "zone" => {
-            zone(name, &mut reader).is_some_and(|z| fleet.zones.insert(z.id.clone(), z).is_some())
-        }
+        "zone" => read_zone(name, &mut reader)
+            .is_some_and(|z| fleet.zones.insert(z.id.clone(), z).is_some()),
         "ranks" => {
-            fleet.rules = ranks(&mut reader);
+            fleet.rules = read_ranks(&mut reader);
             false
         }
         _ => {
-            reader.reject(
+            reader.add_fault(
                 None,
                 format!("unknown kind; expected one of {}", KINDS.join(", ")),
             );
             return;
         }
     };
-    if twice {
-        reader.reject(None, "defined twice".to_owned());
+    if duplicate {
+        reader.add_fault(None, "defined twice".to_owned());
     }
     reader.finish();
 }
 
-/// Notes what is wrong with the names of a section and its team.
+/// Reports an invalid section name or team name.
 fn check_names(kind: &str, name: &str, reader: &mut SectionReader<'_, '_>) {
     let team = reader.text("team");
-    if team.is_some_and(|t| !is_name(t)) {
-        reader.reject(Some("team"), format!("expected {NAME}"));
+    if team.is_some_and(|t| !is_valid_name(t)) {
+        reader.add_fault(Some("team"), format!("expected {NAME_FORMAT}"));
     }
-    if !name.is_empty() && !is_name(name) {
-        reader.reject(None, format!("expected a header with {NAME}"));
+    if !name.is_empty() && !is_valid_name(name) {
+        reader.add_fault(None, format!("expected a header with {NAME_FORMAT}"));
     }
     if name.is_empty() != (kind == "ranks") && KINDS.contains(&kind) {
-        reader.reject(None, format!("expected a header such as [{kind} NAME]"));
+        reader.add_fault(None, format!("expected a header such as [{kind} NAME]"));
     }
 }
 
-fn account(name: &str, reader: &mut SectionReader<'_, '_>) -> ClientAccount {
+fn read_account(name: &str, reader: &mut SectionReader<'_, '_>) -> ClientAccount {
     let base = ClientAccount::new(AccountId::new(name));
     let weight = reader.number("weight", base.weight, 1, 1_000, "shares");
     let limit = reader.number(
@@ -100,7 +99,7 @@
     keys.into_iter().fold(account, ClientAccount::with_key)
 }
 
-fn service(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<ModelService> {
+fn read_service(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<ModelService> {
     let pool = reader.required("pool", "the name of a pool");
     let kind = reader.value(
         "kind",
@@ -110,7 +109,7 @@
     );
     let weights = reader.number("weights", 1, 1, u64::MAX, "the weights version");
     let expected = "`repeatable` or `at-most-once`";
-    let calls = reader.value(
+    let request_kind = reader.value(
         "calls",
         RequestKind::Repeatable,
         expected,
@@ -121,29 +120,29 @@
         service
             .with_kind(kind)
             .with_weights(WeightsVersion::new(weights))
-            .with_request_kind(calls),
+            .with_request_kind(request_kind),
     )
 }
 
-fn pool(name: &str, reader: &mut SectionReader<'_, '_>) -> BackendServerPool {
+fn read_pool(name: &str, reader: &mut SectionReader<'_, '_>) -> BackendServerPool {
     let base = BackendServerPool::new(PoolId::new(name));
-    let loads = reader.number("loads", base.max_loads, 1, 100, "servers");
-    base.with_max_loads(loads)
+    let max_loads = reader.number("loads", base.max_loads, 1, 100, "servers");
+    base.with_max_loads(max_loads)
 }
 
-fn server(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<BackendServer> {
+fn read_server(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<BackendServer> {
     let pool = reader.required("pool", "the name of a pool");
     let zone = reader.required("zone", "the name of an availability zone");
     let expected = "an IP address and a port, such as 10.0.0.7:8000";
     let address = reader.required_value("address", expected, |text| text.parse().ok());
     let slots = reader.number("slots", 8, 1, 4_096, "requests");
     let prefill = reader.number("prefill", 8_000, 1, 10_000_000, "tokens a second");
-    let (fenced, keyed) = (reader.flag("fenced", false), reader.flag("keyed", false));
+    let (fenced, deduplicates) = (reader.flag("fenced", false), reader.flag("keyed", false));
     let leaving = reader.flag("leaving", false);
     let id = ServerId::new(name);
     let mut server = BackendServer::new(id, PoolId::new(pool?), ZoneId::new(zone?), address?);
     server.fenced = fenced;
-    server.deduplicates = keyed;
+    server.deduplicates = deduplicates;
     server.leaving = leaving;
     Some(
         server
@@ -152,35 +151,35 @@
     )
 }
 
-fn zone(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<AvailabilityZone> {
+fn read_zone(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<AvailabilityZone> {
     let region = reader.required("region", "the name of a region")?;
     Some(AvailabilityZone::new(ZoneId::new(name), region))
 }
 
-fn ranks(reader: &mut SectionReader<'_, '_>) -> RankRules {
+fn read_ranks(reader: &mut SectionReader<'_, '_>) -> RankRules {
     let base = RankRules::new();
     let mut millis = |key, default: Duration| {
         let default = u64::try_from(default.as_millis()).unwrap_or(u64::MAX);
         Duration::from_millis(reader.number(key, default, 1, 3_600_000, "milliseconds"))
     };
-    let urgent = millis("urgent", base.urgent_timeout);
-    let drafting = millis("drafting", base.drafting_timeout);
-    let floor = reader.number("floor", base.drafting_share, 0, 90, "percent");
+    let urgent_timeout = millis("urgent", base.urgent_timeout);
+    let drafting_timeout = millis("drafting", base.drafting_timeout);
+    let drafting_share = reader.number("floor", base.drafting_share, 0, 90, "percent");
     RankRules {
-        drafting_share: floor,
-        urgent_timeout: urgent,
-        drafting_timeout: drafting,
+        drafting_share,
+        urgent_timeout,
+        drafting_timeout,
     }
 }
 
-/// Notes a second section with the rules of the ranks.
+/// Reports every `[ranks]` section after the first.
 fn check_ranks(sections: &[Section<'_>], faults: &mut Faults) {
     for section in sections.iter().filter(|s| s.name == "ranks").skip(1) {
-        SectionReader::new(section, faults).reject(None, "defined twice".to_owned());
+        SectionReader::new(section, faults).add_fault(None, "defined twice".to_owned());
     }
 }
 
-/// Notes the API keys that another account, earlier by name, has too.
+/// Reports an account that shares an API key with an account whose name sorts before its own.
 fn check_keys(section: &Section<'_>, fleet: &Fleet, faults: &mut Faults) {
     let ("account", name) = section.split() else {
         return;
@@ -191,27 +190,27 @@
     let others = fleet.accounts.values().take_while(|a| a.id.as_str() < name);
     for other in others.filter(|o| account.keys.iter().any(|k| o.keys.contains(k))) {
         let detail = format!("an API key is also one of [account {}]", other.id);
-        SectionReader::new(section, faults).reject(Some("keys"), detail);
+        SectionReader::new(section, faults).add_fault(Some("keys"), detail);
     }
 }
 
-/// Notes the names that a section uses and no section defines.
-fn check_links(section: &Section<'_>, fleet: &Fleet, faults: &mut Faults) {
+/// Reports the names that a section refers to and no section defines.
+fn check_references(section: &Section<'_>, fleet: &Fleet, faults: &mut Faults) {
     let (kind, _) = section.split();
     if kind != "service" && kind != "server" {
         return;
     }
-    let mut missing = |key, object: &str, known: bool| {
+    let mut check = |key, object: &str, known: bool| {
         if !known {
             let detail = format!("no section [{key} {object}] exists");
-            SectionReader::new(section, faults).reject(Some(key), detail);
+            SectionReader::new(section, faults).add_fault(Some(key), detail);
         }
     };
     if let Some(entry) = section.get("pool") {
-        missing("pool", entry.value, fleet.pools.contains_key(entry.value));
+        check("pool", entry.value, fleet.pools.contains_key(entry.value));
     }
-    // A document that names no zones has them all in one region.
+    // If the document defines no zones, all zones belong to one region and any name is valid.
     if let Some(entry) = section.get("zone").filter(|_| fleet.has_regions()) {
-        missing("zone", entry.value, fleet.zones.contains_key(entry.value));
+        check("zone", entry.value, fleet.zones.contains_key(entry.value));
     }
 }
--- a/azureway-config/src/document/section_edit.rs
+++ b/azureway-config/src/document/section_edit.rs
@@ -1,31 +1,32 @@
-//! Changing entries of one section in its text.
+//! Edits of the text of one section.
 
-/// The text of one section while entries are set and taken out. Comments and order stay.
+/// The text of one section, whose entries can be set and removed. Comments and the order of lines
+/// are preserved.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SectionEdit {
     lines: Vec<String>,
 }
 
 impl SectionEdit {
-    /// Creates the edit of a section's text, with its header.
+    /// Creates an edit of the text of a section, including its header.
     pub fn new(text: &str) -> Self {
         Self {
             lines: text.lines().map(str::to_owned).collect(),
         }
     }
 
-    /// Creates the edit of a section that has no entries yet.
+    /// Creates an edit of a new section without entries.
     pub fn empty(name: &str) -> Self {
         Self::new(&format!("[{name}]"))
     }
 
-    /// Returns the value of an entry.
+    /// Returns the value of the first entry with `key`.
     pub fn get(&self, key: &str) -> Option<&str> {
         let line = self.lines.iter().find(|l| has_key(l, key))?;
         line.split_once('=').map(|(_, value)| value.trim())
     }
 
-    /// Sets an entry, in its place if it exists and at the end otherwise.
+    /// Sets an entry: replaces its line if it exists, and appends it to the section otherwise.
     #[must_use]
     pub fn with_entry(mut self, key: &str, value: &str) -> Self {
         let entry = format!("{key} = {value}");
@@ -36,14 +37,14 @@
         self
     }
 
-    /// Takes an entry out.
+    /// Removes an entry.
     #[must_use]
     pub fn without_entry(mut self, key: &str) -> Self {
         self.lines.retain(|l| !has_key(l, key));
         self
     }
 
-    /// Returns the text.
+    /// Returns the edited text of the section.
     pub fn text(&self) -> String {
         self.lines.join("\n")
     }
--- a/azureway-config/src/ini/entry.rs
+++ b/azureway-config/src/ini/entry.rs
@@ -1,12 +1,12 @@
-//! A line with a key and a value.
+//! An entry of a section.
 
-/// A line with a key and a value, borrowed from the text.
+/// An entry of a section: a line with a key and a value, borrowed from the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry<'a> {
-    /// The number of the line, from 1.
+    /// The line number, starting at 1.
     pub line: u32,
-    /// The key.
+    /// The key of the entry.
     pub key: &'a str,
-    /// The value, empty where the line has no `=`.
+    /// The value of the entry, empty if the line has no `=`.
     pub value: &'a str,
 }
--- a/azureway-config/src/ini/fault.rs
+++ b/azureway-config/src/ini/fault.rs
@@ -1,17 +1,17 @@
-//! Something that is wrong in an INI text.
+//! A fault in an INI text.
 
 use std::fmt;
 
-/// Something that is wrong in an INI text: where, and what was expected.
+/// A fault in an INI text, with its location and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// The number of the line, from 1.
+    /// The line number, starting at 1.
     pub line: u32,
-    /// The section.
+    /// The name of the section, empty before the first header.
     pub section: Box<str>,
-    /// The key, where the fault has one.
+    /// The key of the entry, if the fault concerns one.
     pub key: Option<Box<str>>,
-    /// What was expected or seen.
+    /// What is wrong, or what was expected and found.
     pub detail: Box<str>,
 }
 
--- a/azureway-config/src/ini/faults.rs
+++ b/azureway-config/src/ini/faults.rs
@@ -1,10 +1,10 @@
-//! All that is wrong in an INI text.
+//! The faults of an INI text.
 
 use std::fmt;
 
 use super::Fault;
 
-/// All that is wrong in an INI text, by line.
+/// The faults of an INI text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     faults: Vec<Fault>,
@@ -21,7 +21,7 @@
         self.faults.push(fault);
     }
 
-    /// Returns the faults.
+    /// Returns the faults in the order in which they were added.
     pub fn as_slice(&self) -> &[Fault] {
         &self.faults
     }
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the faults, by line, if there are any.
+    /// Returns the faults, sorted by line, if there are any.
     pub fn into_result<T>(mut self, value: T) -> Result<T, Self> {
         if self.faults.is_empty() {
             return Ok(value);
@@ -42,8 +42,8 @@
 
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, fault) in self.faults.iter().enumerate() {
-            if place > 0 {
+        for (index, fault) in self.faults.iter().enumerate() {
+            if index > 0 {
                 writeln!(f)?;
             }
             fault.fmt(f)?;
--- a/azureway-config/src/ini/mod.rs
+++ b/azureway-config/src/ini/mod.rs
@@ -1,4 +1,4 @@
-//! INI text as sections and entries with their lines.
+//! Parsing of INI text into sections and entries with their line numbers.
 
 mod entry;
 mod fault;
--- a/azureway-config/src/ini/parse.rs
+++ b/azureway-config/src/ini/parse.rs
@@ -1,21 +1,21 @@
-//! From text to sections.
+//! Parsing of INI text into sections.
 
 use ini_core::{Item, Parser};
 
 use super::{Entry, Fault, Faults, Section};
 
-/// Parses INI text.
+/// Parses INI text into its sections.
 ///
 /// # Errors
 ///
-/// Returns the lines that are no header, entry, comment or blank, the entries before the
-/// first header and the entries that stand twice in a section.
+/// Returns a fault for each line with a malformed header, each entry before the first header and
+/// each key that appears again in the same section.
 pub fn parse(text: &str) -> Result<Vec<Section<'_>>, Faults> {
     let mut sections: Vec<Section<'_>> = Vec::new();
     let mut faults = Faults::new();
     let mut line = 0;
     for item in Parser::new(text).auto_trim(true) {
-        // Every item but the end of a section stands for one line of the text.
+        // Every item except the end of a section corresponds to one line of the text.
         line += u32::from(!matches!(item, Item::SectionEnd));
         match item {
             Item::Section(name) => sections.push(Section {
@@ -29,38 +29,40 @@
                     key,
                     value: value.unwrap_or(""),
                 };
-                add(&mut sections, entry, &mut faults);
+                add_entry(&mut sections, entry, &mut faults);
+            }
+            Item::Error(text) => {
+                faults.push(new_fault(line, text, None, "a header must end with `]`"))
             }
-            Item::Error(text) => faults.push(fault(line, text, None, "a header must end with `]`")),
             Item::SectionEnd | Item::Comment(_) | Item::Blank => {}
         }
     }
     faults.into_result(sections)
 }
 
-fn add<'a>(sections: &mut [Section<'a>], entry: Entry<'a>, faults: &mut Faults) {
+fn add_entry<'a>(sections: &mut [Section<'a>], entry: Entry<'a>, faults: &mut Faults) {
     let Some(section) = sections.last_mut() else {
-        faults.push(fault(
+        faults.push(new_fault(
             entry.line,
             "",
             Some(entry.key),
-            "stands before the first section",
+            "entry before the first section header",
         ));
         return;
     };
     if section.get(entry.key).is_some() {
-        faults.push(fault(
+        faults.push(new_fault(
             entry.line,
             section.name,
             Some(entry.key),
-            "stands twice in its section",
+            "duplicate key in the section",
         ));
         return;
     }
     section.entries.push(entry);
 }
 
-fn fault(line: u32, section: &str, key: Option<&str>, detail: &str) -> Fault {
+fn new_fault(line: u32, section: &str, key: Option<&str>, detail: &str) -> Fault {
     Fault {
         line,
         section: section.into(),
--- a/azureway-config/src/ini/section.rs
+++ b/azureway-config/src/ini/section.rs
@@ -1,20 +1,21 @@
-//! A section with its entries.
+//! A section of an INI text.
 
 use super::Entry;
 
-/// A section with its entries, borrowed from the text.
+/// A section of an INI text with its entries, borrowed from the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section<'a> {
-    /// The number of the header's line, from 1.
+    /// The line number of the header, starting at 1.
     pub line: u32,
-    /// The text between the brackets.
+    /// The text between the brackets of the header.
     pub name: &'a str,
-    /// The entries in order.
+    /// The entries in the order of the text.
     pub entries: Vec<Entry<'a>>,
 }
 
 impl<'a> Section<'a> {
-    /// Splits a name such as `pool main` into its kind and the name of the object.
+    /// Splits the section name, such as `pool main`, into the kind of the section and the name of
+    /// the object.
     pub fn split(&self) -> (&'a str, &'a str) {
         let (kind, name) = self.name.split_once(' ').unwrap_or((self.name, ""));
         (kind.trim(), name.trim())
--- a/azureway-config/src/lib.rs
+++ b/azureway-config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of the daemons and the operators' document, both in INI.
+//! The settings of the entry daemon and the operators' document, both in INI format.
 //!
-//! Both are read whole: every fault is found and named with its line, its section, its key
-//! and what was expected, before anything takes effect.
+//! A text is always parsed to the end before anything takes effect. Every fault is reported, with
+//! its line, its section, its key and what was expected.
 //!
 //! # Example
 //!
--- a/azureway-config/src/settings/bounds.rs
+++ b/azureway-config/src/settings/bounds.rs
@@ -1,34 +1,35 @@
-//! The bounds of an entry daemon.
+//! The resource limits and timeouts of an entry daemon.
 
 use std::time::Duration;
 
-/// The bounds of an entry daemon: what it holds at most and how long it waits.
+/// The resource limits and timeouts of an entry daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// The caller connections at once.
+    /// The maximum number of concurrent caller connections.
     pub connections: usize,
-    /// The bytes of a request's head.
+    /// The maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// The bytes of a request's body.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// The time in which a request must have arrived whole.
+    /// The time within which a request must have arrived in full.
     pub request_timeout: Duration,
-    /// The time between two events of a stream after which it counts as silent.
+    /// The time without an event after which a stream counts as silent.
     pub event_timeout: Duration,
-    /// The time in which a connection to a backend server must be made.
+    /// The time within which a connection to a backend server must be established.
     pub connect_timeout: Duration,
-    /// The idle connections that are kept to a backend server.
+    /// The maximum number of idle connections that are kept to each backend server.
     pub idle_connections: usize,
-    /// The requests that wait for a pool.
+    /// The maximum number of requests that are queued for a pool.
     pub queue_limit: usize,
-    /// The messages in each ring between duties.
+    /// The capacity of each ring between duties, in messages.
     pub ring_capacity: usize,
-    /// The loads of weights that begin in a second, over all pools: the weight store's rate.
+    /// The maximum number of weight loads that start per second over all pools, which limits the
+    /// load on the weight store.
     pub load_rate: u32,
 }
 
 impl Bounds {
-    /// Creates the default bounds.
+    /// Creates the default limits and timeouts.
     pub const fn new() -> Self {
         Self {
             connections: 1_000,
--- a/azureway-config/src/settings/entry_settings.rs
+++ b/azureway-config/src/settings/entry_settings.rs
@@ -9,30 +9,30 @@
 /// The settings of one entry daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntrySettings {
-    /// The name of the instance.
+    /// The name of this entry instance.
     pub instance: InstanceId,
-    /// The availability zone.
+    /// The availability zone of this instance.
     pub zone: ZoneId,
-    /// The address that callers reach.
+    /// The address to listen on for callers.
     pub listen: SocketAddr,
-    /// The address that peers reach.
+    /// The address to listen on for the other entry instances.
     pub peer: SocketAddr,
-    /// The address that operators reach.
+    /// The address to listen on for operators.
     pub admin: SocketAddr,
-    /// The digest of the operators' key, where the entry asks for one.
+    /// The digest of the operators' key, if the entry requires one.
     pub operator_key: Option<KeyHash>,
     /// The address of the platform's object API.
     pub platform: SocketAddr,
-    /// The other entry instances.
+    /// The other entry instances that are configured.
     pub peers: Vec<Instance>,
-    /// The bounds.
+    /// The resource limits and timeouts.
     pub bounds: Bounds,
-    /// The site that the entry serves, where it serves one.
+    /// The settings of the site that the entry serves, if it serves one.
     pub site: Option<SiteSettings>,
 }
 
 impl EntrySettings {
-    /// Creates settings that listen on any free loopback port and know no peers.
+    /// Creates settings that listen on free loopback ports and have no peers.
     pub fn new(instance: InstanceId, zone: ZoneId, platform: SocketAddr) -> Self {
         let any = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
         let bounds = Bounds::new();
@@ -50,14 +50,14 @@
         }
     }
 
-    /// Sets the address that callers reach.
+    /// Sets the address to listen on for callers.
     #[must_use]
     pub fn with_listen(mut self, listen: SocketAddr) -> Self {
         self.listen = listen;
         self
     }
 
-    /// Sets the address that operators reach.
+    /// Sets the address to listen on for operators.
     #[must_use]
     pub fn with_admin(mut self, admin: SocketAddr) -> Self {
         self.admin = admin;
@@ -71,7 +71,7 @@
         self
     }
 
-    /// Sets the bounds.
+    /// Sets the resource limits and timeouts.
     #[must_use]
     pub fn with_bounds(mut self, bounds: Bounds) -> Self {
         self.bounds = bounds;
--- a/azureway-config/src/settings/parse.rs
+++ b/azureway-config/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! From text to settings.
+//! Parsing of the settings of an entry daemon.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use crate::ini::{self, Faults, Section, SectionReader};
 use crate::util::nearest;
 
-/// What an address looks like, for a fault's text.
-const ADDRESS: &str = "an IP address and a port, such as 10.0.0.7:8000";
-/// What a digest looks like, for a fault's text.
-const DIGEST: &str = "the SHA-256 digest of the operators' key, 64 hexadecimal digits";
-/// What the sections are, for a fault's text.
-const SECTIONS: &str = "expected [entry], [bounds], [peer NAME], [site] or [zone NAME]";
-/// The kinds of sections.
+/// The format of an address, as stated in faults.
+const ADDRESS_FORMAT: &str = "an IP address and a port, such as 10.0.0.7:8000";
+/// The format of the operators' key digest, as stated in faults.
+const DIGEST_FORMAT: &str = "the SHA-256 digest of the operators' key, 64 hexadecimal digits";
+/// The sections that may appear, as stated in faults.
+const EXPECTED_SECTIONS: &str = "expected [entry], [bounds], [peer NAME], [site] or [zone NAME]";
+/// The known kinds of sections.
 const KINDS: [&str; 5] = ["entry", "bounds", "peer", "site", "zone"];
-/// Where operators reach the entry if the settings name no address.
-const DEFAULT_ADMIN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8082);
+/// The address to listen on for operators if the settings state none.
+const DEFAULT_ADMIN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8082);
 
 /// Parses the settings of an entry daemon.
 ///
@@ -28,23 +28,23 @@
 pub fn parse(text: &str) -> Result<EntrySettings, Faults> {
     let sections = ini::parse(text)?;
     let mut faults = Faults::new();
-    let (mut base, mut bounds, mut peers) = (None, Bounds::new(), Vec::new());
-    let (mut served, mut zones) = (None, Vec::new());
-    for (place, section) in sections.iter().enumerate() {
+    let (mut entry, mut bounds, mut peers) = (None, Bounds::new(), Vec::new());
+    let (mut site, mut zones) = (None, Vec::new());
+    for (index, section) in sections.iter().enumerate() {
         let mut reader = SectionReader::new(section, &mut faults);
-        if sections[..place].iter().any(|s| s.name == section.name) {
-            reader.reject(None, "defined twice".to_owned());
+        if sections[..index].iter().any(|s| s.name == section.name) {
+            reader.add_fault(None, "defined twice".to_owned());
         }
         match section.split() {
-            ("entry", "") => base = entry(&mut reader),
+            ("entry", "") => entry = read_entry(&mut reader),
             ("bounds", "") => bounds = read_bounds(&mut reader),
-            ("site", "") => served = site(&mut reader),
-            ("zone", name) if !name.is_empty() => zones.extend(zone(name, &mut reader)),
-            ("peer", name) if !name.is_empty() => peers.extend(peer(name, &mut reader)),
+            ("site", "") => site = read_site(&mut reader),
+            ("zone", name) if !name.is_empty() => zones.extend(read_zone(name, &mut reader)),
+            ("peer", name) if !name.is_empty() => peers.extend(read_peer(name, &mut reader)),
             (kind, _) => {
                 let hint = nearest(kind, &KINDS).map(|k| format!("; did you mean `{k}`?"));
                 let hint = hint.unwrap_or_default();
-                reader.reject(None, format!("unknown section{hint}; {SECTIONS}"));
+                reader.add_fault(None, format!("unknown section{hint}; {EXPECTED_SECTIONS}"));
                 continue;
             }
         }
@@ -56,32 +56,39 @@
             name: "entry",
             entries: Vec::new(),
         };
-        SectionReader::new(&absent, &mut faults).reject(None, "missing section".to_owned());
+        SectionReader::new(&absent, &mut faults).add_fault(None, "missing section".to_owned());
     }
-    let settings = faults.into_result(base)?;
-    // A missing or faulty entry section was noted as a fault, so there is one here.
+    let settings = faults.into_result(entry)?;
+    // A missing or invalid entry section has added a fault, which was returned above.
     let mut settings = settings.expect("the entry section was read");
     settings.bounds = bounds;
     settings.peers = peers;
-    settings.site = served.map(|site| SiteSettings { zones, ..site });
+    settings.site = site.map(|site| SiteSettings { zones, ..site });
     Ok(settings)
 }
 
-fn address(text: &str) -> Option<SocketAddr> {
+fn parse_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
-fn entry(reader: &mut SectionReader<'_, '_>) -> Option<EntrySettings> {
+fn read_entry(reader: &mut SectionReader<'_, '_>) -> Option<EntrySettings> {
     let instance = reader.required("instance", "the name of the instance");
     let zone = reader.required("zone", "the name of an availability zone");
-    let listen = reader.required_value("listen", ADDRESS, address);
-    let peer = reader.required_value("peer", ADDRESS, address);
-    let platform = reader.required_value("platform", ADDRESS, address);
-    let admin = reader.value("admin", DEFAULT_ADMIN, ADDRESS, address);
-    let operator_key = reader.secret("operator", None, DIGEST, |t| KeyHash::parse(t).map(Some));
+    let listen = reader.required_value("listen", ADDRESS_FORMAT, parse_address);
+    let peer = reader.required_value("peer", ADDRESS_FORMAT, parse_address);
+    let platform = reader.required_value("platform", ADDRESS_FORMAT, parse_address);
+    let admin = reader.value(
+        "admin",
+        DEFAULT_ADMIN_ADDRESS,
+        ADDRESS_FORMAT,
+        parse_address,
+    );
+    let operator_key = reader.secret("operator", None, DIGEST_FORMAT, |t| {
+        KeyHash::parse(t).map(Some)
+    });
     if operator_key.is_none() && !admin.ip().is_loopback() {
         let detail = "an address beyond loopback needs the `operator` key".to_owned();
-        reader.reject(Some("admin"), detail);
+        reader.add_fault(Some("admin"), detail);
     }
     let (instance, zone) = (InstanceId::new(instance?), ZoneId::new(zone?));
     let mut settings = EntrySettings::new(instance, zone, platform?).with_listen(listen?);
@@ -91,9 +98,9 @@
     Some(settings)
 }
 
-fn peer(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<Instance> {
+fn read_peer(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<Instance> {
     let zone = reader.required("zone", "the name of an availability zone");
-    let address = reader.required_value("address", ADDRESS, address);
+    let address = reader.required_value("address", ADDRESS_FORMAT, parse_address);
     Some(Instance::new(
         InstanceId::new(name),
         ZoneId::new(zone?),
@@ -101,15 +108,15 @@
     ))
 }
 
-fn zone(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<AvailabilityZone> {
+fn read_zone(name: &str, reader: &mut SectionReader<'_, '_>) -> Option<AvailabilityZone> {
     let region = reader.required("region", "the name of a region")?;
     Some(AvailabilityZone::new(ZoneId::new(name), region))
 }
 
-fn site(reader: &mut SectionReader<'_, '_>) -> Option<SiteSettings> {
-    let ready = reader.required_value("ready", ADDRESS, address);
-    let retry_percent = reader.required_value("retries", "a share from 0 to 1", share);
-    // The platform may state each of these as a fraction.
+fn read_site(reader: &mut SectionReader<'_, '_>) -> Option<SiteSettings> {
+    let ready = reader.required_value("ready", ADDRESS_FORMAT, parse_address);
+    let retry_percent = reader.required_value("retries", "a share from 0 to 1", parse_percent);
+    // The platform may state each of these figures as a fraction.
     let retry_slack = reader.number("slack", 0.0, 0.0, 1_000_000.0, "retries");
     let mut millis = |key, default: f64, low: f64| {
         let millis = reader.number(key, default, low, 3_600_000.0, "milliseconds");
@@ -128,7 +135,7 @@
         ready: ready?,
         zones: Vec::new(),
         retry_percent: retry_percent?,
-        // Rounded down, and within its range.
+        // Rounds down. The value is within the range of `u32`.
         retry_slack: retry_slack as u32,
         retry_window,
         lease_term,
@@ -138,10 +145,10 @@
     })
 }
 
-/// Reads a share as whole percent, rounded down.
-fn share(text: &str) -> Option<u32> {
+/// Parses a share from 0 to 1 and returns it in percent, rounded down.
+fn parse_percent(text: &str) -> Option<u32> {
     let share: f64 = text.parse().ok()?;
-    // The cast cannot leave its range.
+    // Rounds down. The value is at most 100, so it fits into a `u32`.
     (0.0..=1.0)
         .contains(&share)
         .then_some((share * 100.0) as u32)
--- a/azureway-config/src/settings/site_settings.rs
+++ b/azureway-config/src/settings/site_settings.rs
@@ -1,29 +1,31 @@
-//! The settings of an entry that serves a site.
+//! The settings of an entry that serves a site of the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use azureway_core::prelude::AvailabilityZone;
 
-/// The settings of an entry that serves a site: what its platform promises and asks for.
+/// The settings of an entry that serves a site: the guarantees and requirements of the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SiteSettings {
-    /// The address on which readiness and metrics are told.
+    /// The address that serves readiness and metrics.
     pub ready: SocketAddr,
-    /// The availability zones with their regions.
+    /// The availability zones of the site with their regions.
     pub zones: Vec<AvailabilityZone>,
-    /// The retries that are allowed, in percent of a service's requests.
+    /// The allowed retries, in percent of the requests of a service.
     pub retry_percent: u32,
-    /// The retries beyond these that all entries together may make within the window.
+    /// The number of retries beyond the percentage that all entries together may make within the
+    /// retry window.
     pub retry_slack: u32,
-    /// The window of the slack.
+    /// The time window to which the retry slack applies.
     pub retry_window: Duration,
-    /// How long whoever gives orders must have been silent before another one gives any.
+    /// How long the instance that gives orders must have been silent before another one may give
+    /// any.
     pub lease_term: Duration,
-    /// The time in which newly named weights must answer everything.
+    /// The time within which newly named weights must serve all requests.
     pub rollout_timeout: Duration,
-    /// How long after its start a process is not held to the bounds of the platform.
+    /// The time after its start during which a process is not held to the platform's bounds.
     pub startup_grace: Duration,
-    /// The time between the signal to stop and the end of the process.
+    /// The time from the signal to stop until the process must have ended.
     pub shutdown_grace: Duration,
 }
--- a/azureway-config/tests/document.rs
+++ b/azureway-config/tests/document.rs
@@ -1,10 +1,10 @@
-//! The document: what it defines and what is wrong with it.
+//! Tests of the operators' document: the fleet that it defines, and its faults.
 
 use azureway_config::{document, settings};
 use azureway_core::prelude::*;
 use googletest::prelude::*;
 
-const GOOD: &str = "
+const VALID: &str = "
 [pool main]
 loads = 2
 [server kranj-1]
@@ -31,7 +31,7 @@
 
 #[gtest]
 fn a_document_defines_a_fleet() {
-    let fleet = document::parse(GOOD, ConfigVersion::new(7)).expect("the document is good");
+    let fleet = document::parse(VALID, ConfigVersion::new(7)).expect("the document is good");
     expect_that!(fleet.version, eq(ConfigVersion::new(7)));
     expect_that!(fleet.servers["kranj-1"].slots, eq(4));
     expect_that!(fleet.services["advice"].weights, eq(WeightsVersion::new(3)));
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn every_fault_is_named_with_its_line() {
+fn every_fault_is_reported_with_its_line() {
     let text =
         "[pool main]\nlodes = 2\n[server s]\npool = other\nzone = a\naddress = here\n[thing]\n";
     let faults = faults(text);
@@ -60,7 +60,7 @@
 }
 
 #[gtest]
-fn settings_that_are_not_understood_name_the_line() {
+fn faults_of_the_settings_state_the_line() {
     let text = "[entry]\ninstance = e1\nzone = a\nlisten = nowhere\n";
     let faults = settings::parse(text)
         .expect_err("the settings are wrong")
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn the_example_of_each_user_is_good() {
+fn the_example_documents_are_valid() {
     for text in [
         include_str!("../../examples/smucarski-vosek.ini"),
         include_str!("../../examples/corchos.ini"),
@@ -90,7 +90,7 @@
 }
 
 #[gtest]
-fn zones_that_a_document_names_are_the_ones_that_servers_stand_in() {
+fn servers_may_only_use_zones_that_the_document_defines() {
     let text = "[pool p]\n[zone a]\nregion = r\n[zone b]\n\
                 [server s]\npool = p\nzone = c\naddress = 10.0.0.7:80\n";
     let faults = faults(text);
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn a_document_is_refused_for_what_only_the_whole_shows() {
+fn faults_across_sections_are_reported() {
     let digest = "0123456789abcdef".repeat(4);
     let text = format!(
         "[account a]\nkeys = {digest}\n[account b]\nkeys = {digest}\n[ranks]\n[ranks]\n\
--- a/azureway-config/tests/settings.rs
+++ b/azureway-config/tests/settings.rs
@@ -1,26 +1,26 @@
-//! The settings of a daemon: faults, and the table of the operators' page.
+//! Tests of the settings of an entry daemon: faults, and the table in the operators' guide.
 
 use azureway_config::document::SectionEdit;
 use azureway_config::settings;
 use googletest::prelude::*;
 
-/// Good settings; the line numbers of the table count from here.
-const GOOD: [&str; 2] = [
+/// Valid settings. The line numbers in the table of faults refer to this text.
+const VALID: [&str; 2] = [
     "[entry]\ninstance = kranj-a-1\nzone = kranj-a\nlisten = 10.0.0.4:8080\n\
      peer = 10.0.0.4:8081\nplatform = 10.0.0.1:7000",
     "[bounds]\nring = 64",
 ];
 
-/// Returns the good settings with one change of the table's form.
-fn changed(change: &str) -> String {
-    let mut sections = GOOD.map(SectionEdit::new);
-    let place = |section: &str| usize::from(section.trim_start_matches('-') != "entry");
+/// Returns the valid settings with one change, written as in the table.
+fn with_change(change: &str) -> String {
+    let mut sections = VALID.map(SectionEdit::new);
+    let section_index = |section: &str| usize::from(section.trim_start_matches('-') != "entry");
     if let Some(header) = change.strip_prefix('+') {
-        return format!("{}\n{header}\n", GOOD.join("\n"));
+        return format!("{}\n{header}\n", VALID.join("\n"));
     }
     let (section, entry) = change.split_once('.').expect("a section and a key");
-    let edit = sections[place(section)].clone();
-    sections[place(section)] = match entry.split_once(" = ") {
+    let edit = sections[section_index(section)].clone();
+    sections[section_index(section)] = match entry.split_once(" = ") {
         Some((key, value)) => edit.with_entry(key, value),
         None => edit.without_entry(entry),
     };
@@ -32,14 +32,14 @@
 }
 
 #[gtest]
-fn faults_are_named_as_the_table_says() {
+fn changed_settings_give_the_faults_of_the_table() {
     for line in include_str!("../testdata/settings.txt").lines() {
         if line.starts_with('#') {
             continue;
         }
         let (change, expected) = line.split_once(" | ").expect("two cells");
         expect_that!(
-            faults(&changed(change)),
+            faults(&with_change(change)),
             contains_substring(expected),
             "{line}"
         );
@@ -47,14 +47,15 @@
 }
 
 #[gtest]
-fn a_secret_does_not_show_in_a_fault() {
-    let text = changed("entry.operator = sekrit");
+fn faults_do_not_contain_secrets() {
+    let text = with_change("entry.operator = sekrit");
     expect_that!(faults(&text), not(contains_substring("sekrit")));
 }
 
-/// The page's rows read `| key | unit | default | lowest | highest | meaning |`.
+/// Checks the table of bounds in the operators' guide, whose rows have the form
+/// `| key | unit | default | lowest | highest | meaning |`.
 #[gtest]
-fn the_operators_page_states_the_bounds_as_they_are() {
+fn the_operators_guide_states_the_actual_bounds() {
     let page = include_str!("../../docs/OPERATIONS.md");
     let (_, table) = page
         .split_once("| key | unit |")
@@ -64,7 +65,7 @@
     for row in rows {
         let cells: Vec<&str> = row.split('|').map(|c| c.trim().trim_matches('`')).collect();
         let parse =
-            |value: i128| settings::parse(&changed(&format!("bounds.{} = {value}", cells[1])));
+            |value: i128| settings::parse(&with_change(&format!("bounds.{} = {value}", cells[1])));
         let number = |cell: usize| {
             cells[cell]
                 .replace(' ', "")
@@ -75,30 +76,38 @@
         expect_that!(parse(number(5)).is_ok(), eq(true), "{row}");
         expect_that!(parse(number(4) - 1).is_ok(), eq(false), "{row}");
         expect_that!(parse(number(5) + 1).is_ok(), eq(false), "{row}");
-        // Stating the default changes nothing.
-        let (stated, plain) = (parse(number(3)), settings::parse(&changed("-bounds.none")));
+        // Setting a key to its default changes nothing.
+        let (explicit, implicit) = (
+            parse(number(3)),
+            settings::parse(&with_change("-bounds.none")),
+        );
         if cells[1] != "ring" {
-            expect_that!(stated.expect("good"), eq(&plain.expect("good")), "{row}");
+            expect_that!(
+                explicit.expect("good"),
+                eq(&implicit.expect("good")),
+                "{row}"
+            );
         }
         count += 1;
     }
-    expect_that!(count, eq(BOUNDS));
+    expect_that!(count, eq(BOUNDS_KEYS));
 }
 
-/// The keys of the section.
-const BOUNDS: usize = 10;
+/// The number of keys of the `[bounds]` section.
+const BOUNDS_KEYS: usize = 10;
 
-/// Each row: a section for a site, and what is read of it or the fault that is named.
+/// Checks the values that are read from a valid `[site]` section, then replaces one entry per row
+/// and checks the fault.
 #[gtest]
-fn the_settings_of_a_site_are_checked() {
+fn site_settings_are_read_and_checked() {
     let good = "[site]\nready = 10.0.0.4:9000\nretries = 0.2\nslack = 52\ngrace = 8";
-    let parse = |extra: &str| settings::parse(&format!("{}\n{extra}\n", GOOD.join("\n")));
+    let parse = |extra: &str| settings::parse(&format!("{}\n{extra}\n", VALID.join("\n")));
     let read = parse(&format!("{good}\n[zone a]\nregion = r")).expect("good settings");
     let site = read.site.expect("a site");
     expect_that!((site.retry_percent, site.retry_slack), eq((20, 52)));
     expect_that!(site.zones.len(), eq(1));
     expect_that!(site.shutdown_grace.as_secs(), eq(8));
-    // A platform may state any of its figures as a fraction; counts are rounded down.
+    // The platform may state any of its figures as a fraction. Counts are rounded down.
     let fractions = good.replace("slack = 52", "slack = 38.0392\nterm = 2500.5\nsettle = 0.5");
     let fractions = fractions.replace("grace = 8", "grace = 7.5\nwindow = 9.25");
     let read = parse(&fractions).expect("good settings");
