--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,44 +1,45 @@
 //! azureway: a router for language-model traffic with long shared prompts.
 //!
-//! This crate is the library: the coordination parts from which the daemons are built, for
-//! others to embed. It has no I/O, no clock and no thread. Events, answers and the time go
-//! in, actions come out, and the embedder carries them out. Each part stands without the
-//! rest.
+//! This crate is the library of the coordination components from which the daemons are built, for
+//! use in other programs. It performs no I/O, reads no clock and starts no threads: the embedding
+//! program passes in events, answers and the time, and carries out the actions that are returned.
+//! Each component can be used on its own.
 //!
-//! # Parts
+//! # Components
 //!
-//! | part | what it decides |
+//! | module | responsibility |
 //! |---|---|
-//! | [`member`] | which instances are alive, and what they tell each other |
-//! | [`route`] | where a request goes: rendezvous placement and estimates |
-//! | [`admit`] | which request is served next: a fair queue under two ranks, with limits |
-//! | [`retry`] | how often and when something is tried again: budget and backoff |
-//! | [`claim`] | whether a request that may not repeat may run |
-//! | [`lease`] and [`order`] | who may give orders, with fencing numbers, and which |
-//! | [`quarantine`] | which requests are kept away from servers that they crash |
+//! | [`member`] | group membership: which instances are alive, and gossip between them |
+//! | [`route`] | routing policies: rendezvous placement and load estimates |
+//! | [`admit`] | admission: a fair queue with two ranks, and limits per client account |
+//! | [`retry`] | retries: budget and backoff |
+//! | [`claim`] | claims, by which a request runs at most once |
+//! | [`lease`] and [`order`] | the lease to give orders, with fencing numbers, and the orders |
+//! | [`quarantine`] | quarantine of requests that crash backend servers |
 //! | [`config`] | versions, edits and the audit trail of a shared document |
-//! | [`cache`] | what each server's cache holds |
-//! | [`stream`] | streams that arrive complete and in order |
-//! | [`router`] | the parts put together |
+//! | [`cache`] | the index of the blocks in each server's prefix cache |
+//! | [`stream`] | complete and in-order delivery of streams |
+//! | [`router`] | the router, which combines these components |
 //!
-//! Durations are [`std::time::Duration`], times are [`domain::Timestamp`] on the embedder's
-//! own clock, work is counted in [`domain::TokenCount`]. Errors are [`error::Error`], with a
-//! kind to act on, the step and the peer.
+//! Durations are [`std::time::Duration`], points in time are [`domain::Timestamp`] on the embedding
+//! program's clock, and work is counted in [`domain::TokenCount`]. Errors are [`error::Error`],
+//! with a kind to act on, the step and the peer.
 //!
 //! # Examples
 //!
-//! Rendezvous placement: every instance computes the same order, without history or peers.
+//! Rendezvous placement: every instance computes the same order, without history or
+//! communication.
 //!
 //! ```
 //! use azureway::prelude::*;
 //!
-//! let order = Rendezvous::new(PrefixKey::new(7));
+//! let rendezvous = Rendezvous::new(PrefixKey::new(7));
 //! let servers = ["a", "b", "c"].map(ServerId::new);
-//! let home = servers.iter().max_by_key(|s| order.weight(s)).unwrap();
-//! assert!(servers.contains(home));
+//! let replica = servers.iter().max_by_key(|s| rendezvous.weight(s)).unwrap();
+//! assert!(servers.contains(replica));
 //! ```
 //!
-//! A retry budget: retries are a stated share of the requests.
+//! A retry budget, which limits retries to a percentage of the requests.
 //!
 //! ```
 //! use azureway::prelude::*;
@@ -50,14 +51,14 @@
 //! assert!(!budget.try_spend());
 //! ```
 //!
-//! A change of a shared document: the embedder carries out each step against its store.
+//! A change of a shared document. The embedding program carries out each step against its store.
 //!
 //! ```
 //! use azureway::prelude::*;
 //!
-//! struct Any;
+//! struct AcceptAll;
 //!
-//! impl DocumentCheck for Any {
+//! impl DocumentCheck for AcceptAll {
 //!     type Faults = String;
 //!
 //!     fn check(&self, _: &str) -> Result<(), String> {
@@ -67,8 +68,8 @@
 //!
 //! let base = Snapshot::new(ConfigVersion::new(4), "[limits]\nteam = retail\nrate = 1\n");
 //! let team = TeamId::new("retail");
-//! let note = ChangeMetadata::new(ChangeId::new("c1"), "ana", team, ChangeTime::new(0));
-//! let mut edit = Edit::new(note, &base, "[limits]\nteam = retail\nrate = 2\n", Any);
+//! let metadata = ChangeMetadata::new(ChangeId::new("c1"), "ana", team, ChangeTime::new(0));
+//! let mut edit = Edit::new(metadata, &base, "[limits]\nteam = retail\nrate = 2\n", AcceptAll);
 //! assert!(matches!(edit.step(), EditStep::Read));
 //! edit.handle(EditReply::Read(base));
 //! assert!(matches!(edit.step(), EditStep::Write(_)));
@@ -76,8 +77,8 @@
 //! assert_eq!(edit.outcome(), Some(&EditOutcome::Accepted(ConfigVersion::new(5))));
 //! ```
 //!
-//! A lease: the holder stops by its own clock before another one may begin, and its orders
-//! carry a fencing number.
+//! A lease. The holder stops giving orders by its own clock before another instance may take over,
+//! and its orders carry a fencing number.
 //!
 //! ```
 //! use azureway::prelude::*;
@@ -94,7 +95,7 @@
 //! assert_eq!(lease.fencing_number(late, true), None);
 //! ```
 //!
-//! Versions of a configuration: only ever newer ones come into force, and each is judged once.
+//! Versions of a configuration. Only a newer version can take effect, and each is checked once.
 //!
 //! ```
 //! use azureway::prelude::*;
@@ -107,7 +108,8 @@
 //! assert_eq!(gate.rejected(), Some(ConfigVersion::new(6)));
 //! ```
 //!
-//! Streams: late and doubled events of a try that was given up are told from the next one.
+//! Streams. Late or duplicate events of an abandoned attempt are distinguished from those of the
+//! next attempt.
 //!
 //! ```
 //! use azureway::prelude::*;
@@ -121,23 +123,24 @@
 //! assert_eq!(progress.accept(Attempt::new(id, 2), second), Delivery::Next);
 //! ```
 //!
-//! A claim, which lets a request run at most once: an answer that was lost after the write took
-//! effect is resolved by reading the object back.
+//! A claim, which lets a request run at most once. If the response to a write is lost, the object
+//! is read back to find out whether the write took effect.
 //!
 //! ```
 //! use azureway::prelude::*;
 //!
 //! let id = RequestId::new(1, 1);
-//! let mut calls = ClaimCreation::new(id);
-//! assert_eq!(calls.first(), ClaimStep::Write(0));
-//! assert_eq!(calls.next(ClaimReply::Lost), ClaimStep::Read);
-//! let request = Fingerprint::of("wax-desk", "orders", b"order 17");
-//! let own = ClaimRecord::open(ClaimNonce::of(id), request);
-//! let end = calls.next(ClaimReply::Found(9, own));
-//! assert_eq!(end, ClaimStep::Done(ClaimOutcome::Granted(id, 9)));
+//! let mut creation = ClaimCreation::new(id);
+//! assert_eq!(creation.first(), ClaimStep::Write(0));
+//! assert_eq!(creation.next(ClaimReply::Lost), ClaimStep::Read);
+//! let fingerprint = Fingerprint::of("wax-desk", "orders", b"order 17");
+//! let record = ClaimRecord::open(ClaimNonce::of(id), fingerprint);
+//! let step = creation.next(ClaimReply::Found(9, record));
+//! assert_eq!(step, ClaimStep::Done(ClaimOutcome::Granted(id, 9)));
 //! ```
 //!
-//! Membership: heartbeats go to some peers a round, and the embedder carries them.
+//! Membership. In each round, heartbeats are sent to some of the peers. The embedding program
+//! transmits them.
 //!
 //! ```
 //! use azureway::prelude::*;
@@ -158,12 +161,12 @@
 //!
 //! # Crates
 //!
-//! * `azureway-core`: decisions and state, re-exported here;
-//! * `azureway-config`: settings of a daemon and the operators' document, in INI;
-//! * `azureway-wire`: messages, with conversions from and to the types of the core;
-//! * `azureway-objects`: the client side of the platform's object API;
-//! * `azureway-entry`: the daemon that stands between callers and backend servers;
+//! * `azureway-core`: decisions and state, re-exported by this crate;
+//! * `azureway-config`: the settings of a daemon and the operators' document, in INI format;
+//! * `azureway-wire`: message types, with conversions from and to the types of `azureway-core`;
+//! * `azureway-objects`: the client of the platform's object API;
+//! * `azureway-entry`: the daemon that routes requests from callers to backend servers;
 //! * `azureway-cli`: the operators' command line;
-//! * `azureway-dev`: stand-ins, replay and benches, never linked into a daemon.
+//! * `azureway-dev`: stand-ins, replay and benchmarks, never linked into a daemon.
 
 pub use azureway_core::*;
