--- a/azureway-cli/src/account/keys.rs
+++ b/azureway-cli/src/account/keys.rs
@@ -8,22 +8,22 @@
 use clap::ArgMatches;
 
 use super::update;
+use crate::printer::Printer;
 use crate::report::KeyReport;
-use crate::shell::Shell;
 use crate::{Exit, Failure, random};
 
 /// The bytes of an API key.
 const KEY_BYTES: usize = 32;
 /// The fewest digits that name a digest.
-const DIGITS_MIN: usize = 6;
+const MIN_PREFIX_DIGITS: usize = 6;
 
 /// Makes a key, prints it and stores its digest.
-pub(super) fn add<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(super) fn add<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let key = random::hex::<KEY_BYTES>().context("draw an API key")?;
     // Printed before it is stored: a key that nobody has seen would be of no use.
-    shell.print(&KeyReport::new(&key))?;
+    printer.print(&KeyReport::new(&key))?;
     let digest = KeyHash::of(&key).to_string();
-    update(matches, &mut shell, |edit| {
+    update(matches, &mut printer, |edit| {
         let keys: Vec<&str> = digests(&edit).chain([digest.as_str()]).collect();
         let keys = keys.join(", ");
         Ok(Some(edit.with_entry("keys", &keys)))
@@ -31,12 +31,12 @@
 }
 
 /// Returns the section without the keys that the command names.
-pub(super) fn removed(edit: SectionEdit, matches: &ArgMatches) -> Result<SectionEdit> {
+pub(super) fn remove(edit: SectionEdit, matches: &ArgMatches) -> Result<SectionEdit> {
     let prefix: &String = matches.get_one("digest").context("name a digest")?;
     let kept: Vec<&str> = digests(&edit)
         .filter(|d| !d.starts_with(&**prefix))
         .collect();
-    if prefix.len() < DIGITS_MIN || kept.len() == digests(&edit).count() {
+    if prefix.len() < MIN_PREFIX_DIGITS || kept.len() == digests(&edit).count() {
         let detail =
             format!("no key has a digest that begins with `{prefix}`; name 6 digits or more");
         return Err(Failure::new(Exit::NotFound, detail).into());
--- a/azureway-cli/src/account/list.rs
+++ b/azureway-cli/src/account/list.rs
@@ -7,13 +7,13 @@
 use azureway_core::config::Sections;
 use clap::ArgMatches;
 
-use crate::report::{AccountReport, List};
+use crate::printer::Printer;
+use crate::report::{AccountReport, ReportList};
 use crate::session::Session;
-use crate::shell::Shell;
 use crate::{Exit, Failure};
 
 /// Lists the client accounts.
-pub(super) fn run<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let current = Session::new(matches)?.store().read()?;
     let fleet = document::parse(&current.text, current.version)
         .map_err(|faults| Failure::new(Exit::Invalid, faults))?;
@@ -21,6 +21,6 @@
     let team = |name: &str| sections.get(&format!("account {name}")).map(|s| s.team());
     let accounts = fleet.accounts.values();
     let reports = accounts.map(|a| AccountReport::new(a, team(a.id.as_str()).unwrap_or_default()));
-    shell.print(&List(reports.collect()))?;
+    printer.print(&ReportList(reports.collect()))?;
     Ok(Exit::Done)
 }
--- a/azureway-cli/src/account/mod.rs
+++ b/azureway-cli/src/account/mod.rs
@@ -11,23 +11,23 @@
 use clap::ArgMatches;
 
 use crate::Exit;
-use crate::config::{change, missing};
+use crate::config::{change, missing_section};
+use crate::printer::Printer;
 use crate::session::Session;
-use crate::shell::Shell;
 
 /// Runs a command on client accounts.
-pub(crate) fn run<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(crate) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let (name, sub) = matches.subcommand().context("name a command")?;
     match name {
-        "list" => list::run(sub, shell),
-        "add-key" => keys::add(sub, shell),
-        "remove-key" => update(sub, &mut shell, |edit| keys::removed(edit, sub).map(Some)),
-        "remove" => update(sub, &mut shell, |_| Ok(None)),
-        _ => update(sub, &mut shell, |edit| Ok(Some(set(edit, sub)))),
+        "list" => list::run(sub, printer),
+        "add-key" => keys::add(sub, printer),
+        "remove-key" => update(sub, &mut printer, |edit| keys::remove(edit, sub).map(Some)),
+        "remove" => update(sub, &mut printer, |_| Ok(None)),
+        _ => update(sub, &mut printer, |edit| Ok(Some(set_entries(edit, sub)))),
     }
 }
 
-fn set(mut edit: SectionEdit, matches: &ArgMatches) -> SectionEdit {
+fn set_entries(mut edit: SectionEdit, matches: &ArgMatches) -> SectionEdit {
     for key in ["limit", "weight"] {
         if let Some(value) = matches.get_one::<String>(key) {
             edit = edit.with_entry(key, value);
@@ -39,8 +39,8 @@
 /// Changes the section of the account that the command names; `None` removes it.
 fn update<W: Write>(
     matches: &ArgMatches,
-    shell: &mut Shell<W>,
-    edited: impl FnOnce(SectionEdit) -> Result<Option<SectionEdit>>,
+    printer: &mut Printer<W>,
+    edit_section: impl FnOnce(SectionEdit) -> Result<Option<SectionEdit>>,
 ) -> Result<Exit> {
     let session = Session::new(matches)?;
     let base = session.store().read()?;
@@ -53,10 +53,10 @@
         .flatten()
         .is_some_and(|a| *a);
     if before.is_none() && !add {
-        return Err(missing(&name, &sections).into());
+        return Err(missing_section(&name, &sections).into());
     }
     let empty = SectionEdit::empty(&name).with_entry("team", session.team().as_str());
-    let after = edited(before.map_or(empty, SectionEdit::new))?.map(|e| e.text());
+    let after = edit_section(before.map_or(empty, SectionEdit::new))?.map(|e| e.text());
     let delta = Delta::new(vec![SectionChange::new(&name, before, after.as_deref())]);
-    change(&session, matches, &base, &delta.apply(&sections), shell)
+    change(&session, matches, &base, &delta.apply(&sections), printer)
 }
--- a/azureway-cli/src/admin/drain.rs
+++ b/azureway-cli/src/admin/drain.rs
@@ -9,26 +9,30 @@
 
 use super::clients;
 use crate::config::change;
-use crate::report::{DrainReport, List};
+use crate::printer::Printer;
+use crate::report::{DrainReport, ReportList};
 use crate::session::Session;
-use crate::shell::Shell;
 use crate::{Exit, Failure};
 
 /// Shuts entry instances down, or takes a backend server out.
-pub(super) fn run<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     if let Some(server) = matches.get_one::<String>("server") {
-        return take_out(server, matches, &mut shell);
+        return drain_server(server, matches, &mut printer);
     }
     let mut reports = Vec::new();
     for client in clients(matches)? {
         client.drain()?;
         reports.push(DrainReport::new(client.address()));
     }
-    shell.print(&List(reports))?;
+    printer.print(&ReportList(reports))?;
     Ok(Exit::Done)
 }
 
-fn take_out<W: Write>(server: &str, matches: &ArgMatches, shell: &mut Shell<W>) -> Result<Exit> {
+fn drain_server<W: Write>(
+    server: &str,
+    matches: &ArgMatches,
+    printer: &mut Printer<W>,
+) -> Result<Exit> {
     let session = Session::new(matches)?;
     let base = session.store().read()?;
     let (name, sections) = (format!("server {server}"), Sections::parse(&base.text));
@@ -46,5 +50,5 @@
         Some(before),
         Some(&after.text()),
     )]);
-    change(&session, matches, &base, &delta.apply(&sections), shell)
+    change(&session, matches, &base, &delta.apply(&sections), printer)
 }
--- a/azureway-cli/src/admin/entry_client.rs
+++ b/azureway-cli/src/admin/entry_client.rs
@@ -14,7 +14,7 @@
 }
 
 /// The limit of a request, in seconds.
-const TIMEOUT: u64 = 5;
+const TIMEOUT_SECS: u64 = 5;
 
 impl EntryClient {
     pub(crate) const fn new(address: SocketAddr, key: Option<String>) -> Self {
@@ -56,7 +56,7 @@
             Some(key) => request.with_header("authorization", format!("Bearer {key}")),
             None => request,
         };
-        let answer = request.with_timeout(TIMEOUT).send();
+        let answer = request.with_timeout(TIMEOUT_SECS).send();
         let answer = answer.map_err(|e| self.error(ErrorKind::Unavailable, step, e))?;
         let text = || answer.as_str().unwrap_or_default().to_owned();
         match answer.status_code {
--- a/azureway-cli/src/admin/mod.rs
+++ b/azureway-cli/src/admin/mod.rs
@@ -12,15 +12,15 @@
 use anyhow::Result;
 use clap::ArgMatches;
 
-use crate::shell::Shell;
+use crate::printer::Printer;
 use crate::{Exit, Failure};
 
 /// Runs a command on entry instances and backend servers.
-pub(crate) fn run<W: Write>(name: &str, matches: &ArgMatches, shell: Shell<W>) -> Result<Exit> {
+pub(crate) fn run<W: Write>(name: &str, matches: &ArgMatches, printer: Printer<W>) -> Result<Exit> {
     match name {
-        "status" => status::run(matches, shell),
-        "explain" => explain::run(matches, shell),
-        _ => drain::run(matches, shell),
+        "status" => status::run(matches, printer),
+        "explain" => explain::run(matches, printer),
+        _ => drain::run(matches, printer),
     }
 }
 
--- a/azureway-cli/src/admin/status.rs
+++ b/azureway-cli/src/admin/status.rs
@@ -10,11 +10,11 @@
 
 use super::clients;
 use crate::Exit;
+use crate::printer::Printer;
 use crate::report::{LeaseReport, StatusReport, SystemReport};
-use crate::shell::Shell;
 
 /// Shows the instances that the command names, those that do not answer among them.
-pub(super) fn run<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let (mut reports, mut exit) = (Vec::new(), Exit::Done);
     for client in clients(matches)? {
         let status = client.status();
@@ -25,7 +25,7 @@
         reports.push(StatusReport::new(client.address(), status, servers));
     }
     let mut report = SystemReport::new(reports);
-    match matches.get_one("platform").map(|p| leases(*p)) {
+    match matches.get_one("platform").map(|p| read_leases(*p)) {
         Some(Ok(leases)) => report = report.with_leases(leases),
         Some(Err(e)) => {
             // The instances are still shown: an outage is when they are looked at.
@@ -34,12 +34,12 @@
         }
         None => {}
     }
-    shell.print(&report)?;
+    printer.print(&report)?;
     Ok(exit)
 }
 
 /// Reads the leases out of the platform.
-fn leases(platform: SocketAddr) -> Result<Vec<LeaseReport>> {
+fn read_leases(platform: SocketAddr) -> Result<Vec<LeaseReport>> {
     let list = HttpObjects::new(platform).list(LEASE_KIND)?;
     let leases = list.objects.iter().map(|o| {
         let body = serde_json::from_str(&o.value);
--- a/azureway-cli/src/app/account_command.rs
+++ b/azureway-cli/src/app/account_command.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, Command};
 
-use super::arguments::{add, reason, text};
+use super::arguments::{add_flag, option, reason_option};
 
 /// Returns the commands on client accounts.
 pub(super) fn command() -> Command {
@@ -14,35 +14,39 @@
         .subcommand(
             Command::new("set")
                 .about("Sets an account's entries")
-                .arg(name())
+                .arg(account_name())
                 .args([
-                    text("limit", "NUMBER", "Tokens a second over all entries"),
-                    text(
+                    option("limit", "NUMBER", "Tokens a second over all entries"),
+                    option(
                         "weight",
                         "NUMBER",
                         "Its share beside other accounts of the same rank",
                     ),
-                    add(),
-                    reason(),
+                    add_flag(),
+                    reason_option(),
                 ]),
         )
         .subcommand(
             Command::new("add-key")
                 .about("Makes a new API key, prints it once and stores its digest")
-                .args([name(), reason()]),
+                .args([account_name(), reason_option()]),
         )
         .subcommand(
             Command::new("remove-key")
                 .about("Removes the API keys whose digest begins so")
-                .args([name(), Arg::new("digest").required(true), reason()]),
+                .args([
+                    account_name(),
+                    Arg::new("digest").required(true),
+                    reason_option(),
+                ]),
         )
         .subcommand(
             Command::new("remove")
                 .about("Removes an account")
-                .args([name(), reason()]),
+                .args([account_name(), reason_option()]),
         )
 }
 
-fn name() -> Arg {
+fn account_name() -> Arg {
     Arg::new("name").value_name("ACCOUNT").required(true)
 }
--- a/azureway-cli/src/app/admin_command.rs
+++ b/azureway-cli/src/app/admin_command.rs
@@ -4,7 +4,7 @@
 
 use clap::{Arg, ArgAction, ArgGroup, Command, value_parser};
 
-use super::arguments::text;
+use super::arguments::option;
 
 /// Returns the commands on entry instances and backend servers.
 pub(super) fn commands() -> [Command; 3] {
@@ -18,27 +18,27 @@
         .help("Shows each backend server as the instance knows it");
     Command::new("status")
         .about("Shows entry instances: versions in force, queues, servers, ends of requests")
-        .args([entry(), key(), servers])
+        .args([entry(), operator_key(), servers])
 }
 
 fn explain() -> Command {
     Command::new("explain")
         .about("Tells where a request would go and why, without running it")
-        .args([entry(), key()])
+        .args([entry(), operator_key()])
         .args([
-            text("account", "ACCOUNT", "The client account").required(true),
-            text("rank", "RANK", "The rank")
+            option("account", "ACCOUNT", "The client account").required(true),
+            option("rank", "RANK", "The rank")
                 .value_parser(["urgent", "drafting"])
                 .default_value("urgent"),
-            text("service", "SERVICE", "The service, with --message"),
-            text(
+            option("service", "SERVICE", "The service, with --message"),
+            option(
                 "message",
                 "TEXT",
                 "A message of the prompt; the first one is the system's",
             )
             .action(ArgAction::Append)
             .requires("service"),
-            text(
+            option(
                 "request",
                 "FILE",
                 "A whole chat-completions request in JSON",
@@ -52,7 +52,7 @@
 }
 
 fn drain() -> Command {
-    let server = text(
+    let server = option(
         "server",
         "SERVER",
         "Takes a backend server out: it gets no new work",
@@ -65,12 +65,12 @@
         .help("Takes the backend server back in");
     Command::new("drain")
         .about("Shuts an entry instance down, or takes a backend server out, cutting no request")
-        .args([entry(), key(), server, undo])
-        .arg(text("reason", "TEXT", "Why, for the audit trail"))
+        .args([entry(), operator_key(), server, undo])
+        .arg(option("reason", "TEXT", "Why, for the audit trail"))
 }
 
 fn entry() -> Arg {
-    text(
+    option(
         "entry",
         "ADDRESS",
         "The operators' address of an entry instance; may be repeated",
@@ -81,8 +81,8 @@
     .value_parser(value_parser!(SocketAddr))
 }
 
-fn key() -> Arg {
-    text(
+fn operator_key() -> Arg {
+    option(
         "operator-key",
         "KEY",
         "The operators' key, where the instance asks for one",
--- a/azureway-cli/src/app/config_command.rs
+++ b/azureway-cli/src/app/config_command.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, ArgAction, Command, value_parser};
 
-use super::arguments::{add, reason, text};
+use super::arguments::{add_flag, option, reason_option};
 
 /// Returns the commands on the document.
 pub(super) fn command() -> Command {
@@ -20,15 +20,15 @@
 }
 
 fn get() -> Command {
-    let file = text("file", "FILE", "Where to write it [default: to print it]");
+    let file = option("file", "FILE", "Where to write it [default: to print it]");
     Command::new("get")
         .about("Gets the document; its first line names its version, for `config put`")
         .arg(file.short('f'))
 }
 
 fn edit() -> Command {
-    let set = text("set", "KEY=VALUE", "Sets an entry").action(ArgAction::Append);
-    let unset = text("unset", "KEY", "Takes an entry out").action(ArgAction::Append);
+    let set = option("set", "KEY=VALUE", "Sets an entry").action(ArgAction::Append);
+    let unset = option("unset", "KEY", "Takes an entry out").action(ArgAction::Append);
     let remove = Arg::new("remove")
         .long("remove")
         .action(ArgAction::SetTrue)
@@ -41,13 +41,13 @@
                 .required(true)
                 .help("Such as 'account wax-desk'"),
         )
-        .args([set, unset, remove, add(), reason()])
+        .args([set, unset, remove, add_flag(), reason_option()])
 }
 
 fn put() -> Command {
     Command::new("put")
         .about("Writes a document that was got with `config get` and edited")
-        .args([file(), reason()])
+        .args([file(), reason_option()])
 }
 
 fn diff() -> Command {
@@ -59,7 +59,7 @@
                 .help("An edited document"),
         )
         .arg(
-            text(
+            option(
                 "since",
                 "VERSION",
                 "The version to compare the document with",
@@ -70,7 +70,7 @@
 }
 
 fn history() -> Command {
-    let days = text("days", "NUMBER", "The days to look back, today among them")
+    let days = option("days", "NUMBER", "The days to look back, today among them")
         .value_parser(value_parser!(u32).range(1..=366))
         .default_value("7");
     let diff = Arg::new("diff")
@@ -81,10 +81,10 @@
         .about("Lists the audit trail, the newest change first")
         .args([days, diff])
         .args([
-            text("by", "NAME", "Changes of this author alone"),
-            text("of", "TEAM", "Changes of this team alone"),
-            text("section", "SECTION", "Changes of this section alone"),
-            text("id", "ID", "The change with this identity alone"),
+            option("by", "NAME", "Changes of this author alone"),
+            option("of", "TEAM", "Changes of this team alone"),
+            option("section", "SECTION", "Changes of this section alone"),
+            option("id", "ID", "The change with this identity alone"),
         ])
 }
 
--- a/azureway-cli/src/app/root_command.rs
+++ b/azureway-cli/src/app/root_command.rs
@@ -5,7 +5,7 @@
 use clap::{Arg, Command, value_parser};
 use clap_complete::Shell;
 
-use super::arguments::text;
+use super::arguments::option;
 use super::{account_command, admin_command, config_command};
 
 /// What the help ends with.
@@ -26,35 +26,35 @@
         .after_help(EXIT_CODES)
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .args(global())
+        .args(global_options())
         .subcommand(config_command::command())
         .subcommand(account_command::command())
         .subcommands(admin_command::commands())
         .subcommand(completions())
 }
 
-fn global() -> [Arg; 4] {
+fn global_options() -> [Arg; 4] {
     [
-        text(
+        option(
             "platform",
             "ADDRESS",
             "The platform's object API, by IP address and port",
         )
         .env("AZUREWAY_PLATFORM")
         .value_parser(value_parser!(SocketAddr)),
-        text(
+        option(
             "team",
             "TEAM",
             "The team that you act for [default: operators]",
         )
         .env("AZUREWAY_TEAM"),
-        text(
+        option(
             "author",
             "NAME",
             "Your name in the audit trail [default: the user's name]",
         )
         .env("AZUREWAY_AUTHOR"),
-        text("output", "FORMAT", "How to print")
+        option("output", "FORMAT", "How to print")
             .value_parser(["text", "json"])
             .default_value("text"),
     ]
--- a/azureway-cli/src/app/runner.rs
+++ b/azureway-cli/src/app/runner.rs
@@ -6,7 +6,7 @@
 use clap::ArgMatches;
 
 use super::command;
-use crate::shell::Shell;
+use crate::printer::Printer;
 use crate::{Exit, account, admin, config};
 
 /// Runs a command line and prints to `out`.
@@ -24,10 +24,10 @@
         return Ok(Exit::Done);
     }
     let json = sub.get_one::<String>("output").is_some_and(|o| o == "json");
-    let shell = Shell::new(out, json);
+    let printer = Printer::new(out, json);
     match name {
-        "config" => config::run(sub, shell),
-        "account" => account::run(sub, shell),
-        _ => admin::run(name, sub, shell),
+        "config" => config::run(sub, printer),
+        "account" => account::run(sub, printer),
+        _ => admin::run(name, sub, printer),
     }
 }
--- a/azureway-cli/src/config/base.rs
+++ b/azureway-cli/src/config/base.rs
@@ -8,10 +8,10 @@
 use crate::{Exit, Failure};
 
 /// The days that are searched for the changes since an old version.
-const DAYS_MAX: u32 = 31;
+const MAX_REWIND_DAYS: u32 = 31;
 
 /// Returns the document as it was at `version`, out of the one in force and the audit trail.
-pub(super) fn at(session: &Session, current: &Snapshot, version: u64) -> Result<Snapshot> {
+pub(super) fn snapshot_at(session: &Session, current: &Snapshot, version: u64) -> Result<Snapshot> {
     let (version, store) = (ConfigVersion::new(version), session.store());
     let (mut history, mut day) = (History::new(), now());
     current
@@ -21,7 +21,7 @@
     let days = if version > current.version {
         0
     } else {
-        DAYS_MAX
+        MAX_REWIND_DAYS
     };
     for _ in 0..days {
         if let Some(text) = history.rewind(current, version) {
@@ -31,7 +31,7 @@
         day = day.day_before();
     }
     let detail = format!(
-        "version {version} cannot be rebuilt from the audit trail of {DAYS_MAX} days; get the \
+        "version {version} cannot be rebuilt from the audit trail of {MAX_REWIND_DAYS} days; get the \
          document again and repeat the edit"
     );
     Err(Failure::new(Exit::NotFound, detail).into())
--- a/azureway-cli/src/config/change.rs
+++ b/azureway-cli/src/config/change.rs
@@ -8,10 +8,10 @@
 use clap::ArgMatches;
 
 use crate::Exit;
+use crate::printer::Printer;
 use crate::report::EditReport;
 use crate::session::Session;
-use crate::shell::Shell;
-use crate::store::Driver;
+use crate::store::EditDriver;
 
 /// Changes the document from `base` to `text` and prints what came of it.
 pub(crate) fn change<W: Write>(
@@ -19,15 +19,15 @@
     matches: &ArgMatches,
     base: &Snapshot,
     text: &str,
-    shell: &mut Shell<W>,
+    printer: &mut Printer<W>,
 ) -> Result<Exit> {
     let reason: &String = matches.get_one("reason").context("give a --reason")?;
-    let note = session.note(reason)?;
-    let (store, id) = (session.store(), note.id.clone());
-    let mut driver = Driver::new(&store, seed(id.as_str()));
-    let outcome = driver.run(Edit::new(note, base, text, Checker::new()));
-    let report = EditReport::new(&id, &outcome).with_error(driver.error);
-    shell.print(&report)?;
+    let metadata = session.new_metadata(reason)?;
+    let (store, id) = (session.store(), metadata.id.clone());
+    let mut driver = EditDriver::new(&store, seed(id.as_str()));
+    let outcome = driver.run(Edit::new(metadata, base, text, Checker::new()));
+    let report = EditReport::new(&id, &outcome).with_error(driver.last_error);
+    printer.print(&report)?;
     Ok(report.exit())
 }
 
--- a/azureway-cli/src/config/check.rs
+++ b/azureway-cli/src/config/check.rs
@@ -9,16 +9,16 @@
 
 use super::read_file;
 use crate::Exit;
+use crate::printer::Printer;
 use crate::report::CheckReport;
-use crate::shell::Shell;
 
 /// Names every fault of a file.
-pub(super) fn run<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let text = read_file(matches)?;
     if let Err(faults) = Checker::new().check(&text) {
-        shell.print(&CheckReport::bad(&faults))?;
+        printer.print(&CheckReport::invalid(&faults))?;
         return Ok(Exit::Invalid);
     }
-    shell.print(&CheckReport::good())?;
+    printer.print(&CheckReport::valid())?;
     Ok(Exit::Done)
 }
--- a/azureway-cli/src/config/diff.rs
+++ b/azureway-cli/src/config/diff.rs
@@ -7,28 +7,28 @@
 use clap::ArgMatches;
 
 use super::{base, read_file};
+use crate::printer::Printer;
 use crate::report::{DiffReport, DocumentReport};
 use crate::session::Session;
-use crate::shell::Shell;
 use crate::{Exit, Failure};
 
 /// Shows what a file would change, or what changed since a version.
-pub(super) fn run<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let session = Session::new(matches)?;
     let current = session.store().read()?;
     let (old, new) = if let Some(version) = matches.get_one::<u64>("since") {
-        let old = base::at(&session, &current, *version)?;
+        let old = base::snapshot_at(&session, &current, *version)?;
         (old.text, current.text)
     } else if matches.contains_id("file") {
         let file = read_file(matches)?;
         let (version, text) = DocumentReport::split(&file);
         let version = version.unwrap_or_else(|| current.version.get());
-        let old = base::at(&session, &current, version)?;
+        let old = base::snapshot_at(&session, &current, version)?;
         (old.text, text.into())
     } else {
         return Err(Failure::new(Exit::Usage, "name a file or --since VERSION").into());
     };
     let delta = Delta::between(&Sections::parse(&old), &Sections::parse(&new));
-    shell.print(&DiffReport::new(delta.changes()))?;
+    printer.print(&DiffReport::new(delta.changes()))?;
     Ok(Exit::Done)
 }
--- a/azureway-cli/src/config/edit.rs
+++ b/azureway-cli/src/config/edit.rs
@@ -7,25 +7,25 @@
 use azureway_core::config::{Delta, SectionChange, Sections};
 use clap::ArgMatches;
 
-use super::{change, missing};
+use super::{change, missing_section};
+use crate::printer::Printer;
 use crate::session::Session;
-use crate::shell::Shell;
 use crate::{Exit, Failure};
 
 /// Changes one section.
-pub(super) fn run<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let session = Session::new(matches)?;
     let base = session.store().read()?;
     let name: &String = matches.get_one("section").context("name a section")?;
     let sections = Sections::parse(&base.text);
     let before = sections.get(name).map(|s| s.text);
     if before.is_none() && !matches.get_flag("add") {
-        return Err(missing(name, &sections).into());
+        return Err(missing_section(name, &sections).into());
     }
     let after = if matches.get_flag("remove") {
         None
     } else {
-        Some(edited(name, before, &session, matches)?)
+        Some(edit_section(name, before, &session, matches)?)
     };
     let delta = Delta::new(vec![SectionChange::new(name, before, after.as_deref())]);
     change(
@@ -33,11 +33,11 @@
         matches,
         &base,
         &delta.apply(&sections),
-        &mut shell,
+        &mut printer,
     )
 }
 
-fn edited(
+fn edit_section(
     name: &str,
     before: Option<&str>,
     session: &Session,
--- a/azureway-cli/src/config/get.rs
+++ b/azureway-cli/src/config/get.rs
@@ -6,16 +6,16 @@
 use clap::ArgMatches;
 
 use crate::Exit;
+use crate::printer::Printer;
 use crate::report::DocumentReport;
 use crate::session::Session;
-use crate::shell::Shell;
 
 /// Prints the document or writes it to a file.
-pub(super) fn run<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let snapshot = Session::new(matches)?.store().read()?;
     let report = DocumentReport::new(&snapshot);
     match matches.get_one::<String>("file") {
-        None => shell.print(&report)?,
+        None => printer.print(&report)?,
         Some(path) => {
             std::fs::write(path, report.to_string()).with_context(|| format!("write {path}"))?;
         }
--- a/azureway-cli/src/config/history.rs
+++ b/azureway-cli/src/config/history.rs
@@ -6,13 +6,13 @@
 use azureway_core::config::{AcceptedChange, History};
 use clap::ArgMatches;
 
-use crate::report::{HistoryReport, List};
+use crate::printer::Printer;
+use crate::report::{HistoryReport, ReportList};
 use crate::session::{Session, now};
-use crate::shell::Shell;
 use crate::{Exit, Failure};
 
 /// Lists the audit trail.
-pub(super) fn run<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let store = Session::new(matches)?.store();
     let (mut history, mut day) = (History::new(), now());
     // Read first: whoever replaces this record archives it before the lists below are read.
@@ -25,23 +25,23 @@
         store.add_day(day, &mut history)?;
         day = day.day_before();
     }
-    let chosen = history.iter().rev().filter(|c| fits(c, matches));
+    let selected = history.iter().rev().filter(|c| matches_filters(c, matches));
     let diff = matches.get_flag("diff");
-    let reports: Vec<_> = chosen.map(|c| HistoryReport::new(c, diff)).collect();
+    let reports: Vec<_> = selected.map(|c| HistoryReport::new(c, diff)).collect();
     if reports.is_empty() && matches.contains_id("id") {
         let detail = "no accepted change has this identity; look back further with --days";
         return Err(Failure::new(Exit::NotFound, detail).into());
     }
-    shell.print(&List(reports))?;
+    printer.print(&ReportList(reports))?;
     Ok(Exit::Done)
 }
 
 /// Tells whether a change passes every filter of the command line.
-fn fits(change: &AcceptedChange, matches: &ArgMatches) -> bool {
-    let (note, delta) = (&change.record.metadata, &change.record.delta);
-    let wanted = |filter| matches.get_one::<String>(filter).map(String::as_str);
-    wanted("by").is_none_or(|w| *note.author == *w)
-        && wanted("of").is_none_or(|w| note.team.as_str() == w)
-        && wanted("id").is_none_or(|w| note.id.as_str() == w)
-        && wanted("section").is_none_or(|w| delta.changes().iter().any(|c| *c.name == *w))
+fn matches_filters(change: &AcceptedChange, matches: &ArgMatches) -> bool {
+    let (metadata, delta) = (&change.record.metadata, &change.record.delta);
+    let filter = |name| matches.get_one::<String>(name).map(String::as_str);
+    filter("by").is_none_or(|w| *metadata.author == *w)
+        && filter("of").is_none_or(|w| metadata.team.as_str() == w)
+        && filter("id").is_none_or(|w| metadata.id.as_str() == w)
+        && filter("section").is_none_or(|w| delta.changes().iter().any(|c| *c.name == *w))
 }
--- a/azureway-cli/src/config/mod.rs
+++ b/azureway-cli/src/config/mod.rs
@@ -18,24 +18,24 @@
 use azureway_core::config::Sections;
 use clap::ArgMatches;
 
-use crate::shell::Shell;
+use crate::printer::Printer;
 use crate::{Exit, Failure};
 
 /// Runs a command on the document.
-pub(crate) fn run<W: Write>(matches: &ArgMatches, shell: Shell<W>) -> Result<Exit> {
+pub(crate) fn run<W: Write>(matches: &ArgMatches, printer: Printer<W>) -> Result<Exit> {
     let (name, sub) = matches.subcommand().context("name a command")?;
     match name {
-        "check" => check::run(sub, shell),
-        "get" => get::run(sub, shell),
-        "edit" => edit::run(sub, shell),
-        "put" => put::run(sub, shell),
-        "diff" => diff::run(sub, shell),
-        _ => history::run(sub, shell),
+        "check" => check::run(sub, printer),
+        "get" => get::run(sub, printer),
+        "edit" => edit::run(sub, printer),
+        "put" => put::run(sub, printer),
+        "diff" => diff::run(sub, printer),
+        _ => history::run(sub, printer),
     }
 }
 
 /// Returns the failure of a command that names a section which does not exist.
-pub(crate) fn missing(name: &str, sections: &Sections<'_>) -> Failure {
+pub(crate) fn missing_section(name: &str, sections: &Sections<'_>) -> Failure {
     let names: Vec<&str> = sections.iter().map(|s| s.name).collect();
     let hint = nearest(name, &names).map_or(".".to_owned(), |n| format!("; did you mean [{n}]?"));
     let detail = format!("no section [{name}] exists{hint} A new one is added with --add");
--- a/azureway-cli/src/config/put.rs
+++ b/azureway-cli/src/config/put.rs
@@ -8,30 +8,30 @@
 use clap::ArgMatches;
 
 use super::{base, change, read_file};
+use crate::printer::Printer;
 use crate::report::{DocumentReport, EditReport};
 use crate::session::Session;
-use crate::shell::Shell;
 use crate::{Exit, Failure};
 
 /// Writes an edited document.
-pub(super) fn run<W: Write>(matches: &ArgMatches, mut shell: Shell<W>) -> Result<Exit> {
+pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let file = read_file(matches)?;
     // The file is checked with its first line, so that the lines of faults are its own.
     if let Err(faults) = Checker::new().check(&file) {
         let report = EditReport::new(&ChangeId::new(""), &EditOutcome::Invalid(faults));
-        shell.print(&report)?;
+        printer.print(&report)?;
         return Ok(report.exit());
     }
     let session = Session::new(matches)?;
     let (version, text) = DocumentReport::split(&file);
     let base = find_base(&session, version)?;
-    change(&session, matches, &base, text, &mut shell)
+    change(&session, matches, &base, text, &mut printer)
 }
 
 fn find_base(session: &Session, version: Option<u64>) -> Result<Snapshot> {
     let current = session.store().read()?;
     match version {
-        Some(version) => base::at(session, &current, version),
+        Some(version) => base::snapshot_at(session, &current, version),
         None if current.version.get() == 0 => Ok(current),
         None => {
             let detail = "the file does not name the version that it was made from; get the \
--- a/azureway-cli/src/lib.rs
+++ b/azureway-cli/src/lib.rs
@@ -9,10 +9,10 @@
 mod config;
 mod exit;
 mod failure;
+mod printer;
 mod random;
 mod report;
 mod session;
-mod shell;
 mod store;
 
 pub use app::{command, run};
--- a/azureway-cli/src/shell.rs
+++ b/azureway-cli/src/printer.rs
@@ -8,12 +8,12 @@
 
 /// Where a command prints, and whether it does so for people or for programs.
 #[derive(Debug)]
-pub(crate) struct Shell<W> {
+pub(crate) struct Printer<W> {
     out: W,
     json: bool,
 }
 
-impl<W: Write> Shell<W> {
+impl<W: Write> Printer<W> {
     pub(crate) const fn new(out: W, json: bool) -> Self {
         Self { out, json }
     }
--- a/azureway-cli/src/random.rs
+++ b/azureway-cli/src/random.rs
@@ -4,11 +4,11 @@
 use std::io::{self, Read};
 
 /// Where the operating system gives random bytes that nobody can guess.
-const SOURCE: &str = "/dev/urandom";
+const RANDOM_DEVICE: &str = "/dev/urandom";
 
 /// Returns `N` random bytes as hexadecimal digits.
 pub(crate) fn hex<const N: usize>() -> io::Result<String> {
     let mut bytes = [0; N];
-    File::open(SOURCE)?.read_exact(&mut bytes)?;
+    File::open(RANDOM_DEVICE)?.read_exact(&mut bytes)?;
     Ok(bytes.iter().map(|b| format!("{b:02x}")).collect())
 }
--- a/azureway-cli/src/report/check_report.rs
+++ b/azureway-cli/src/report/check_report.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::FaultBody;
-use super::fault_body::count;
+use super::fault_body::format_count;
 
 /// What is wrong with a document.
 #[derive(Clone, Debug, Serialize)]
@@ -18,7 +18,7 @@
 }
 
 impl CheckReport {
-    pub(crate) fn good() -> Self {
+    pub(crate) fn valid() -> Self {
         let (faults, text) = (Vec::new(), "the document is good\n".to_owned());
         Self {
             good: true,
@@ -27,9 +27,9 @@
         }
     }
 
-    pub(crate) fn bad(faults: &Faults) -> Self {
+    pub(crate) fn invalid(faults: &Faults) -> Self {
         let bodies: Vec<FaultBody> = faults.as_slice().iter().map(Into::into).collect();
-        let text = format!("{faults}\n{}\n", count(bodies.len()));
+        let text = format!("{faults}\n{}\n", format_count(bodies.len()));
         Self {
             good: false,
             faults: bodies,
--- a/azureway-cli/src/report/diff_report.rs
+++ b/azureway-cli/src/report/diff_report.rs
@@ -6,8 +6,8 @@
 use azureway_wire::change::SectionBody;
 use serde::Serialize;
 
+use super::digests::shorten_digests;
 use super::line_diff::LineDiff;
-use super::secret::shorten;
 
 /// The difference between two documents, section by section, without whole digests.
 #[derive(Clone, Debug, Serialize)]
@@ -19,8 +19,8 @@
     pub(crate) fn new(changes: &[SectionChange]) -> Self {
         let mut sections: Vec<SectionBody> = changes.iter().map(Into::into).collect();
         for section in &mut sections {
-            section.before = section.before.as_deref().map(shorten);
-            section.after = section.after.as_deref().map(shorten);
+            section.before = section.before.as_deref().map(shorten_digests);
+            section.after = section.after.as_deref().map(shorten_digests);
         }
         Self { sections }
     }
--- a/azureway-cli/src/report/secret.rs
+++ b/azureway-cli/src/report/digests.rs
@@ -6,7 +6,7 @@
 const SHOWN_DIGITS: usize = 8;
 
 /// Returns the text of a section with every digest shortened to its first digits.
-pub(super) fn shorten(text: &str) -> Box<str> {
+pub(super) fn shorten_digests(text: &str) -> Box<str> {
     let is_digest = |w: &str| w.len() == DIGEST_DIGITS && w.bytes().all(|b| b.is_ascii_hexdigit());
     let words = text.split_inclusive(|c: char| !c.is_ascii_alphanumeric());
     let mut short = String::with_capacity(text.len());
--- a/azureway-cli/src/report/edit_report.rs
+++ b/azureway-cli/src/report/edit_report.rs
@@ -7,7 +7,7 @@
 use azureway_wire::change::VALUE_MAX;
 use serde::Serialize;
 
-use super::fault_body::count;
+use super::fault_body::format_count;
 use super::{DiffReport, FaultBody};
 use crate::Exit;
 
@@ -29,14 +29,14 @@
 
 impl EditReport {
     pub(crate) fn new(id: &ChangeId, outcome: &EditOutcome<Faults>) -> Self {
-        let (outcome_name, exit) = name(outcome);
+        let (outcome_name, exit) = outcome_and_exit(outcome);
         let mut report = Self {
             outcome: outcome_name,
             id: id.as_str().into(),
             version: None,
             faults: Vec::new(),
             conflicts: None,
-            detail: detail(id, outcome),
+            detail: describe(id, outcome),
             exit,
         };
         match outcome {
@@ -63,7 +63,7 @@
     }
 }
 
-fn name(outcome: &EditOutcome<Faults>) -> (&'static str, Exit) {
+fn outcome_and_exit(outcome: &EditOutcome<Faults>) -> (&'static str, Exit) {
     match outcome {
         EditOutcome::Accepted(_) => ("accepted", Exit::Done),
         EditOutcome::Unchanged => ("unchanged", Exit::Done),
@@ -76,7 +76,7 @@
     }
 }
 
-fn detail(id: &ChangeId, outcome: &EditOutcome<Faults>) -> String {
+fn describe(id: &ChangeId, outcome: &EditOutcome<Faults>) -> String {
     match outcome {
         EditOutcome::Accepted(version) => format!("accepted as version {version}, change {id}"),
         EditOutcome::Unchanged => "nothing to change".to_owned(),
@@ -86,7 +86,7 @@
             changes.len()
         ),
         EditOutcome::Invalid(faults) => {
-            let count = count(faults.as_slice().len());
+            let count = format_count(faults.as_slice().len());
             format!("{faults}\n{count}; nothing was written")
         }
         EditOutcome::NotOwned(names) => format!(
--- a/azureway-cli/src/report/explain_report.rs
+++ b/azureway-cli/src/report/explain_report.rs
@@ -15,7 +15,7 @@
 }
 
 /// The microseconds of a millisecond.
-const MILLI: f64 = 1_000.0;
+const MICROS_PER_MILLI: f64 = 1_000.0;
 
 impl ExplainReport {
     pub(crate) const fn new(entry: SocketAddr, answer: ExplainBody) -> Self {
@@ -37,7 +37,7 @@
         for option in &answer.options {
             let state = option.obstacle.as_deref().unwrap_or("chosen");
             let home = if option.home { ", kept here" } else { "" };
-            let millis = |micros: u64| micros as f64 / MILLI;
+            let millis = |micros: u64| micros as f64 / MICROS_PER_MILLI;
             writeln!(
                 f,
                 "  {state:8} {}  zone {}  first token in {:.1} ms = wait {:.1} + compute {:.1} + \
--- a/azureway-cli/src/report/fault_body.rs
+++ b/azureway-cli/src/report/fault_body.rs
@@ -30,7 +30,7 @@
 }
 
 /// Returns a number of faults in words.
-pub(super) fn count(number: usize) -> String {
+pub(super) fn format_count(number: usize) -> String {
     match number {
         1 => "1 fault".to_owned(),
         number => format!("{number} faults"),
--- a/azureway-cli/src/report/history_report.rs
+++ b/azureway-cli/src/report/history_report.rs
@@ -25,16 +25,16 @@
 impl HistoryReport {
     /// Creates the report of a change, with what it did if `diff` is set.
     pub(crate) fn new(change: &AcceptedChange, diff: bool) -> Self {
-        let (note, record) = (&change.record.metadata, &change.record);
+        let (metadata, record) = (&change.record.metadata, &change.record);
         let changes = record.delta.changes();
         Self {
             version: change.version.get(),
             from: record.from.get(),
-            time: ChangeTime::to_string(&note.time),
-            author: note.author.clone(),
-            team: note.team.as_str().into(),
-            reason: note.reason.clone(),
-            id: note.id.as_str().into(),
+            time: ChangeTime::to_string(&metadata.time),
+            author: metadata.author.clone(),
+            team: metadata.team.as_str().into(),
+            reason: metadata.reason.clone(),
+            id: metadata.id.as_str().into(),
             sections: changes.iter().map(|c| c.name.clone()).collect(),
             diff: diff.then(|| DiffReport::new(changes)),
         }
--- a/azureway-cli/src/report/line_diff.rs
+++ b/azureway-cli/src/report/line_diff.rs
@@ -12,7 +12,7 @@
     pub(super) fn new(before: &'a str, after: &'a str) -> Self {
         let (old, new): (Vec<&str>, Vec<&str>) =
             (before.lines().collect(), after.lines().collect());
-        let lengths = lengths(&old, &new);
+        let lengths = lcs_lengths(&old, &new);
         let (mut i, mut j, mut lines) = (0, 0, Vec::new());
         while i < old.len() || j < new.len() {
             if i < old.len() && j < new.len() && old[i] == new[j] {
@@ -31,7 +31,7 @@
 }
 
 /// Returns the length of the longest common subsequence from each pair of places on.
-fn lengths(old: &[&str], new: &[&str]) -> Vec<Vec<usize>> {
+fn lcs_lengths(old: &[&str], new: &[&str]) -> Vec<Vec<usize>> {
     let mut lengths = vec![vec![0; new.len() + 1]; old.len() + 1];
     for i in (0..old.len()).rev() {
         for j in (0..new.len()).rev() {
--- a/azureway-cli/src/report/mod.rs
+++ b/azureway-cli/src/report/mod.rs
@@ -3,6 +3,7 @@
 mod account_report;
 mod check_report;
 mod diff_report;
+mod digests;
 mod document_report;
 mod drain_report;
 mod edit_report;
@@ -12,8 +13,7 @@
 mod key_report;
 mod lease_report;
 mod line_diff;
-mod list;
-mod secret;
+mod report_list;
 mod status_report;
 mod system_report;
 
@@ -28,6 +28,6 @@
 pub(crate) use history_report::HistoryReport;
 pub(crate) use key_report::KeyReport;
 pub(crate) use lease_report::LeaseReport;
-pub(crate) use list::List;
+pub(crate) use report_list::ReportList;
 pub(crate) use status_report::StatusReport;
 pub(crate) use system_report::SystemReport;
--- a/azureway-cli/src/report/status_report.rs
+++ b/azureway-cli/src/report/status_report.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    fn write(&self, f: &mut fmt::Formatter<'_>, status: &StatusBody) -> fmt::Result {
+    fn write_status(&self, f: &mut fmt::Formatter<'_>, status: &StatusBody) -> fmt::Result {
         let state = if status.draining {
             "draining"
         } else {
@@ -47,8 +47,8 @@
             Some(version) => writeln!(f, ", newer version {version} is bad")?,
             None => writeln!(f)?,
         }
-        write_work(f, status)?;
-        write_counts(f, status)?;
+        write_requests(f, status)?;
+        write_outcomes(f, status)?;
         let live = status
             .servers
             .iter()
@@ -65,7 +65,7 @@
     }
 }
 
-fn write_work(f: &mut fmt::Formatter<'_>, status: &StatusBody) -> fmt::Result {
+fn write_requests(f: &mut fmt::Formatter<'_>, status: &StatusBody) -> fmt::Result {
     writeln!(
         f,
         "  requests  {} in flight, waiting: {} urgent, {} drafting, {} to be tried again",
@@ -83,7 +83,7 @@
     )
 }
 
-fn write_counts(f: &mut fmt::Formatter<'_>, status: &StatusBody) -> fmt::Result {
+fn write_outcomes(f: &mut fmt::Formatter<'_>, status: &StatusBody) -> fmt::Result {
     for count in status.counts.iter().filter(|c| c.requests > 0) {
         let (rank, kind, outcome) = (&count.rank, &count.kind, &count.outcome);
         let (requests, worth) = (count.requests, count.worth);
@@ -115,7 +115,7 @@
 impl fmt::Display for StatusReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (&self.status, &self.error) {
-            (Some(status), _) => self.write(f, status),
+            (Some(status), _) => self.write_status(f, status),
             (None, error) => {
                 let error = error.as_deref().unwrap_or_default();
                 writeln!(f, "entry {} does not answer: {error}", self.entry)
--- a/azureway-cli/src/session.rs
+++ b/azureway-cli/src/session.rs
@@ -31,7 +31,7 @@
             .context("name the platform with --platform or AZUREWAY_PLATFORM")?;
         Ok(Self {
             platform,
-            author: text("author").map_or_else(user, str::to_owned),
+            author: text("author").map_or_else(user_name, str::to_owned),
             team: TeamId::new(text("team").unwrap_or(TeamId::DEFAULT)),
         })
     }
@@ -46,7 +46,7 @@
     }
 
     /// Draws the identity of a new change and notes who makes it.
-    pub(crate) fn note(&self, reason: &str) -> Result<ChangeMetadata> {
+    pub(crate) fn new_metadata(&self, reason: &str) -> Result<ChangeMetadata> {
         let id = random::hex::<ID_BYTES>().context("draw the identity of the change")?;
         let (id, team) = (ChangeId::new(&id), self.team.clone());
         Ok(ChangeMetadata::new(id, &self.author, team, now()).with_reason(reason))
@@ -54,7 +54,7 @@
 }
 
 /// Returns the name of the operating system's user.
-fn user() -> String {
+fn user_name() -> String {
     std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned())
 }
 
--- a/azureway-cli/src/store/document_store.rs
+++ b/azureway-cli/src/store/document_store.rs
@@ -16,7 +16,7 @@
 }
 
 /// The bytes that a record grows by when its version is known, at most.
-const VERSION_ROOM: usize = 20;
+const MAX_VERSION_DIGITS: usize = 20;
 
 impl<A: ObjectApi> DocumentStore<A> {
     pub(crate) const fn new(api: A) -> Self {
@@ -33,12 +33,12 @@
 
     /// Creates the archived record of a change unless it exists.
     pub(crate) fn archive(&self, change: &AcceptedChange) -> Result<(), Error> {
-        let note = &change.record.metadata;
+        let metadata = &change.record.metadata;
         let value = serde_json::to_string(&ChangeBody::from(change));
         let value = value.map_err(|e| Error::new(ErrorKind::Invalid, Step::new("archive"), e))?;
         let written = self.api.put(&Put {
-            kind: &archive_kind(note.time),
-            name: note.id.as_str(),
+            kind: &archive_kind(metadata.time),
+            name: metadata.id.as_str(),
             value: &value,
             expected: 0,
         });
@@ -49,11 +49,11 @@
     }
 
     /// Carries out a write.
-    pub(crate) fn write(&self, plan: &ConditionalWrite) -> EditReply {
-        let value = StoredDocument::encode(&plan.record, &plan.text);
+    pub(crate) fn write(&self, write: &ConditionalWrite) -> EditReply {
+        let value = StoredDocument::encode(&write.record, &write.text);
         // A record that could not be archived would keep everybody from the next change.
-        let archived = serde_json::to_vec(&ChangeBody::new(&plan.record)).map_or(0, |v| v.len());
-        let bytes = value.len().max(archived + VERSION_ROOM);
+        let archived = serde_json::to_vec(&ChangeBody::new(&write.record)).map_or(0, |v| v.len());
+        let bytes = value.len().max(archived + MAX_VERSION_DIGITS);
         if bytes > VALUE_MAX {
             return EditReply::TooLarge(bytes);
         }
@@ -61,7 +61,7 @@
             kind: DOCUMENT_KIND,
             name: DOCUMENT_NAME,
             value: &value,
-            expected: plan.expected.get(),
+            expected: write.expected.get(),
         });
         match written {
             Ok(version) => EditReply::Written(ConfigVersion::new(version)),
@@ -71,8 +71,10 @@
     }
 
     /// Returns the version that an archived change made.
-    pub(crate) fn find(&self, note: &ChangeMetadata) -> Result<Option<ConfigVersion>, Error> {
-        let object = self.api.get(&archive_kind(note.time), note.id.as_str())?;
+    pub(crate) fn find(&self, metadata: &ChangeMetadata) -> Result<Option<ConfigVersion>, Error> {
+        let object = self
+            .api
+            .get(&archive_kind(metadata.time), metadata.id.as_str())?;
         let change = object.map(|o| decode(&o.value)).transpose()?;
         Ok(change.map(|c| c.version))
     }
--- a/azureway-cli/src/store/driver.rs
+++ b/azureway-cli/src/store/edit_driver.rs
@@ -13,11 +13,11 @@
 
 /// Carries out the steps of an edit until it is over.
 #[derive(Debug)]
-pub(crate) struct Driver<'a, A> {
+pub(crate) struct EditDriver<'a, A> {
     store: &'a DocumentStore<A>,
     backoff: Backoff,
     /// The last error, for the report of an edit that gave up.
-    pub(crate) error: Option<Error>,
+    pub(crate) last_error: Option<Error>,
 }
 
 /// The first wait after a failed step.
@@ -25,14 +25,14 @@
 /// The longest wait after a failed step.
 const BACKOFF_CAP: Duration = Duration::from_secs(2);
 
-impl<'a, A: ObjectApi> Driver<'a, A> {
+impl<'a, A: ObjectApi> EditDriver<'a, A> {
     /// Creates a driver. `seed` spreads the retries of operators that fail together.
     pub(crate) const fn new(store: &'a DocumentStore<A>, seed: u64) -> Self {
         let backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP, seed);
         Self {
             store,
             backoff,
-            error: None,
+            last_error: None,
         }
     }
 
@@ -42,7 +42,7 @@
             if let Some(outcome) = edit.outcome() {
                 return outcome.clone();
             }
-            let reply = self.carry_out(edit.step());
+            let reply = self.execute_step(edit.step());
             if matches!(reply, EditReply::Failed | EditReply::NoAnswer) {
                 thread::park_timeout(self.backoff.next_delay());
             }
@@ -50,16 +50,16 @@
         }
     }
 
-    fn carry_out(&mut self, step: EditStep<'_>) -> EditReply {
+    fn execute_step(&mut self, step: EditStep<'_>) -> EditReply {
         let reply = match step {
             EditStep::Read => self.store.read().map(EditReply::Read),
             EditStep::Archive(change) => self.store.archive(change).map(|()| EditReply::Archived),
-            EditStep::Write(plan) => Ok(self.store.write(plan)),
-            EditStep::Find(note) => self.store.find(note).map(EditReply::Found),
+            EditStep::Write(write) => Ok(self.store.write(write)),
+            EditStep::Find(metadata) => self.store.find(metadata).map(EditReply::Found),
             EditStep::Done => Ok(EditReply::Failed),
         };
         reply.unwrap_or_else(|e| {
-            self.error = Some(e);
+            self.last_error = Some(e);
             EditReply::Failed
         })
     }
--- a/azureway-cli/src/store/mod.rs
+++ b/azureway-cli/src/store/mod.rs
@@ -1,7 +1,7 @@
 //! The document and its audit trail in the platform's object API.
 
 mod document_store;
-mod driver;
+mod edit_driver;
 
 pub(crate) use document_store::DocumentStore;
-pub(crate) use driver::Driver;
+pub(crate) use edit_driver::EditDriver;
--- a/azureway-cli/tests/commands.rs
+++ b/azureway-cli/tests/commands.rs
@@ -6,18 +6,18 @@
 use azureway_cli::Exit;
 use azureway_dev::platform::PlatformFaults;
 use googletest::prelude::*;
-use program::words;
-use support::Desk;
+use program::split_words;
+use support::CliFixture;
 
 #[gtest]
-fn commands_answer_as_the_table_says() {
-    let mut desk = Desk::new();
+fn commands_return_the_exit_codes_and_output_of_the_table() {
+    let mut fixture = CliFixture::new();
     for line in include_str!("../testdata/commands.txt").lines() {
         if line.starts_with("==") {
-            desk = Desk::new();
+            fixture = CliFixture::new();
         } else if !line.starts_with('#') {
             let cells: Vec<&str> = line.split(" |").map(str::trim).collect();
-            let (exit, printed) = desk.run(&words(cells[0]));
+            let (exit, printed) = fixture.run(&split_words(cells[0]));
             expect_that!((exit as u8).to_string(), eq(cells[1]), "{line}\n{printed}");
             expect_that!(printed, contains_substring(cells[2]), "{line}");
             expect_that!(
@@ -30,10 +30,10 @@
 }
 
 #[gtest]
-fn a_bad_document_names_every_fault_and_writes_nothing() {
-    let desk = Desk::new();
-    let before = desk.platform.value("config", "document");
-    let (exit, printed) = desk.run(&words("config put BAD --reason faults"));
+fn putting_a_faulty_document_lists_every_fault_and_writes_nothing() {
+    let fixture = CliFixture::new();
+    let before = fixture.platform.value("config", "document");
+    let (exit, printed) = fixture.run(&split_words("config put BAD --reason faults"));
     expect_that!(exit, eq(Exit::Invalid));
     for fault in [
         "line 2: [pool engines] lodes: unknown key; did you mean `loads`?",
@@ -44,96 +44,96 @@
     ] {
         expect_that!(printed, contains_substring(fault));
     }
-    expect_that!(desk.platform.value("config", "document"), eq(&before));
+    expect_that!(fixture.platform.value("config", "document"), eq(&before));
 }
 
 #[gtest]
-fn the_first_document_holds_the_sections_of_every_team() {
-    let desk = Desk::empty();
-    let (exit, printed) = desk.run(&words("config put FILE --reason first"));
+fn the_first_put_may_add_sections_of_every_team_and_later_ones_must_name_a_version() {
+    let fixture = CliFixture::empty();
+    let (exit, printed) = fixture.run(&split_words("config put FILE --reason first"));
     expect_that!(exit, eq(Exit::Done), "{printed}");
-    let (_, history) = desk.run(&words("config history"));
+    let (_, history) = fixture.run(&split_words("config history"));
     expect_that!(history, contains_substring("1 from 0"));
     expect_that!(history, contains_substring("account wax-desk"));
-    let (exit, _) = desk.run(&words("config put FILE --reason again"));
+    let (exit, _) = fixture.run(&split_words("config put FILE --reason again"));
     expect_that!(exit, eq(Exit::Usage));
 }
 
 #[gtest]
 fn an_edited_document_is_rebased_on_another_teams_change() {
-    let desk = Desk::new();
-    let file = desk.get("rebase.ini", |text| {
+    let fixture = CliFixture::new();
+    let file = fixture.save_document("rebase.ini", |text| {
         text.replace("limit = 1000", "limit = 500")
     });
     for (set, reason) in [("limit=1", "one"), ("limit=2", "two")] {
         let line =
             format!("config edit 'account shop-drafts' --set {set} --reason {reason} --team shops");
-        expect_that!(desk.run(&words(&line)).0, eq(Exit::Done));
+        expect_that!(fixture.run(&split_words(&line)).0, eq(Exit::Done));
     }
     let put = format!("config put {file} --reason mine --team retail");
-    let (exit, printed) = desk.run(&words(&put));
+    let (exit, printed) = fixture.run(&split_words(&put));
     expect_that!(exit, eq(Exit::Done), "{printed}");
-    let (_, text) = desk.run(&words("config get"));
+    let (_, text) = fixture.run(&split_words("config get"));
     expect_that!(text, contains_substring("limit = 500"));
     expect_that!(text, contains_substring("limit = 2\n"));
-    let (_, history) = desk.run(&words("config history"));
+    let (_, history) = fixture.run(&split_words("config history"));
     expect_that!(history.lines().count(), eq(3), "{history}");
 }
 
 #[gtest]
-fn a_race_on_one_section_shows_the_other_change() {
-    let desk = Desk::new();
-    let file = desk.get("race.ini", |text| {
+fn a_conflicting_change_of_one_section_is_rejected_and_the_other_change_printed() {
+    let fixture = CliFixture::new();
+    let file = fixture.save_document("race.ini", |text| {
         text.replace("limit = 1000", "limit = 500")
     });
     let line = "config edit 'account wax-desk' --set limit=800 --reason first --team retail";
-    expect_that!(desk.run(&words(line)).0, eq(Exit::Done));
+    expect_that!(fixture.run(&split_words(line)).0, eq(Exit::Done));
     let put = format!("config put {file} --reason mine --team retail");
-    let (exit, printed) = desk.run(&words(&put));
+    let (exit, printed) = fixture.run(&split_words(&put));
     expect_that!(exit, eq(Exit::Conflict));
     expect_that!(printed, contains_substring("- limit = 1000\n+ limit = 800"));
 }
 
 #[gtest]
-fn a_lost_answer_is_resolved_and_the_change_is_made_once() {
-    let desk = Desk::new();
+fn a_change_whose_answers_are_lost_is_accepted_once() {
+    let fixture = CliFixture::new();
     for (number, lost) in [(1, 1), (2, 2)] {
         let faults = PlatformFaults {
             lost,
             ..PlatformFaults::new()
         };
-        desk.platform.set_faults(faults);
+        fixture.platform.set_faults(faults);
         let line =
             format!("config edit 'account wax-desk' --set limit={number} --reason r --team retail");
-        let (exit, printed) = desk.run(&words(&line));
+        let (exit, printed) = fixture.run(&split_words(&line));
         expect_that!(exit, eq(Exit::Done), "{printed}");
     }
-    desk.platform.set_faults(PlatformFaults::new());
-    let (_, history) = desk.run(&words("config history"));
+    fixture.platform.set_faults(PlatformFaults::new());
+    let (_, history) = fixture.run(&split_words("config history"));
     expect_that!(history.lines().count(), eq(2), "{history}");
 }
 
 #[gtest]
-fn a_platform_that_is_out_ends_a_command_at_once() {
-    let desk = Desk::new();
+fn an_edit_during_a_platform_outage_fails_at_its_first_read() {
+    let fixture = CliFixture::new();
     let faults = PlatformFaults {
         outage: true,
         ..PlatformFaults::new()
     };
-    desk.platform.set_faults(faults);
-    let (exit, printed) = desk.run(&words("config edit ranks --set floor=1 --reason r"));
+    fixture.platform.set_faults(faults);
+    let (exit, printed) = fixture.run(&split_words("config edit ranks --set floor=1 --reason r"));
     expect_that!(exit, eq(Exit::Failed));
     expect_that!(printed, contains_substring("get object with platform"));
 }
 
 /// 350 client accounts, 23 services and 1,600 servers, and a change of every section of a team.
 #[gtest]
-fn the_document_of_the_plan_fits_and_a_larger_one_is_refused() {
-    let desk = Desk::new();
-    let (planned, bytes) = desk.plan(350, 1_600, "planned.ini");
-    let (exit, printed) = desk.run(&words(&format!("config put {planned} --reason plan")));
+fn a_document_of_the_planned_size_fits_and_a_larger_one_is_rejected() {
+    let fixture = CliFixture::new();
+    let (planned, bytes) = fixture.write_large_document(350, 1_600, "planned.ini");
+    let (exit, printed) = fixture.run(&split_words(&format!("config put {planned} --reason plan")));
     expect_that!(exit, eq(Exit::Done), "{printed}");
-    let stored = desk
+    let stored = fixture
         .platform
         .value("config", "document")
         .expect("a document");
@@ -144,9 +144,11 @@
     );
     expect_that!(bytes, lt(512 * 1024));
     expect_that!(stored.len(), lt(1024 * 1024));
-    let desk = Desk::new();
-    let (larger, _) = desk.plan(350, 12_000, "larger.ini");
-    let (exit, printed) = desk.run(&words(&format!("config put {larger} --reason growth")));
+    let fixture = CliFixture::new();
+    let (larger, _) = fixture.write_large_document(350, 12_000, "larger.ini");
+    let (exit, printed) = fixture.run(&split_words(&format!(
+        "config put {larger} --reason growth"
+    )));
     expect_that!(exit, eq(Exit::Invalid));
     expect_that!(
         printed,
@@ -157,16 +159,16 @@
 /// The record of a change is archived by whoever changes the document next, so it must fit too:
 /// in JSON each end of a line takes two bytes.
 #[gtest]
-fn a_change_whose_record_could_not_be_archived_is_refused() {
-    let desk = Desk::new();
+fn a_change_whose_record_is_too_large_to_archive_is_rejected() {
+    let fixture = CliFixture::new();
     let lines = ";\n".repeat(450_000);
-    let file = desk.get("lines.ini", |text| format!("{text}\n[pool lines]\n{lines}"));
-    let (exit, printed) = desk.run(&words(&format!("config put {file} --reason lines")));
+    let file = fixture.save_document("lines.ini", |text| format!("{text}\n[pool lines]\n{lines}"));
+    let (exit, printed) = fixture.run(&split_words(&format!("config put {file} --reason lines")));
     expect_that!(exit, eq(Exit::Invalid));
     expect_that!(
         printed,
         contains_substring("the platform holds 1048576; nothing was written")
     );
     let next = "config edit ranks --set floor=11 --reason next";
-    expect_that!(desk.run(&words(next)).0, eq(Exit::Done));
+    expect_that!(fixture.run(&split_words(next)).0, eq(Exit::Done));
 }
--- a/azureway-cli/tests/entries.rs
+++ b/azureway-cli/tests/entries.rs
@@ -9,12 +9,12 @@
 use azureway_dev::platform::PlatformFaults;
 use azureway_dev::serve::{EntrySlot, Layout, System};
 use googletest::prelude::*;
-use program::{execute, words};
+use program::{execute, split_words};
 
 /// A guard against a hang, in seconds; no test's verdict depends on it.
-const GUARD: u64 = 60;
+const TEST_TIMEOUT: u64 = 60;
 
-fn system() -> System {
+fn start_system() -> System {
     let layout = Layout::new()
         .with_zones(&["kranj-a"])
         .with_engines(2)
@@ -26,10 +26,10 @@
 }
 
 /// Runs a command line against a system, as an operator would with its exports.
-fn operate(system: &System, line: &str) -> (Exit, String) {
+fn run_command(system: &System, line: &str) -> (Exit, String) {
     let mut all = vec!["azureway".to_owned()];
     all.push(format!("--platform={}", system.platform_address()));
-    all.extend(words(line));
+    all.extend(split_words(line));
     let takes_entry = !line.starts_with("config") && !line.contains("--entry");
     if takes_entry {
         all.push(format!("--entry={}", system.admin_addresses()[0]));
@@ -45,14 +45,14 @@
 }
 
 #[gtest]
-fn commands_answer_as_the_table_says() {
-    let system = system();
+fn commands_return_the_exit_codes_and_output_of_the_table() {
+    let system = start_system();
     for line in include_str!("../testdata/entry.txt").lines() {
         if line.starts_with('#') {
             continue;
         }
         let cells: Vec<&str> = line.split(" |").map(str::trim).collect();
-        let (exit, printed) = operate(&system, cells[0]);
+        let (exit, printed) = run_command(&system, cells[0]);
         expect_that!((exit as u8).to_string(), eq(cells[1]), "{line}\n{printed}");
         expect_that!(printed, contains_substring(cells[2]), "{line}");
     }
@@ -60,18 +60,18 @@
 }
 
 #[gtest]
-fn the_status_shows_who_holds_a_lease() {
-    let system = system();
+fn the_status_shows_lease_holders_and_a_platform_outage() {
+    let system = start_system();
     let value = r#"{"holder":"kranj-a-entry-1","mark":1,"beat":2,"number":7}"#;
     system.platform.seed("lease", "sample", value);
-    let (_, status) = operate(&system, "status");
+    let (_, status) = run_command(&system, "status");
     let expected = "lease sample  kranj-a-entry-1  fencing number 7";
     expect_that!(status, contains_substring(expected));
     system.platform.set_faults(PlatformFaults {
         outage: true,
         ..PlatformFaults::new()
     });
-    let (exit, status) = operate(&system, "status");
+    let (exit, status) = run_command(&system, "status");
     expect_that!(exit, eq(Exit::Failed));
     expect_that!(
         status,
@@ -85,54 +85,54 @@
 }
 
 #[gtest]
-fn a_changed_limit_comes_into_force_and_into_the_trail() {
-    let system = system();
+fn a_changed_limit_takes_effect_and_appears_in_the_audit_trail() {
+    let system = start_system();
     let edit = "config edit 'account wax-desk' --set limit=500 --reason thaw";
-    let (exit, printed) = operate(&system, edit);
+    let (exit, printed) = run_command(&system, edit);
     expect_that!(exit, eq(Exit::Done), "{printed}");
     wait_for(&system, &printed);
-    let (_, history) = operate(&system, "config history --diff");
+    let (_, history) = run_command(&system, "config history --diff");
     expect_that!(history, contains_substring("[account wax-desk]  thaw"));
     expect_that!(history, contains_substring("+ limit = 500"));
     system.drain();
 }
 
 #[gtest]
-fn a_server_that_is_taken_out_gets_no_new_work() {
-    let system = system();
+fn a_drained_server_gets_no_new_requests() {
+    let system = start_system();
     let out = "drain --server kranj-a-engine-1 --reason repair";
-    let (exit, printed) = operate(&system, out);
+    let (exit, printed) = run_command(&system, out);
     expect_that!(exit, eq(Exit::Done), "{printed}");
     wait_for(&system, &printed);
     let ask = "explain --account wax-desk --service advice --message 'House rules'";
-    let (_, explained) = operate(&system, ask);
+    let (_, explained) = run_command(&system, ask);
     expect_that!(explained, contains_substring("leaving  kranj-a-engine-1"));
     expect_that!(explained, contains_substring("chosen   kranj-a-engine-2"));
-    let (_, printed) = operate(&system, &format!("{out} --undo"));
+    let (_, printed) = run_command(&system, &format!("{out} --undo"));
     wait_for(&system, &printed);
-    let (_, status) = operate(&system, "status");
+    let (_, status) = run_command(&system, "status");
     expect_that!(status, contains_substring("3 of 3 live"));
     system.drain();
 }
 
 #[gtest]
-fn an_entry_that_is_drained_ends_and_the_rest_serves() {
+fn a_drained_entry_stops_and_the_others_keep_serving() {
     let layout = Layout::new().with_zones(&["kranj-a"]).with_entries(2);
     let system = System::start(&layout, &EngineConfig::new(), &Bounds::new());
     let system = system.expect("the system starts");
     system.wait_ready();
-    let (exit, printed) = operate(&system, "drain");
+    let (exit, printed) = run_command(&system, "drain");
     expect_that!(exit, eq(Exit::Done), "{printed}");
     // Returns once the drained entry is gone too.
     let url = format!("http://{}/readyz", system.addresses()[1]);
-    let ready = minreq::get(url).with_timeout(GUARD).send();
+    let ready = minreq::get(url).with_timeout(TEST_TIMEOUT).send();
     expect_that!(ready.expect("an answer").status_code, eq(200));
     system.drain();
 }
 
 #[gtest]
-fn the_operators_key_opens_the_interface() {
-    let system = system();
+fn the_admin_interface_requires_the_operator_key_and_the_key_is_not_printed() {
+    let system = start_system();
     let (name, zone) = (InstanceId::new("keyed"), ZoneId::new("kranj-a"));
     let settings = EntrySettings::new(name, zone, system.platform_address());
     let slot = EntrySlot::start(&settings.with_operator_key(KeyHash::of("sesame")));
@@ -144,7 +144,7 @@
         ("--operator-key sesame", 0),
     ] {
         let line = format!("status --entry {admin} {key}");
-        let (ended, printed) = operate(&system, &line);
+        let (ended, printed) = run_command(&system, &line);
         expect_that!(ended as u8, eq(exit), "{line}\n{printed}");
         expect_that!(printed.contains("sesame"), eq(false));
     }
--- a/azureway-cli/tests/program/mod.rs
+++ b/azureway-cli/tests/program/mod.rs
@@ -19,10 +19,10 @@
 }
 
 /// Splits a command line into words; single quotes hold one together.
-pub(crate) fn words(line: &str) -> Vec<String> {
+pub(crate) fn split_words(line: &str) -> Vec<String> {
     let mut words = Vec::new();
-    for (place, part) in line.split('\'').enumerate() {
-        if place % 2 == 1 {
+    for (index, part) in line.split('\'').enumerate() {
+        if index % 2 == 1 {
             words.push(part.to_owned());
         } else {
             words.extend(part.split_whitespace().map(str::to_owned));
--- a/azureway-cli/tests/support/mod.rs
+++ b/azureway-cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An operator's desk for the tests.
+//! An operator's fixture for the tests.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -8,19 +8,19 @@
 use azureway_dev::http::StandIn;
 use azureway_dev::platform::Platform;
 
-use crate::program::{execute, words};
+use crate::program::{execute, split_words};
 
 /// A platform that holds a document, and the program that talks to it.
-pub(crate) struct Desk {
+pub(crate) struct CliFixture {
     pub(crate) platform: Arc<Platform>,
     server: StandIn,
 }
 
 /// The folder of the tables.
-const DATA: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/testdata");
+const TESTDATA: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/testdata");
 
-impl Desk {
-    /// Creates a desk before a platform without a document.
+impl CliFixture {
+    /// Creates a fixture before a platform without a document.
     pub(crate) fn empty() -> Self {
         let platform = Arc::new(Platform::new());
         let server = StandIn::start(Arc::clone(&platform)).expect("a free port");
@@ -28,13 +28,13 @@
     }
 
     pub(crate) fn new() -> Self {
-        let desk = Self::empty();
-        desk.platform.seed(
+        let fixture = Self::empty();
+        fixture.platform.seed(
             "config",
             "document",
             include_str!("../../testdata/document.ini"),
         );
-        desk
+        fixture
     }
 
     /// Runs a command line and returns its exit code and what it printed.
@@ -42,23 +42,28 @@
         let address = self.server.address().to_string();
         let mut line = vec!["azureway".to_owned(), format!("--platform={address}")];
         line.extend(words.iter().map(|w| match w.as_str() {
-            "FILE" => format!("{DATA}/document.ini"),
-            "BAD" => format!("{DATA}/bad.ini"),
+            "FILE" => format!("{TESTDATA}/document.ini"),
+            "BAD" => format!("{TESTDATA}/bad.ini"),
             word => word.to_owned(),
         }));
         execute(line)
     }
 
     /// Gets the document into a file, edited.
-    pub(crate) fn get(&self, name: &str, edit: impl Fn(&str) -> String) -> String {
-        let (_, text) = self.run(&words("config get"));
+    pub(crate) fn save_document(&self, name: &str, edit: impl Fn(&str) -> String) -> String {
+        let (_, text) = self.run(&split_words("config get"));
         save(name, &edit(&text))
     }
 
     /// Adds accounts and servers to the document, in a file; returns its size in bytes.
-    pub(crate) fn plan(&self, accounts: u32, servers: u32, name: &str) -> (String, u64) {
+    pub(crate) fn write_large_document(
+        &self,
+        accounts: u32,
+        servers: u32,
+        name: &str,
+    ) -> (String, u64) {
         let digest = "0123456789abcdef".repeat(4);
-        let file = self.get(name, |text| {
+        let file = self.save_document(name, |text| {
             let mut text = text.to_owned();
             for number in 0..23 {
                 let _ = write!(
