--- a/azureway-cli/src/account/keys.rs
+++ b/azureway-cli/src/account/keys.rs
@@ -1,4 +1,4 @@
-//! `account add-key` and `account remove-key`.
+//! The commands `account add-key` and `account remove-key`.
 
 use std::io::Write;
 
@@ -12,15 +12,16 @@
 use crate::report::KeyReport;
 use crate::{Exit, Failure, random};
 
-/// The bytes of an API key.
+/// The length of an API key in bytes.
 const KEY_BYTES: usize = 32;
-/// The fewest digits that name a digest.
+/// The least number of leading hexadecimal digits that may select a digest.
 const MIN_PREFIX_DIGITS: usize = 6;
 
-/// Makes a key, prints it and stores its digest.
+/// Generates an API key, prints it and stores its digest.
 pub(super) fn add<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
-    let key = random::hex::<KEY_BYTES>().context("draw an API key")?;
-    // Printed before it is stored: a key that nobody has seen would be of no use.
+    let key = random::hex::<KEY_BYTES>().context("generate an API key")?;
+    // The key is printed before its digest is stored: if printing failed after the write, the
+    // document would hold the digest of a key that nobody knows.
     printer.print(&KeyReport::new(&key))?;
     let digest = KeyHash::of(&key).to_string();
     update(matches, &mut printer, |edit| {
@@ -30,15 +31,16 @@
     })
 }
 
-/// Returns the section without the keys that the command names.
+/// Returns the section without the keys whose digests begin with the prefix that the command names.
+/// Fails if the prefix is too short or no digest begins with it.
 pub(super) fn remove(edit: SectionEdit, matches: &ArgMatches) -> Result<SectionEdit> {
-    let prefix: &String = matches.get_one("digest").context("name a digest")?;
+    let prefix: &String = matches.get_one("digest").context("no digest given")?;
     let kept: Vec<&str> = digests(&edit)
         .filter(|d| !d.starts_with(&**prefix))
         .collect();
     if prefix.len() < MIN_PREFIX_DIGITS || kept.len() == digests(&edit).count() {
         let detail =
-            format!("no key has a digest that begins with `{prefix}`; name 6 digits or more");
+            format!("no key has a digest that begins with `{prefix}`; give at least 6 digits");
         return Err(Failure::new(Exit::NotFound, detail).into());
     }
     let kept = kept.join(", ");
@@ -48,6 +50,7 @@
     })
 }
 
+/// Returns the digests of the section's keys.
 fn digests(edit: &SectionEdit) -> impl Iterator<Item = &str> {
     let keys = edit.get("keys").unwrap_or_default().split(',');
     keys.map(str::trim).filter(|k| !k.is_empty())
--- a/azureway-cli/src/account/list.rs
+++ b/azureway-cli/src/account/list.rs
@@ -1,4 +1,4 @@
-//! `account list`.
+//! The command `account list`.
 
 use std::io::Write;
 
--- a/azureway-cli/src/account/mod.rs
+++ b/azureway-cli/src/account/mod.rs
@@ -17,7 +17,7 @@
 
 /// Runs a command on client accounts.
 pub(crate) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
-    let (name, sub) = matches.subcommand().context("name a command")?;
+    let (name, sub) = matches.subcommand().context("no command given")?;
     match name {
         "list" => list::run(sub, printer),
         "add-key" => keys::add(sub, printer),
@@ -27,6 +27,7 @@
     }
 }
 
+/// Returns the section with the entries that the options set.
 fn set_entries(mut edit: SectionEdit, matches: &ArgMatches) -> SectionEdit {
     for key in ["limit", "weight"] {
         if let Some(value) = matches.get_one::<String>(key) {
@@ -36,7 +37,8 @@
     edit
 }
 
-/// Changes the section of the account that the command names; `None` removes it.
+/// Applies `edit_section` to the section of the account that the command names and writes the result;
+/// `None` removes the section.
 fn update<W: Write>(
     matches: &ArgMatches,
     printer: &mut Printer<W>,
@@ -44,7 +46,7 @@
 ) -> Result<Exit> {
     let session = Session::new(matches)?;
     let base = session.store().read()?;
-    let account: &String = matches.get_one("name").context("name an account")?;
+    let account: &String = matches.get_one("name").context("no account given")?;
     let (name, sections) = (format!("account {account}"), Sections::parse(&base.text));
     let before = sections.get(&name).map(|s| s.text);
     let add = matches
--- a/azureway-cli/src/admin/drain.rs
+++ b/azureway-cli/src/admin/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`.
+//! The command `drain`.
 
 use std::io::Write;
 
@@ -14,7 +14,7 @@
 use crate::session::Session;
 use crate::{Exit, Failure};
 
-/// Shuts entry instances down, or takes a backend server out.
+/// Drains a backend server, or drains and shuts down the entry instances that the command names.
 pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     if let Some(server) = matches.get_one::<String>("server") {
         return drain_server(server, matches, &mut printer);
@@ -28,6 +28,7 @@
     Ok(Exit::Done)
 }
 
+/// Marks a backend server as leaving in the document, or removes the mark with `--undo`.
 fn drain_server<W: Write>(
     server: &str,
     matches: &ArgMatches,
--- a/azureway-cli/src/admin/entry_client.rs
+++ b/azureway-cli/src/admin/entry_client.rs
@@ -1,4 +1,4 @@
-//! The client of an entry's operators' interface.
+//! The HTTP client of the operators' interface.
 
 use std::net::SocketAddr;
 
@@ -6,14 +6,14 @@
 use azureway_wire::admin::{DRAIN_PATH, EXPLAIN_PATH, ExplainBody, STATUS_PATH, StatusBody};
 use minreq::{Request, Response};
 
-/// The client of an entry's operators' interface.
+/// An HTTP client of the operators' interface of one entry instance.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryClient {
     address: SocketAddr,
     key: Option<String>,
 }
 
-/// The limit of a request, in seconds.
+/// The time limit of a request, in seconds.
 const TIMEOUT_SECS: u64 = 5;
 
 impl EntryClient {
--- a/azureway-cli/src/admin/explain.rs
+++ b/azureway-cli/src/admin/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`.
+//! The command `explain`.
 
 use std::io::Write;
 
@@ -11,7 +11,7 @@
 use crate::report::{ExplainReport, ReportList};
 use crate::{Exit, Failure};
 
-/// Tells where a request would go from each instance that the command names.
+/// Prints where each entry instance that the command names would route a request, and why.
 pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let option = |name: &str| matches.get_one::<String>(name).map_or("", String::as_str);
     let body = match matches.get_one::<String>("request") {
@@ -31,7 +31,8 @@
     Ok(Exit::Done)
 }
 
-/// Returns a chat-completions request with the messages of the command line.
+/// Returns a chat-completions request with the messages of the command line. The first one is the
+/// system message.
 fn chat_request(matches: &ArgMatches, service: &str) -> String {
     let texts = matches.get_many::<String>("message").unwrap_or_default();
     let messages = texts.enumerate().map(|(index, text)| {
--- a/azureway-cli/src/admin/mod.rs
+++ b/azureway-cli/src/admin/mod.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns the clients of the instances that the command names.
+/// Returns a client for each entry instance that the command names.
 fn clients(matches: &ArgMatches) -> Result<Vec<EntryClient>> {
     let key = matches.get_one::<String>("operator-key");
     let addresses = matches.get_many("entry").unwrap_or_default();
@@ -32,7 +32,7 @@
         .map(|a| EntryClient::new(*a, key.cloned()))
         .collect();
     if clients.is_empty() {
-        let detail = "name an entry instance with --entry or AZUREWAY_ENTRY";
+        let detail = "no entry instance given; use --entry or AZUREWAY_ENTRY";
         return Err(Failure::new(Exit::Usage, detail).into());
     }
     Ok(clients)
--- a/azureway-cli/src/admin/status.rs
+++ b/azureway-cli/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! `status`.
+//! The command `status`.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -13,7 +13,8 @@
 use crate::printer::Printer;
 use crate::report::{LeaseReport, StatusReport, SystemReport};
 
-/// Shows the instances that the command names, those that do not answer among them.
+/// Prints the state of the entry instances that the command names, including those that do not
+/// answer.
 pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let (mut reports, mut exit) = (Vec::new(), Exit::Done);
     for client in clients(matches)? {
@@ -28,7 +29,8 @@
     match matches.get_one("platform").map(|p| read_leases(*p)) {
         Some(Ok(leases)) => report = report.with_leases(leases),
         Some(Err(e)) => {
-            // The instances are still shown: an outage is when they are looked at.
+            // The entry instances are shown all the same: operators inspect them during an outage
+            // of the platform.
             report = report.with_error(e);
             exit = Exit::Failed;
         }
@@ -38,7 +40,7 @@
     Ok(exit)
 }
 
-/// Reads the leases out of the platform.
+/// Reads the leases from the platform.
 fn read_leases(platform: SocketAddr) -> Result<Vec<LeaseReport>> {
     let list = HttpObjects::new(platform).list(LEASE_KIND)?;
     let leases = list.objects.iter().map(|o| {
--- a/azureway-cli/src/app/account_command.rs
+++ b/azureway-cli/src/app/account_command.rs
@@ -1,10 +1,10 @@
-//! The commands on client accounts.
+//! The command line of `account`.
 
 use clap::{Arg, Command};
 
 use super::arguments::{add_flag, option, reason_option};
 
-/// Returns the commands on client accounts.
+/// Returns the command `account` with its subcommands.
 pub(super) fn command() -> Command {
     Command::new("account")
         .about("Lists and changes client accounts")
@@ -13,14 +13,18 @@
         .subcommand(Command::new("list").about("Lists the client accounts"))
         .subcommand(
             Command::new("set")
-                .about("Sets an account's entries")
+                .about("Sets the limit or the weight of an account")
                 .arg(account_name())
                 .args([
-                    option("limit", "NUMBER", "Tokens a second over all entries"),
+                    option(
+                        "limit",
+                        "NUMBER",
+                        "Tokens per second, over all entry instances",
+                    ),
                     option(
                         "weight",
                         "NUMBER",
-                        "Its share beside other accounts of the same rank",
+                        "Its share relative to other accounts with requests of the same rank",
                     ),
                     add_flag(),
                     reason_option(),
@@ -28,12 +32,12 @@
         )
         .subcommand(
             Command::new("add-key")
-                .about("Makes a new API key, prints it once and stores its digest")
+                .about("Generates an API key, prints it once and stores its digest")
                 .args([account_name(), reason_option()]),
         )
         .subcommand(
             Command::new("remove-key")
-                .about("Removes the API keys whose digest begins so")
+                .about("Removes the API keys whose digest begins with the given digits")
                 .args([
                     account_name(),
                     Arg::new("digest").required(true),
--- a/azureway-cli/src/app/admin_command.rs
+++ b/azureway-cli/src/app/admin_command.rs
@@ -1,4 +1,4 @@
-//! The commands on entry instances.
+//! The command lines of `status`, `explain` and `drain`.
 
 use std::net::SocketAddr;
 
@@ -15,33 +15,39 @@
     let servers = Arg::new("servers")
         .long("servers")
         .action(ArgAction::SetTrue)
-        .help("Shows each backend server as the instance knows it");
+        .help("Shows every backend server, not only those that are not live");
     Command::new("status")
-        .about("Shows entry instances: versions in force, queues, servers, ends of requests")
+        .about(
+            "Shows entry instances: configuration versions, queues, servers, outcomes of requests",
+        )
         .args([entry(), operator_key(), servers])
 }
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Tells where a request would go and why, without running it")
+        .about("Shows where a request would be routed and why, without running it")
         .args([entry(), operator_key()])
         .args([
             option("account", "ACCOUNT", "The client account").required(true),
-            option("rank", "RANK", "The rank")
+            option("rank", "RANK", "The rank of the request")
                 .value_parser(["urgent", "drafting"])
                 .default_value("urgent"),
-            option("service", "SERVICE", "The service, with --message"),
+            option(
+                "service",
+                "SERVICE",
+                "The service of the request; needed with --message",
+            ),
             option(
                 "message",
                 "TEXT",
-                "A message of the prompt; the first one is the system's",
+                "A message of the prompt; the first one is the system message; may be repeated",
             )
             .action(ArgAction::Append)
             .requires("service"),
             option(
                 "request",
                 "FILE",
-                "A whole chat-completions request in JSON",
+                "A file with a complete chat-completions request in JSON",
             ),
         ])
         .group(
@@ -55,25 +61,25 @@
     let server = option(
         "server",
         "SERVER",
-        "Takes a backend server out: it gets no new work",
+        "Drains a backend server: it gets no new requests",
     )
     .requires("reason");
     let undo = Arg::new("undo")
         .long("undo")
         .action(ArgAction::SetTrue)
         .requires("server")
-        .help("Takes the backend server back in");
+        .help("Ends the drain of the backend server");
     Command::new("drain")
-        .about("Shuts an entry instance down, or takes a backend server out, cutting no request")
+        .about("Shuts down an entry instance or drains a backend server; no request is cut off")
         .args([entry(), operator_key(), server, undo])
-        .arg(option("reason", "TEXT", "Why, for the audit trail"))
+        .arg(option("reason", "TEXT", "The reason, for the audit trail"))
 }
 
 fn entry() -> Arg {
     option(
         "entry",
         "ADDRESS",
-        "The operators' address of an entry instance; may be repeated",
+        "The address of an entry instance's operators' interface; may be repeated",
     )
     .env("AZUREWAY_ENTRY")
     .value_delimiter(',')
@@ -85,7 +91,7 @@
     option(
         "operator-key",
         "KEY",
-        "The operators' key, where the instance asks for one",
+        "The operators' key, if the instance requires one",
     )
     .env("AZUREWAY_OPERATOR_KEY")
     .hide_env_values(true)
--- a/azureway-cli/src/app/config_command.rs
+++ b/azureway-cli/src/app/config_command.rs
@@ -1,13 +1,13 @@
-//! The commands on the document.
+//! The command line of `config`.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 
 use super::arguments::{add_flag, option, reason_option};
 
-/// Returns the commands on the document.
+/// Returns the command `config` with its subcommands.
 pub(super) fn command() -> Command {
     Command::new("config")
-        .about("Reads and changes the document")
+        .about("Reads and changes the configuration document")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommands([check(), get(), edit(), put(), diff(), history()])
@@ -15,20 +15,24 @@
 
 fn check() -> Command {
     Command::new("check")
-        .about("Names every fault of a document, without the platform")
+        .about("Lists every fault of a document, without contacting the platform")
         .arg(file())
 }
 
 fn get() -> Command {
-    let file = option("file", "FILE", "Where to write it [default: to print it]");
+    let file = option(
+        "file",
+        "FILE",
+        "The file to write the document to [default: standard output]",
+    );
     Command::new("get")
-        .about("Gets the document; its first line names its version, for `config put`")
+        .about("Reads the document; its first line names its version, which `config put` needs")
         .arg(file.short('f'))
 }
 
 fn edit() -> Command {
     let set = option("set", "KEY=VALUE", "Sets an entry").action(ArgAction::Append);
-    let unset = option("unset", "KEY", "Takes an entry out").action(ArgAction::Append);
+    let unset = option("unset", "KEY", "Removes an entry").action(ArgAction::Append);
     let remove = Arg::new("remove")
         .long("remove")
         .action(ArgAction::SetTrue)
@@ -39,20 +43,20 @@
         .arg(
             Arg::new("section")
                 .required(true)
-                .help("Such as 'account wax-desk'"),
+                .help("The section, such as 'account wax-desk'"),
         )
         .args([set, unset, remove, add_flag(), reason_option()])
 }
 
 fn put() -> Command {
     Command::new("put")
-        .about("Writes a document that was got with `config get` and edited")
+        .about("Writes a document that was read with `config get` and edited")
         .args([file(), reason_option()])
 }
 
 fn diff() -> Command {
     Command::new("diff")
-        .about("Shows what a file would change, or what changed since a version")
+        .about("Shows what a file would change, or what has changed since a version")
         .arg(
             Arg::new("file")
                 .value_name("FILE")
@@ -62,7 +66,7 @@
             option(
                 "since",
                 "VERSION",
-                "The version to compare the document with",
+                "The version to compare the current document with",
             )
             .value_parser(value_parser!(u64))
             .conflicts_with("file"),
@@ -70,21 +74,25 @@
 }
 
 fn history() -> Command {
-    let days = option("days", "NUMBER", "The days to look back, today among them")
-        .value_parser(value_parser!(u32).range(1..=366))
-        .default_value("7");
+    let days = option(
+        "days",
+        "NUMBER",
+        "The number of days to look back, including today",
+    )
+    .value_parser(value_parser!(u32).range(1..=366))
+    .default_value("7");
     let diff = Arg::new("diff")
         .long("diff")
         .action(ArgAction::SetTrue)
-        .help("Shows what each change did");
+        .help("Shows the difference that each change made");
     Command::new("history")
         .about("Lists the audit trail, the newest change first")
         .args([days, diff])
         .args([
-            option("by", "NAME", "Changes of this author alone"),
-            option("of", "TEAM", "Changes of this team alone"),
-            option("section", "SECTION", "Changes of this section alone"),
-            option("id", "ID", "The change with this identity alone"),
+            option("by", "NAME", "Only changes by this author"),
+            option("of", "TEAM", "Only changes by this team"),
+            option("section", "SECTION", "Only changes of this section"),
+            option("id", "ID", "Only the change with this ID"),
         ])
 }
 
--- a/azureway-cli/src/app/mod.rs
+++ b/azureway-cli/src/app/mod.rs
@@ -1,4 +1,4 @@
-//! The commands and how they are reached.
+//! The definition of the command line and the dispatch to its commands.
 
 mod account_command;
 mod admin_command;
--- a/azureway-cli/src/app/root_command.rs
+++ b/azureway-cli/src/app/root_command.rs
@@ -1,4 +1,4 @@
-//! The command line as a whole.
+//! The complete command line.
 
 use std::net::SocketAddr;
 
@@ -8,18 +8,18 @@
 use super::arguments::option;
 use super::{account_command, admin_command, config_command};
 
-/// What the help ends with.
+/// The exit codes, printed at the end of the help; [`Exit`](crate::Exit) defines them.
 const EXIT_CODES: &str = "Exit codes:
   0  done
   1  a file, the platform or an entry could not be reached; nothing was written
   2  the command line is wrong
   3  the document has faults or is too large; nothing was written
-  4  somebody else changed the same sections; nothing was written
+  4  another change was made to the same sections; nothing was written
   5  a changed section belongs to another team; nothing was written
-  6  no answer came, and the write may have taken effect
+  6  the platform did not answer, and the write may have taken effect or may yet do so
   7  what the command names does not exist";
 
-/// Returns the whole command line.
+/// Returns the complete command line.
 pub fn command() -> Command {
     Command::new("azureway")
         .about("Configures and inspects azureway")
@@ -33,6 +33,7 @@
         .subcommand(completions())
 }
 
+/// Returns the options that every command accepts.
 fn global_options() -> [Arg; 4] {
     [
         option(
@@ -45,16 +46,16 @@
         option(
             "team",
             "TEAM",
-            "The team that you act for [default: operators]",
+            "The team on whose behalf you act [default: operators]",
         )
         .env("AZUREWAY_TEAM"),
         option(
             "author",
             "NAME",
-            "Your name in the audit trail [default: the user's name]",
+            "Your name in the audit trail [default: the name of the system user]",
         )
         .env("AZUREWAY_AUTHOR"),
-        option("output", "FORMAT", "How to print")
+        option("output", "FORMAT", "The output format")
             .value_parser(["text", "json"])
             .default_value("text"),
     ]
@@ -66,6 +67,6 @@
         .required(true)
         .value_parser(value_parser!(Shell));
     Command::new("completions")
-        .about("Prints the completions of a shell")
+        .about("Prints a shell's completion script")
         .arg(shell)
 }
--- a/azureway-cli/src/app/runner.rs
+++ b/azureway-cli/src/app/runner.rs
@@ -1,4 +1,4 @@
-//! From a command line to its command.
+//! The dispatch of a parsed command line to its command.
 
 use std::io::Write;
 
@@ -9,17 +9,17 @@
 use crate::printer::Printer;
 use crate::{Exit, account, admin, config};
 
-/// Runs a command line and prints to `out`.
+/// Runs the command of a parsed command line, prints to `out` and returns the exit code.
 ///
 /// # Errors
 ///
-/// Returns an error if a file, the platform or an entry cannot be reached, or a
-/// [`Failure`](crate::Failure) with the exit code for what else went wrong.
+/// Returns an error if a file, the platform or an entry instance cannot be reached. Other failures
+/// return a [`Failure`](crate::Failure) with their own exit code.
 pub fn run(matches: &ArgMatches, mut out: impl Write) -> Result<Exit> {
-    let (name, sub) = matches.subcommand().context("name a command")?;
+    let (name, sub) = matches.subcommand().context("no command given")?;
     if name == "completions" {
         let shell = sub.get_one::<clap_complete::Shell>("shell");
-        let shell = *shell.context("name a shell")?;
+        let shell = *shell.context("no shell given")?;
         clap_complete::generate(shell, &mut command(), "azureway", &mut out);
         return Ok(Exit::Done);
     }
--- a/azureway-cli/src/config/base.rs
+++ b/azureway-cli/src/config/base.rs
@@ -1,4 +1,4 @@
-//! The version that an edited document was made from.
+//! Rebuilding earlier versions of the document, on which edits are based.
 
 use anyhow::Result;
 use azureway_core::config::{History, Snapshot};
@@ -7,10 +7,11 @@
 use crate::session::{Session, now};
 use crate::{Exit, Failure};
 
-/// The days that are searched for the changes since an old version.
+/// The number of days of the audit trail that are read to rebuild an earlier version.
 const MAX_REWIND_DAYS: u32 = 31;
 
-/// Returns the document as it was at `version`, out of the one in force and the audit trail.
+/// Returns the document at `version`, rebuilt from the current one by undoing the later changes of
+/// the audit trail. Fails if a change that it needs is not found there.
 pub(super) fn snapshot_at(session: &Session, current: &Snapshot, version: u64) -> Result<Snapshot> {
     let (version, store) = (ConfigVersion::new(version), session.store());
     let (mut history, mut day) = (History::new(), now());
@@ -31,8 +32,8 @@
         day = day.day_before();
     }
     let detail = format!(
-        "version {version} cannot be rebuilt from the audit trail of {MAX_REWIND_DAYS} days; get the \
-         document again and repeat the edit"
+        "version {version} cannot be rebuilt from the audit trail of {MAX_REWIND_DAYS} days; get \
+         the document again and repeat the edit"
     );
     Err(Failure::new(Exit::NotFound, detail).into())
 }
--- a/azureway-cli/src/config/change.rs
+++ b/azureway-cli/src/config/change.rs
@@ -1,4 +1,4 @@
-//! What every change of the document does.
+//! Making a change of the document.
 
 use std::io::Write;
 
@@ -13,7 +13,7 @@
 use crate::session::Session;
 use crate::store::EditDriver;
 
-/// Changes the document from `base` to `text` and prints what came of it.
+/// Changes the document from `base` to `text` and prints the outcome.
 pub(crate) fn change<W: Write>(
     session: &Session,
     matches: &ArgMatches,
@@ -21,7 +21,9 @@
     text: &str,
     printer: &mut Printer<W>,
 ) -> Result<Exit> {
-    let reason: &String = matches.get_one("reason").context("give a --reason")?;
+    let reason: &String = matches
+        .get_one("reason")
+        .context("no reason given; use --reason")?;
     let metadata = session.new_metadata(reason)?;
     let (store, id) = (session.store(), metadata.id.clone());
     let mut driver = EditDriver::new(&store, seed(id.as_str()));
@@ -31,7 +33,7 @@
     Ok(report.exit())
 }
 
-/// Returns a seed for the retries of the change with this identity.
+/// Returns the seed of the retry delays of the change with this ID.
 fn seed(id: &str) -> u64 {
     id.bytes().fold(0, |sum, b| sum << 4 ^ u64::from(b))
 }
--- a/azureway-cli/src/config/check.rs
+++ b/azureway-cli/src/config/check.rs
@@ -1,4 +1,4 @@
-//! `config check`.
+//! The command `config check`.
 
 use std::io::Write;
 
@@ -12,7 +12,7 @@
 use crate::printer::Printer;
 use crate::report::CheckReport;
 
-/// Names every fault of a file.
+/// Prints every fault of a file.
 pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let text = read_file(matches)?;
     if let Err(faults) = Checker::new().check(&text) {
--- a/azureway-cli/src/config/diff.rs
+++ b/azureway-cli/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! `config diff`.
+//! The command `config diff`.
 
 use std::io::Write;
 
@@ -12,7 +12,7 @@
 use crate::session::Session;
 use crate::{Exit, Failure};
 
-/// Shows what a file would change, or what changed since a version.
+/// Prints what a file would change, or what has changed since a version.
 pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let session = Session::new(matches)?;
     let current = session.store().read()?;
@@ -26,7 +26,11 @@
         let old = base::snapshot_at(&session, &current, version)?;
         (old.text, text.into())
     } else {
-        return Err(Failure::new(Exit::Usage, "name a file or --since VERSION").into());
+        return Err(Failure::new(
+            Exit::Usage,
+            "no file and no version given; name a file or use --since VERSION",
+        )
+        .into());
     };
     let delta = Delta::between(&Sections::parse(&old), &Sections::parse(&new));
     printer.print(&DiffReport::new(delta.changes()))?;
--- a/azureway-cli/src/config/edit.rs
+++ b/azureway-cli/src/config/edit.rs
@@ -1,4 +1,4 @@
-//! `config edit`.
+//! The command `config edit`.
 
 use std::io::Write;
 
@@ -12,11 +12,11 @@
 use crate::session::Session;
 use crate::{Exit, Failure};
 
-/// Changes one section.
+/// Changes, adds or removes one section.
 pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let session = Session::new(matches)?;
     let base = session.store().read()?;
-    let name: &String = matches.get_one("section").context("name a section")?;
+    let name: &String = matches.get_one("section").context("no section given")?;
     let sections = Sections::parse(&base.text);
     let before = sections.get(name).map(|s| s.text);
     if before.is_none() && !matches.get_flag("add") {
@@ -37,6 +37,8 @@
     )
 }
 
+/// Returns the text of the section after the edits of `--set` and `--unset`. A section that does
+/// not exist yet gets the operator's team.
 fn edit_section(
     name: &str,
     before: Option<&str>,
--- a/azureway-cli/src/config/get.rs
+++ b/azureway-cli/src/config/get.rs
@@ -1,4 +1,4 @@
-//! `config get`.
+//! The command `config get`.
 
 use std::io::Write;
 
--- a/azureway-cli/src/config/history.rs
+++ b/azureway-cli/src/config/history.rs
@@ -1,4 +1,4 @@
-//! `config history`.
+//! The command `config history`.
 
 use std::io::Write;
 
@@ -11,11 +11,12 @@
 use crate::session::{Session, now};
 use crate::{Exit, Failure};
 
-/// Lists the audit trail.
+/// Prints the audit trail, the newest change first.
 pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let store = Session::new(matches)?.store();
     let (mut history, mut day) = (History::new(), now());
-    // Read first: whoever replaces this record archives it before the lists below are read.
+    // The document is read before the archive. In the other order, a change could archive and
+    // replace the current record in between, and that record would be missing from both.
     let current = store.read()?;
     current
         .last_change()
@@ -29,14 +30,14 @@
     let diff = matches.get_flag("diff");
     let reports: Vec<_> = selected.map(|c| HistoryReport::new(c, diff)).collect();
     if reports.is_empty() && matches.contains_id("id") {
-        let detail = "no accepted change has this identity; look back further with --days";
+        let detail = "no accepted change has this identity; use --days to look back further";
         return Err(Failure::new(Exit::NotFound, detail).into());
     }
     printer.print(&ReportList(reports))?;
     Ok(Exit::Done)
 }
 
-/// Tells whether a change passes every filter of the command line.
+/// Returns whether a change matches every filter of the command line.
 fn matches_filters(change: &AcceptedChange, matches: &ArgMatches) -> bool {
     let (metadata, delta) = (&change.record.metadata, &change.record.delta);
     let filter = |name| matches.get_one::<String>(name).map(String::as_str);
--- a/azureway-cli/src/config/mod.rs
+++ b/azureway-cli/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The commands on the document.
+//! The commands on the configuration document.
 
 mod base;
 mod change;
@@ -21,9 +21,9 @@
 use crate::printer::Printer;
 use crate::{Exit, Failure};
 
-/// Runs a command on the document.
+/// Runs a command on the configuration document.
 pub(crate) fn run<W: Write>(matches: &ArgMatches, printer: Printer<W>) -> Result<Exit> {
-    let (name, sub) = matches.subcommand().context("name a command")?;
+    let (name, sub) = matches.subcommand().context("no command given")?;
     match name {
         "check" => check::run(sub, printer),
         "get" => get::run(sub, printer),
@@ -34,16 +34,17 @@
     }
 }
 
-/// Returns the failure of a command that names a section which does not exist.
+/// Returns the failure of a command whose section does not exist. It suggests the section with the
+/// nearest name.
 pub(crate) fn missing_section(name: &str, sections: &Sections<'_>) -> Failure {
     let names: Vec<&str> = sections.iter().map(|s| s.name).collect();
     let hint = nearest(name, &names).map_or(".".to_owned(), |n| format!("; did you mean [{n}]?"));
-    let detail = format!("no section [{name}] exists{hint} A new one is added with --add");
+    let detail = format!("no section [{name}] exists{hint} Use --add to add a new section");
     Failure::new(Exit::NotFound, detail)
 }
 
 /// Reads the file that the command names.
 fn read_file(matches: &ArgMatches) -> Result<String> {
-    let path: &String = matches.get_one("file").context("name a file")?;
+    let path: &String = matches.get_one("file").context("no file given")?;
     std::fs::read_to_string(path).with_context(|| format!("read {path}"))
 }
--- a/azureway-cli/src/config/put.rs
+++ b/azureway-cli/src/config/put.rs
@@ -1,4 +1,4 @@
-//! `config put`.
+//! The command `config put`.
 
 use std::io::Write;
 
@@ -13,10 +13,11 @@
 use crate::session::Session;
 use crate::{Exit, Failure};
 
-/// Writes an edited document.
+/// Writes an edited document, as a change of the version that its first line names.
 pub(super) fn run<W: Write>(matches: &ArgMatches, mut printer: Printer<W>) -> Result<Exit> {
     let file = read_file(matches)?;
-    // The file is checked with its first line, so that the lines of faults are its own.
+    // The file is checked including its version line, so that faults have the line numbers of the
+    // file.
     if let Err(faults) = Checker::new().check(&file) {
         let report = EditReport::new(&ChangeId::new(""), &EditOutcome::Invalid(faults));
         printer.print(&report)?;
@@ -28,14 +29,16 @@
     change(&session, matches, &base, text, &mut printer)
 }
 
+/// Returns the version of the document on which the edited file is based. A file without a version
+/// is accepted only if no document exists.
 fn find_base(session: &Session, version: Option<u64>) -> Result<Snapshot> {
     let current = session.store().read()?;
     match version {
         Some(version) => base::snapshot_at(session, &current, version),
         None if current.version.get() == 0 => Ok(current),
         None => {
-            let detail = "the file does not name the version that it was made from; get the \
-                          document with `azureway config get` and edit that";
+            let detail = "the file does not name the version that it is based on; get the \
+                          document with `azureway config get` and edit that file";
             Err(Failure::new(Exit::Usage, detail).into())
         }
     }
--- a/azureway-cli/src/failure.rs
+++ b/azureway-cli/src/failure.rs
@@ -1,10 +1,10 @@
-//! A failure with an exit code of its own.
+//! An error with its own exit code.
 
 use std::fmt;
 
 use crate::Exit;
 
-/// A failure with an exit code of its own.
+/// An error that ends the program with its own exit code.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
     exit: Exit,
@@ -12,7 +12,7 @@
 }
 
 impl Failure {
-    /// Creates a failure.
+    /// Creates a failure with an exit code and a message.
     pub fn new(exit: Exit, detail: impl fmt::Display) -> Self {
         let detail = detail.to_string().into();
         Self { exit, detail }
--- a/azureway-cli/src/lib.rs
+++ b/azureway-cli/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' command line of azureway.
 //!
-//! [`run`] takes the words of a command line and a place to print to, so that a test drives
-//! the commands as the program does. [`Exit`] lists the exit codes.
+//! [`run`] takes a parsed command line and a writer for its output, so that tests run the commands
+//! in the same way as the program. [`Exit`] lists the exit codes.
 
 mod account;
 mod admin;
--- a/azureway-cli/src/main.rs
+++ b/azureway-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' program.
+//! The operators' program `azureway`.
 
 use std::io;
 use std::process::ExitCode;
--- a/azureway-cli/src/printer.rs
+++ b/azureway-cli/src/printer.rs
@@ -1,4 +1,4 @@
-//! Where and how a command prints.
+//! The output of a command.
 
 use std::fmt::Display;
 use std::io::Write;
@@ -6,7 +6,7 @@
 use anyhow::{Context, Result};
 use serde::Serialize;
 
-/// Where a command prints, and whether it does so for people or for programs.
+/// Prints the reports of a command to a writer, as text or as JSON.
 #[derive(Debug)]
 pub(crate) struct Printer<W> {
     out: W,
--- a/azureway-cli/src/random.rs
+++ b/azureway-cli/src/random.rs
@@ -1,9 +1,9 @@
-//! Random names and keys.
+//! Random IDs and keys.
 
 use std::fs::File;
 use std::io::{self, Read};
 
-/// Where the operating system gives random bytes that nobody can guess.
+/// The operating system's source of cryptographically secure random bytes.
 const RANDOM_DEVICE: &str = "/dev/urandom";
 
 /// Returns `N` random bytes as hexadecimal digits.
--- a/azureway-cli/src/report/account_report.rs
+++ b/azureway-cli/src/report/account_report.rs
@@ -1,11 +1,11 @@
-//! A client account.
+//! The report on a client account.
 
 use std::fmt;
 
 use azureway_core::prelude::ClientAccount;
 use serde::Serialize;
 
-/// A client account as the document gives it.
+/// The settings of a client account in the document, with the number of its API keys.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct AccountReport {
     name: Box<str>,
--- a/azureway-cli/src/report/check_report.rs
+++ b/azureway-cli/src/report/check_report.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a document.
+//! The report of `config check`.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 use super::FaultBody;
 use super::fault_body::format_count;
 
-/// What is wrong with a document.
+/// The faults of a document.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct CheckReport {
     good: bool,
--- a/azureway-cli/src/report/diff_report.rs
+++ b/azureway-cli/src/report/diff_report.rs
@@ -1,4 +1,4 @@
-//! The difference between two documents.
+//! The report on the difference between two documents.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 use super::digests::shorten_digests;
 use super::line_diff::LineDiff;
 
-/// The difference between two documents, section by section, without whole digests.
+/// The difference between two documents, section by section, with shortened digests of API keys.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct DiffReport {
     sections: Vec<SectionBody>,
--- a/azureway-cli/src/report/digests.rs
+++ b/azureway-cli/src/report/digests.rs
@@ -1,8 +1,8 @@
-//! Keeping digests of API keys short.
+//! Shortening the digests of API keys.
 
-/// The hexadecimal digits of a digest.
+/// The number of hexadecimal digits of a digest.
 const DIGEST_DIGITS: usize = 64;
-/// The digits of a digest that are shown.
+/// The number of digits of a digest that are shown.
 const SHOWN_DIGITS: usize = 8;
 
 /// Returns the text of a section with every digest shortened to its first digits.
--- a/azureway-cli/src/report/document_report.rs
+++ b/azureway-cli/src/report/document_report.rs
@@ -1,18 +1,18 @@
-//! The document for an operator to edit.
+//! The report of `config get`.
 
 use std::fmt;
 
 use azureway_core::config::Snapshot;
 use serde::Serialize;
 
-/// The document for an operator to edit. Its first line names the version that it is.
+/// The document for an operator to edit. The first line of its text form names its version.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct DocumentReport<'a> {
     version: u64,
     text: &'a str,
 }
 
-/// What the first line begins with.
+/// The beginning of the version line.
 const VERSION_PREFIX: &str = "; azureway-version ";
 
 impl<'a> DocumentReport<'a> {
@@ -21,7 +21,8 @@
         Self { version, text }
     }
 
-    /// Splits an edited document into the version that it was made from and its text.
+    /// Splits an edited document into the version that its first line names, if it does, and its
+    /// text.
     pub(crate) fn split(document: &str) -> (Option<u64>, &str) {
         let split = document.strip_prefix(VERSION_PREFIX);
         let Some((version, text)) = split.and_then(|d| d.split_once('\n')) else {
--- a/azureway-cli/src/report/drain_report.rs
+++ b/azureway-cli/src/report/drain_report.rs
@@ -1,11 +1,11 @@
-//! An instance that shuts down.
+//! The report of `drain` on an entry instance.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use serde::Serialize;
 
-/// An instance that shuts down.
+/// Confirms that an entry instance has started to drain.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct DrainReport {
     entry: SocketAddr,
--- a/azureway-cli/src/report/edit_report.rs
+++ b/azureway-cli/src/report/edit_report.rs
@@ -1,4 +1,4 @@
-//! How an edit ended.
+//! The report on the outcome of an edit.
 
 use std::fmt;
 
@@ -11,7 +11,7 @@
 use super::{DiffReport, FaultBody};
 use crate::Exit;
 
-/// How an edit ended.
+/// The outcome of an edit and the exit code that it maps to.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct EditReport {
     outcome: &'static str,
@@ -54,7 +54,7 @@
         self.exit
     }
 
-    /// Adds what went wrong last.
+    /// Adds the last error, unless the edit succeeded.
     pub(crate) fn with_error(mut self, error: Option<impl fmt::Display>) -> Self {
         if let Some(error) = error.filter(|_| self.exit != Exit::Done) {
             self.detail.push_str(&format!("\nlast error: {error}"));
@@ -63,6 +63,7 @@
     }
 }
 
+/// Returns the name of an outcome in JSON and its exit code.
 fn outcome_and_exit(outcome: &EditOutcome<Faults>) -> (&'static str, Exit) {
     match outcome {
         EditOutcome::Accepted(_) => ("accepted", Exit::Done),
@@ -76,6 +77,7 @@
     }
 }
 
+/// Returns the description of an outcome for the operator.
 fn describe(id: &ChangeId, outcome: &EditOutcome<Faults>) -> String {
     match outcome {
         EditOutcome::Accepted(version) => format!("accepted as version {version}, change {id}"),
--- a/azureway-cli/src/report/explain_report.rs
+++ b/azureway-cli/src/report/explain_report.rs
@@ -1,4 +1,4 @@
-//! Why a request would go where.
+//! The report of `explain` on one entry instance.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use azureway_wire::admin::ExplainBody;
 use serde::Serialize;
 
-/// Why a request would go where it would go from one entry instance.
+/// Where one entry instance would route a request, and the estimate for each backend server.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ExplainReport {
     entry: SocketAddr,
@@ -14,7 +14,7 @@
     answer: ExplainBody,
 }
 
-/// The microseconds of a millisecond.
+/// The number of microseconds in a millisecond.
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
 impl ExplainReport {
@@ -36,12 +36,12 @@
         }
         for option in &answer.options {
             let state = option.obstacle.as_deref().unwrap_or("chosen");
-            let home = if option.home { ", kept here" } else { "" };
+            let replica = if option.home { ", kept here" } else { "" };
             let millis = |micros: u64| micros as f64 / MICROS_PER_MILLI;
             writeln!(
                 f,
                 "  {state:8} {}  zone {}  first token in {:.1} ms = wait {:.1} + compute {:.1} + \
-                 link {:.1}; {} tokens cached{home}",
+                 link {:.1}; {} tokens cached{replica}",
                 option.server,
                 option.zone,
                 millis(option.total),
--- a/azureway-cli/src/report/fault_body.rs
+++ b/azureway-cli/src/report/fault_body.rs
@@ -1,9 +1,9 @@
-//! A fault of a document.
+//! A fault of a document in a report.
 
 use azureway_config::ini::Fault;
 use serde::Serialize;
 
-/// A fault of a document.
+/// A fault of a document, in JSON.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct FaultBody {
     line: u32,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Returns a number of faults in words.
+/// Returns a count of faults with its noun, such as `2 faults`.
 pub(super) fn format_count(number: usize) -> String {
     match number {
         1 => "1 fault".to_owned(),
--- a/azureway-cli/src/report/history_report.rs
+++ b/azureway-cli/src/report/history_report.rs
@@ -1,4 +1,4 @@
-//! The audit trail.
+//! The report on a change of the audit trail.
 
 use std::fmt;
 
@@ -23,7 +23,8 @@
 }
 
 impl HistoryReport {
-    /// Creates the report of a change, with what it did if `diff` is set.
+    /// Creates the report of a change. It includes the difference that the change made if `diff` is
+    /// set.
     pub(crate) fn new(change: &AcceptedChange, diff: bool) -> Self {
         let (metadata, record) = (&change.record.metadata, &change.record);
         let changes = record.delta.changes();
--- a/azureway-cli/src/report/key_report.rs
+++ b/azureway-cli/src/report/key_report.rs
@@ -1,10 +1,10 @@
-//! A new API key.
+//! The report on a new API key.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// A new API key, shown once.
+/// A new API key. It is shown only once, since the document stores only its digest.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct KeyReport<'a> {
     key: &'a str,
@@ -20,7 +20,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "{}\nThis key is shown once; it is good if the change below is accepted.",
+            "{}\nThis key is shown once; it is valid only if the change below is accepted.",
             self.key
         )
     }
--- a/azureway-cli/src/report/lease_report.rs
+++ b/azureway-cli/src/report/lease_report.rs
@@ -1,11 +1,11 @@
-//! Who holds a lease.
+//! The report on a lease.
 
 use std::fmt;
 
 use azureway_wire::order::LeaseBody;
 use serde::Serialize;
 
-/// Who holds a lease or held it last.
+/// The current or last holder of a lease, and its fencing number.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct LeaseReport {
     lease: Box<str>,
--- a/azureway-cli/src/report/line_diff.rs
+++ b/azureway-cli/src/report/line_diff.rs
@@ -1,4 +1,4 @@
-//! The difference between two texts, line by line.
+//! A line diff.
 
 use std::fmt;
 
@@ -30,7 +30,8 @@
     }
 }
 
-/// Returns the length of the longest common subsequence from each pair of places on.
+/// Returns a table whose entry `[i][j]` is the length of the longest common subsequence of
+/// `old[i..]` and `new[j..]`.
 fn lcs_lengths(old: &[&str], new: &[&str]) -> Vec<Vec<usize>> {
     let mut lengths = vec![vec![0; new.len() + 1]; old.len() + 1];
     for i in (0..old.len()).rev() {
--- a/azureway-cli/src/report/mod.rs
+++ b/azureway-cli/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands print, as text and as JSON.
+//! The reports that the commands print, as text or as JSON.
 
 mod account_report;
 mod check_report;
--- a/azureway-cli/src/report/report_list.rs
+++ b/azureway-cli/src/report/report_list.rs
@@ -1,10 +1,10 @@
-//! Several reports.
+//! A list of reports.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// Several reports, one after the other.
+/// Reports of one kind, printed one after the other and serialised as a JSON array.
 #[derive(Clone, Debug, Serialize)]
 #[serde(transparent)]
 pub(crate) struct ReportList<T>(pub(crate) Vec<T>);
--- a/azureway-cli/src/report/status_report.rs
+++ b/azureway-cli/src/report/status_report.rs
@@ -1,4 +1,4 @@
-//! The state of an entry instance.
+//! The report of `status` on one entry instance.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use azureway_wire::admin::{ServerBody, StatusBody};
 use serde::Serialize;
 
-/// The state of an entry instance, or why it cannot be told.
+/// The state of an entry instance, or the error if it did not answer.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct StatusReport {
     entry: SocketAddr,
--- a/azureway-cli/src/report/system_report.rs
+++ b/azureway-cli/src/report/system_report.rs
@@ -1,4 +1,4 @@
-//! The state of a system.
+//! The report of `status`.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use super::{LeaseReport, StatusReport};
 
-/// The state of the entry instances that were asked, and the leases in the platform.
+/// The state of the queried entry instances, and the leases in the platform.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct SystemReport {
     entries: Vec<StatusReport>,
@@ -32,7 +32,7 @@
         self
     }
 
-    /// Sets why the leases cannot be told.
+    /// Sets the error with which the read of the leases failed.
     #[must_use]
     pub(crate) fn with_error(mut self, error: impl fmt::Display) -> Self {
         self.error = Some(error.to_string());
--- a/azureway-cli/src/session.rs
+++ b/azureway-cli/src/session.rs
@@ -1,4 +1,4 @@
-//! Who uses the program, and the platform that it talks to.
+//! The operator's identity and the platform, from the options of a command.
 
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -11,7 +11,7 @@
 use crate::random;
 use crate::store::DocumentStore;
 
-/// Who uses the program, and the platform that it talks to.
+/// The operator's identity and the address of the platform.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
     platform: SocketAddr,
@@ -19,20 +19,21 @@
     team: TeamId,
 }
 
-/// The bytes of a change's identity.
+/// The length of a change ID in bytes.
 const ID_BYTES: usize = 12;
 
 impl Session {
-    /// Reads the options that every command has.
+    /// Reads the options that every command accepts. The author defaults to the system user, the
+    /// team to the operators.
     pub(crate) fn new(matches: &ArgMatches) -> Result<Self> {
-        let text = |name| matches.get_one::<String>(name).map(String::as_str);
+        let option = |name| matches.get_one::<String>(name).map(String::as_str);
         let platform = *matches
             .get_one("platform")
-            .context("name the platform with --platform or AZUREWAY_PLATFORM")?;
+            .context("no platform given; use --platform or AZUREWAY_PLATFORM")?;
         Ok(Self {
             platform,
-            author: text("author").map_or_else(user_name, str::to_owned),
-            team: TeamId::new(text("team").unwrap_or(TeamId::DEFAULT)),
+            author: option("author").map_or_else(user_name, str::to_owned),
+            team: TeamId::new(option("team").unwrap_or(TeamId::DEFAULT)),
         })
     }
 
@@ -40,25 +41,26 @@
         &self.team
     }
 
-    /// Returns the document's store.
+    /// Returns the store of the document.
     pub(crate) fn store(&self) -> DocumentStore<HttpObjects> {
         DocumentStore::new(HttpObjects::new(self.platform))
     }
 
-    /// Draws the identity of a new change and notes who makes it.
+    /// Returns the metadata of a new change: a random ID, the operator, the current time and the
+    /// reason.
     pub(crate) fn new_metadata(&self, reason: &str) -> Result<ChangeMetadata> {
-        let id = random::hex::<ID_BYTES>().context("draw the identity of the change")?;
+        let id = random::hex::<ID_BYTES>().context("generate a change ID")?;
         let (id, team) = (ChangeId::new(&id), self.team.clone());
         Ok(ChangeMetadata::new(id, &self.author, team, now()).with_reason(reason))
     }
 }
 
-/// Returns the name of the operating system's user.
+/// Returns the name of the system user, from the environment variable `USER`.
 fn user_name() -> String {
     std::env::var("USER").unwrap_or_else(|_| "unknown".to_owned())
 }
 
-/// Returns the time by the system's clock.
+/// Returns the time of the system clock.
 pub(crate) fn now() -> ChangeTime {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     ChangeTime::new(since.unwrap_or_default().as_secs())
--- a/azureway-cli/src/store/document_store.rs
+++ b/azureway-cli/src/store/document_store.rs
@@ -1,4 +1,4 @@
-//! The document and its audit trail as objects.
+//! The store of the document and its audit trail.
 
 use azureway_core::config::{
     AcceptedChange, ChangeMetadata, ChangeTime, ConditionalWrite, EditReply, History, Snapshot,
@@ -9,13 +9,14 @@
     ChangeBody, DOCUMENT_KIND, DOCUMENT_NAME, StoredDocument, VALUE_MAX, archive_kind,
 };
 
-/// The document and its audit trail as objects of the platform.
+/// Stores the document and its audit trail as objects of the platform.
 #[derive(Debug)]
 pub(crate) struct DocumentStore<A> {
     api: A,
 }
 
-/// The bytes that a record grows by when its version is known, at most.
+/// The decimal digits of the largest version. A record grows by at most this many bytes once its
+/// version is known.
 const MAX_VERSION_DIGITS: usize = 20;
 
 impl<A: ObjectApi> DocumentStore<A> {
@@ -23,7 +24,7 @@
         Self { api }
     }
 
-    /// Reads the document; the empty snapshot stands for none.
+    /// Reads the document. Returns the empty snapshot if none exists.
     pub(crate) fn read(&self) -> Result<Snapshot, Error> {
         let object = self.api.get(DOCUMENT_KIND, DOCUMENT_NAME)?;
         Ok(object.map_or_else(Snapshot::default, |o| {
@@ -31,7 +32,7 @@
         }))
     }
 
-    /// Creates the archived record of a change unless it exists.
+    /// Creates the archived record of a change, unless it exists already.
     pub(crate) fn archive(&self, change: &AcceptedChange) -> Result<(), Error> {
         let metadata = &change.record.metadata;
         let value = serde_json::to_string(&ChangeBody::from(change));
@@ -48,10 +49,11 @@
         }
     }
 
-    /// Carries out a write.
+    /// Writes the document if it still has the expected version.
     pub(crate) fn write(&self, write: &ConditionalWrite) -> EditReply {
         let value = StoredDocument::encode(&write.record, &write.text);
-        // A record that could not be archived would keep everybody from the next change.
+        // The next change must archive this record first, so a record too large for the archive
+        // would block every later change.
         let archived = serde_json::to_vec(&ChangeBody::new(&write.record)).map_or(0, |v| v.len());
         let bytes = value.len().max(archived + MAX_VERSION_DIGITS);
         if bytes > VALUE_MAX {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Returns the version that an archived change made.
+    /// Returns the version that a change created, or `None` if the change is not in the archive.
     pub(crate) fn find(&self, metadata: &ChangeMetadata) -> Result<Option<ConfigVersion>, Error> {
         let object = self
             .api
@@ -79,7 +81,7 @@
         Ok(change.map(|c| c.version))
     }
 
-    /// Adds the archived changes of the day of `time`.
+    /// Adds the archived changes of the day of `time` to `history`.
     pub(crate) fn add_day(&self, time: ChangeTime, history: &mut History) -> Result<(), Error> {
         for object in self.api.list(&archive_kind(time))?.objects {
             history.insert(decode(&object.value)?);
@@ -88,6 +90,7 @@
     }
 }
 
+/// Parses an archived record.
 fn decode(value: &str) -> Result<AcceptedChange, Error> {
     let body: ChangeBody = serde_json::from_str(value)
         .map_err(|e| Error::new(ErrorKind::Protocol, Step::new("read change"), e))?;
--- a/azureway-cli/src/store/edit_driver.rs
+++ b/azureway-cli/src/store/edit_driver.rs
@@ -1,4 +1,4 @@
-//! Carrying out edits.
+//! The driver of an edit.
 
 use std::thread;
 use std::time::Duration;
@@ -11,22 +11,23 @@
 
 use super::DocumentStore;
 
-/// Carries out the steps of an edit until it is over.
+/// Executes the steps of an edit against a store, with a backoff after failed steps.
 #[derive(Debug)]
 pub(crate) struct EditDriver<'a, A> {
     store: &'a DocumentStore<A>,
     backoff: Backoff,
-    /// The last error, for the report of an edit that gave up.
+    /// The error of the last failed step, for the report of an edit that did not succeed.
     pub(crate) last_error: Option<Error>,
 }
 
-/// The first wait after a failed step.
+/// The delay after the first failed step, before jitter.
 const BACKOFF_BASE: Duration = Duration::from_millis(50);
-/// The longest wait after a failed step.
+/// The longest delay after a failed step.
 const BACKOFF_CAP: Duration = Duration::from_secs(2);
 
 impl<'a, A: ObjectApi> EditDriver<'a, A> {
-    /// Creates a driver. `seed` spreads the retries of operators that fail together.
+    /// Creates a driver. Different values of `seed` spread the retries of operators whose steps
+    /// fail at the same time.
     pub(crate) const fn new(store: &'a DocumentStore<A>, seed: u64) -> Self {
         let backoff = Backoff::new(BACKOFF_BASE, BACKOFF_CAP, seed);
         Self {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Runs an edit to its end.
+    /// Runs an edit until it has an outcome, and returns that.
     pub(crate) fn run(&mut self, mut edit: Edit<Checker>) -> EditOutcome<Faults> {
         loop {
             if let Some(outcome) = edit.outcome() {
@@ -50,6 +51,7 @@
         }
     }
 
+    /// Executes a step and returns its result.
     fn execute_step(&mut self, step: EditStep<'_>) -> EditReply {
         let reply = match step {
             EditStep::Read => self.store.read().map(EditReply::Read),
--- a/azureway-cli/src/store/mod.rs
+++ b/azureway-cli/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The document and its audit trail in the platform's object API.
+//! Storage of the document and its audit trail in the platform's object API.
 
 mod document_store;
 mod edit_driver;
