--- a/azureway-cli/tests/commands.rs
+++ b/azureway-cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: commands against a platform over loopback.
+//! Tests of the commands against a platform over loopback.
 
 mod program;
 mod support;
@@ -126,7 +126,8 @@
     expect_that!(printed, contains_substring("get object with platform"));
 }
 
-/// 350 client accounts, 23 services and 1,600 servers, and a change of every section of a team.
+/// The planned document has 350 client accounts, 23 services and 1,600 servers. The record of the
+/// change that adds them must fit into a value of the platform too.
 #[gtest]
 fn a_document_of_the_planned_size_fits_and_a_larger_one_is_rejected() {
     let fixture = CliFixture::new();
@@ -137,7 +138,8 @@
         .platform
         .value("config", "document")
         .expect("a document");
-    // Half of a value is room for the record of a change to everything.
+    // The document may fill at most half of a value, so that the record of a change to every
+    // section fits as well.
     println!(
         "planned document: {bytes} bytes, stored as {}",
         stored.len()
@@ -156,8 +158,9 @@
     );
 }
 
-/// The record of a change is archived by whoever changes the document next, so it must fit too:
-/// in JSON each end of a line takes two bytes.
+/// The next change must archive the record of the previous one, so a record that is too large for a
+/// value would block every later change. JSON escapes each line end as two bytes, which makes the
+/// record larger than the document.
 #[gtest]
 fn a_change_whose_record_is_too_large_to_archive_is_rejected() {
     let fixture = CliFixture::new();
--- a/azureway-cli/tests/entries.rs
+++ b/azureway-cli/tests/entries.rs
@@ -1,4 +1,4 @@
-//! The operators' interface of an entry: commands against a running system over loopback.
+//! Tests of the commands against a running system over loopback.
 
 mod program;
 
@@ -11,9 +11,10 @@
 use googletest::prelude::*;
 use program::{execute, split_words};
 
-/// A guard against a hang, in seconds; no test's verdict depends on it.
+/// The limit of a wait, in seconds, so that a failing test does not hang. No result depends on it.
 const TEST_TIMEOUT: u64 = 60;
 
+/// Starts a system of one zone with two engines and one entry instance.
 fn start_system() -> System {
     let layout = Layout::new()
         .with_zones(&["kranj-a"])
@@ -25,7 +26,8 @@
     system
 }
 
-/// Runs a command line against a system, as an operator would with its exports.
+/// Runs a command line against a system, with the platform and the first entry instance given as an
+/// operator's environment would.
 fn run_command(system: &System, line: &str) -> (Exit, String) {
     let mut all = vec!["azureway".to_owned()];
     all.push(format!("--platform={}", system.platform_address()));
@@ -37,7 +39,7 @@
     execute(all)
 }
 
-/// Waits until every entry has the version in force that a command printed.
+/// Waits until every entry instance has the version in force that a command printed.
 fn wait_for(system: &System, printed: &str) {
     let version = printed.split_whitespace().nth(3).expect("a version");
     let version = version.trim_end_matches(',').parse().expect("a number");
@@ -100,15 +102,15 @@
 #[gtest]
 fn a_drained_server_gets_no_new_requests() {
     let system = start_system();
-    let out = "drain --server kranj-a-engine-1 --reason repair";
-    let (exit, printed) = run_command(&system, out);
+    let drain = "drain --server kranj-a-engine-1 --reason repair";
+    let (exit, printed) = run_command(&system, drain);
     expect_that!(exit, eq(Exit::Done), "{printed}");
     wait_for(&system, &printed);
-    let ask = "explain --account wax-desk --service advice --message 'House rules'";
-    let (_, explained) = run_command(&system, ask);
+    let explain = "explain --account wax-desk --service advice --message 'House rules'";
+    let (_, explained) = run_command(&system, explain);
     expect_that!(explained, contains_substring("leaving  kranj-a-engine-1"));
     expect_that!(explained, contains_substring("chosen   kranj-a-engine-2"));
-    let (_, printed) = run_command(&system, &format!("{out} --undo"));
+    let (_, printed) = run_command(&system, &format!("{drain} --undo"));
     wait_for(&system, &printed);
     let (_, status) = run_command(&system, "status");
     expect_that!(status, contains_substring("3 of 3 live"));
@@ -123,7 +125,7 @@
     system.wait_ready();
     let (exit, printed) = run_command(&system, "drain");
     expect_that!(exit, eq(Exit::Done), "{printed}");
-    // Returns once the drained entry is gone too.
+    // Returns only after the drained entry has stopped too.
     let url = format!("http://{}/readyz", system.addresses()[1]);
     let ready = minreq::get(url).with_timeout(TEST_TIMEOUT).send();
     expect_that!(ready.expect("an answer").status_code, eq(200));
--- a/azureway-cli/tests/program/mod.rs
+++ b/azureway-cli/tests/program/mod.rs
@@ -1,8 +1,8 @@
-//! Running the program as an operator does.
+//! Runs command lines as the program does.
 
 use azureway_cli::{Exit, Failure, command, run};
 
-/// Runs a command line and returns its exit code and what it printed.
+/// Runs a command line and returns its exit code and its output or error.
 pub(crate) fn execute(line: Vec<String>) -> (Exit, String) {
     let matches = match command().try_get_matches_from(line) {
         Ok(matches) => matches,
@@ -18,7 +18,7 @@
     }
 }
 
-/// Splits a command line into words; single quotes hold one together.
+/// Splits a command line into words at white space. A part in single quotes is one word.
 pub(crate) fn split_words(line: &str) -> Vec<String> {
     let mut words = Vec::new();
     for (index, part) in line.split('\'').enumerate() {
--- a/azureway-cli/tests/support/mod.rs
+++ b/azureway-cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An operator's fixture for the tests.
+//! The fixture of the command tests.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -10,23 +10,24 @@
 
 use crate::program::{execute, split_words};
 
-/// A platform that holds a document, and the program that talks to it.
+/// A platform on a loopback port, and a way to run commands against it.
 pub(crate) struct CliFixture {
     pub(crate) platform: Arc<Platform>,
     server: StandIn,
 }
 
-/// The folder of the tables.
+/// The folder of the test data.
 const TESTDATA: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/testdata");
 
 impl CliFixture {
-    /// Creates a fixture before a platform without a document.
+    /// Creates a fixture whose platform holds no document.
     pub(crate) fn empty() -> Self {
         let platform = Arc::new(Platform::new());
         let server = StandIn::start(Arc::clone(&platform)).expect("a free port");
         Self { platform, server }
     }
 
+    /// Creates a fixture whose platform holds the test document, without a record of a change.
     pub(crate) fn new() -> Self {
         let fixture = Self::empty();
         fixture.platform.seed(
@@ -37,7 +38,8 @@
         fixture
     }
 
-    /// Runs a command line and returns its exit code and what it printed.
+    /// Runs a command line and returns its exit code and output. `FILE` stands for the test
+    /// document and `BAD` for one with faults.
     pub(crate) fn run(&self, words: &[String]) -> (Exit, String) {
         let address = self.server.address().to_string();
         let mut line = vec!["azureway".to_owned(), format!("--platform={address}")];
@@ -49,13 +51,14 @@
         execute(line)
     }
 
-    /// Gets the document into a file, edited.
+    /// Reads the document, edits it and saves it to a file, whose path is returned.
     pub(crate) fn save_document(&self, name: &str, edit: impl Fn(&str) -> String) -> String {
         let (_, text) = self.run(&split_words("config get"));
         save(name, &edit(&text))
     }
 
-    /// Adds accounts and servers to the document, in a file; returns its size in bytes.
+    /// Saves the document with 23 more services and the given numbers of more accounts and servers.
+    /// Returns the path of the file and its size in bytes.
     pub(crate) fn write_large_document(
         &self,
         accounts: u32,
