--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -80,7 +80,7 @@
         site: S,
         codec: F,
         link: L,
-        news: N,
+        feed: N,
     ) -> Result<Self, Error>
     where
         F: ObjectCodec + Send + 'static,
@@ -114,7 +114,7 @@
         let ready_address = balancer.address();
         let api = HttpObjects::with_codec(settings.platform, codec).with_timeout(CALL_TIMEOUT);
         spawn_peer(settings, &rings, peers, process_id)?;
-        let decider = decider(settings, site_settings, &rings, site.clone(), news);
+        let decider = decider(settings, site_settings, &rings, site.clone(), feed);
         spawn("decide", move || decider.run())?;
         spawn_watchers(site_settings, &rings, &api, &site, &serving, process_id)?;
         spawn_orderer(settings, site_settings, &rings, &api, link, process_id)?;
@@ -186,7 +186,7 @@
     site_settings: &SiteSettings,
     rings: &Rings,
     site: S,
-    news: N,
+    feed: N,
 ) -> Decider<PrefixLoad, ExchangeLauncher<S>, FeedReaders<N>> {
     let slack = RetrySlack {
         count: site_settings.retry_slack,
@@ -201,7 +201,7 @@
     let router = Router::new(config, PrefixLoad::new());
     let (decide, bounds) = (rings.decide.clone(), settings.bounds.clone());
     let launcher = ExchangeLauncher::new(site, decide, bounds, rings.clock);
-    let readers = FeedReaders::new(news, rings.decide.clone());
+    let readers = FeedReaders::new(feed, rings.decide.clone());
     Decider::new(router, rings, launcher, readers, settings.instance.clone())
 }
 
