--- a/azureway-dev/src/replay/engine_model.rs
+++ b/azureway-dev/src/replay/engine_model.rs
@@ -7,7 +7,7 @@
     ZoneId,
 };
 
-use super::{EngineSpeed, News, Owner, PrefixCache, Progress, Task};
+use super::{EngineSpeed, GeneratedToken, News, Owner, PrefixCache, Task};
 
 /// A small model of a model engine: it batches continuously, caches prefixes, honours
 /// priorities and crashes. It is independent of what the core believes of it.
@@ -66,7 +66,7 @@
     }
 
     /// Tells whether the engine takes a task of the given weights version.
-    pub fn takes(&self, weights: WeightsVersion) -> bool {
+    pub fn accepts_weights(&self, weights: WeightsVersion) -> bool {
         self.up && !self.loading && self.weights == weights
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Begins a step, unless one is under way or there is nothing to do. Returns its time.
-    pub fn begin(&mut self) -> Option<Duration> {
+    pub fn begin_step(&mut self) -> Option<Duration> {
         if self.stepping || !self.up {
             return None;
         }
@@ -94,7 +94,7 @@
 
     /// Ends a step and appends the tokens that it computed. Returns whether a task in it
     /// crashes the engine.
-    pub fn end(&mut self, out: &mut Vec<Progress>) -> bool {
+    pub fn end_step(&mut self, out: &mut Vec<GeneratedToken>) -> bool {
         self.stepping = false;
         if self.tasks.iter().any(|t| t.poison) {
             return true;
@@ -112,7 +112,7 @@
         self.waiting.retain(other);
         // A step that is under way refers to its tasks by place: the rest of it is computed.
         if let Some(task) = self.tasks.iter_mut().find(|t| !other(t)) {
-            task.owner = Owner::Other;
+            task.owner = Owner::Peer;
             task.output = task.position;
         }
     }
@@ -173,7 +173,7 @@
             weights: self.weights,
             running: u32::try_from(self.tasks.len()).unwrap_or(u32::MAX),
             queued: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
-            pending: TokenCount::new(all.map(|t| t.left).sum()),
+            pending: TokenCount::new(all.map(|t| t.pending).sum()),
             leaving: self.leaving.is_some(),
         }
     }
@@ -187,7 +187,7 @@
             self.cache.touch(blocks);
             let known = task.chain.tokens().get() - task.cached;
             // The last token of the prompt is always computed, since the answer starts there.
-            task.left = (known + task.position).max(1);
+            task.pending = (known + task.position).max(1);
             self.tasks.push(task);
         }
     }
@@ -196,7 +196,7 @@
         let tasks = self.tasks.iter().enumerate();
         let unready = tasks.filter(|(_, t)| !t.is_prefilled());
         let (place, task) = unready.min_by_key(|(place, t)| (t.rank, *place))?;
-        Some((place, task.left.min(self.speed.chunk)))
+        Some((place, task.pending.min(self.speed.chunk)))
     }
 
     fn compute_chunk(&mut self) {
@@ -204,7 +204,7 @@
             return;
         };
         let task = &mut self.tasks[place];
-        task.left -= tokens;
+        task.pending -= tokens;
         if task.is_prefilled() {
             self.cache.store(task.chain.blocks(), &mut self.ops);
         }
@@ -212,10 +212,10 @@
 }
 
 /// Computes the next token of an answer.
-fn emit(task: &mut Task) -> Progress {
+fn emit(task: &mut Task) -> GeneratedToken {
     let first = task.position == task.resumed;
     task.position += 1;
-    Progress {
+    GeneratedToken {
         owner: task.owner,
         position: task.position,
         cached: task.cached,
--- a/azureway-dev/src/replay/engines.rs
+++ b/azureway-dev/src/replay/engines.rs
@@ -57,7 +57,7 @@
 
     /// Returns the most tokens at the head of `blocks` that an engine with the weights holds.
     pub fn best_held(&self, blocks: &[Block], weights: WeightsVersion) -> TokenCount {
-        let able = self.models.iter().filter(|m| m.takes(weights));
+        let able = self.models.iter().filter(|m| m.accepts_weights(weights));
         let held = able.map(|m| m.cache.held(blocks));
         held.max().unwrap_or_default()
     }
--- a/azureway-dev/src/replay/environment.rs
+++ b/azureway-dev/src/replay/environment.rs
@@ -10,8 +10,8 @@
 use fastrand::Rng;
 
 use super::{
-    Engines, EventQueue, InFlightView, Links, News, Owner, PlatformModel, Progress, ReplayEvent,
-    Tally, Task, Transit,
+    Engines, EventQueue, GeneratedToken, InFlightView, Links, News, Owner, PlatformModel,
+    ReplayEvent, Tally, Task, Transit,
 };
 use crate::trace::Header;
 
@@ -130,7 +130,7 @@
             return self.fail(delay, attempt, kind, SendState::Unsent);
         }
         let same = incarnation.is_none_or(|i| i == engine.incarnation);
-        if !same || !engine.takes(task.weights) {
+        if !same || !engine.accepts_weights(task.weights) {
             let kind = FailureKind::Mismatch;
             return self.fail(delay, attempt, kind, SendState::Rejected);
         }
@@ -142,7 +142,7 @@
     /// Gives an engine a task of another entry.
     pub fn place_other(&mut self, place: usize, task: Task) {
         let engine = self.engines.at_mut(place);
-        if engine.takes(task.weights) {
+        if engine.accepts_weights(task.weights) {
             engine.push(task);
             self.begin(place);
         }
@@ -155,7 +155,7 @@
             return;
         }
         let mut tokens = Vec::new();
-        if engine.end(&mut tokens) {
+        if engine.end_step(&mut tokens) {
             self.tally.poisoned += 1;
             return self.crash(place, RESTART);
         }
@@ -227,7 +227,7 @@
     pub fn begin(&mut self, place: usize) {
         let engine = self.engines.at_mut(place);
         let incarnation = engine.incarnation;
-        if let Some(time) = engine.begin() {
+        if let Some(time) = engine.begin_step() {
             self.after(time, ReplayEvent::Step(place, incarnation));
         }
     }
@@ -238,7 +238,7 @@
     }
 
     /// Passes a token on to the entry.
-    fn pass_on(&mut self, place: usize, token: Progress) {
+    fn pass_on(&mut self, place: usize, token: GeneratedToken) {
         let Owner::Entry(attempt) = token.owner else {
             return;
         };
--- a/azureway-dev/src/replay/progress.rs
+++ b/azureway-dev/src/replay/generated_token.rs
@@ -4,7 +4,7 @@
 
 /// A token of an answer that an engine computed.
 #[derive(Clone, Copy, Debug)]
-pub struct Progress {
+pub struct GeneratedToken {
     /// Who waits for it.
     pub owner: Owner,
     /// The tokens of the answer so far, this one among them.
--- a/azureway-dev/src/replay/owner.rs
+++ b/azureway-dev/src/replay/owner.rs
@@ -8,5 +8,5 @@
     /// This entry, with one of its tries.
     Entry(Attempt),
     /// Another entry.
-    Other,
+    Peer,
 }
--- a/azureway-dev/src/replay/requests.rs
+++ b/azureway-dev/src/replay/requests.rs
@@ -57,14 +57,14 @@
     /// Makes the task that another entry sent to an engine.
     pub fn task(&self, ask: &Ask, sequence: u64) -> Task {
         Task {
-            owner: Owner::Other,
+            owner: Owner::Peer,
             rank: ask.kind.rank(),
             chain: self.chain(ask, sequence),
             weights: self.weights,
             output: ask.output,
             position: 0,
             resumed: 0,
-            left: 0,
+            pending: 0,
             cached: 0,
             poison: ask.poison,
         }
--- a/azureway-dev/src/replay/task.rs
+++ b/azureway-dev/src/replay/task.rs
@@ -22,7 +22,7 @@
     /// The tokens of the answer that earlier tries computed.
     pub resumed: u64,
     /// The prompt tokens that are yet to be computed.
-    pub left: u64,
+    pub pending: u64,
     /// The prompt tokens that were found in the cache.
     pub cached: u64,
     /// Whether it crashes the engine.
@@ -32,7 +32,7 @@
 impl Task {
     /// Tells whether the whole prompt is computed.
     pub const fn is_prefilled(&self) -> bool {
-        self.left == 0
+        self.pending == 0
     }
 
     /// Tells whether the whole answer is computed.
--- a/azureway-dev/tests/engine_model.rs
+++ b/azureway-dev/tests/engine_model.rs
@@ -1,7 +1,7 @@
 //! The engine model of the replay, apart from any core.
 
 use azureway_core::prelude::*;
-use azureway_dev::replay::{EngineModel, EngineSpeed, Owner, Progress, Task};
+use azureway_dev::replay::{EngineModel, EngineSpeed, GeneratedToken, Owner, Task};
 use googletest::prelude::*;
 
 fn engine(blocks: usize) -> EngineModel {
@@ -22,17 +22,17 @@
         output: 3,
         position: 0,
         resumed: 0,
-        left: 0,
+        pending: 0,
         cached: 0,
         poison: false,
     }
 }
 
 /// Steps until the engine has nothing to do and returns the tokens.
-fn drain(engine: &mut EngineModel) -> Vec<Progress> {
+fn drain(engine: &mut EngineModel) -> Vec<GeneratedToken> {
     let mut out = Vec::new();
-    while engine.begin().is_some() {
-        engine.end(&mut out);
+    while engine.begin_step().is_some() {
+        engine.end_step(&mut out);
     }
     out
 }
@@ -93,7 +93,7 @@
     expect_that!(lost.len(), eq(1));
     expect_that!(engine.cache.keys().count(), eq(0));
     expect_that!(engine.incarnation, eq(Incarnation::new(2)));
-    expect_that!(engine.takes(WeightsVersion::new(1)), eq(false));
+    expect_that!(engine.accepts_weights(WeightsVersion::new(1)), eq(false));
 }
 
 #[gtest]
