--- a/azureway-dev/src/generate/burst.rs
+++ b/azureway-dev/src/generate/burst.rs
@@ -16,18 +16,18 @@
     /// The place of the account, or `None` for any.
     pub account: Option<usize>,
     /// The name of a level that takes the place of the shop's context.
-    pub hot: Option<&'static str>,
+    pub hot_level: Option<&'static str>,
 }
 
 impl Burst {
-    /// Creates a wave of the usual mix.
+    /// Creates a burst of the usual mix.
     pub const fn new(span: Range<f64>, rate: f64) -> Self {
         Self {
             span,
             rate,
             kind: None,
             account: None,
-            hot: None,
+            hot_level: None,
         }
     }
 
@@ -47,8 +47,8 @@
 
     /// Sets the hot level.
     #[must_use]
-    pub const fn with_hot(mut self, hot: &'static str) -> Self {
-        self.hot = Some(hot);
+    pub const fn with_hot_level(mut self, hot_level: &'static str) -> Self {
+        self.hot_level = Some(hot_level);
         self
     }
 }
--- a/azureway-dev/src/generate/mod.rs
+++ b/azureway-dev/src/generate/mod.rs
@@ -5,11 +5,11 @@
 mod command;
 mod generator;
 mod population;
-mod shape;
+mod workload;
 
 pub use burst::Burst;
 pub use case::Case;
 pub use command::{command, run};
 pub use generator::Generator;
 pub use population::Population;
-pub use shape::Shape;
+pub use workload::Workload;
--- a/azureway-dev/src/generate/population.rs
+++ b/azureway-dev/src/generate/population.rs
@@ -2,8 +2,8 @@
 
 use fastrand::Rng;
 
-use super::Shape;
-use crate::trace::{Ask, Levels, WorkKind};
+use super::Workload;
+use crate::trace::{PromptLevels, TraceRequest, WorkKind};
 
 /// The accounts of a trace, with their shops and notes.
 #[derive(Clone, Debug)]
@@ -12,7 +12,7 @@
 }
 
 /// The accounts, with the share in percent that each has in the requests.
-const ACCOUNTS: [(&str, u32); 8] = [
+const ACCOUNT_SHARES: [(&str, u32); 8] = [
     ("alpska", 32),
     ("bohinj", 22),
     ("cerkno", 14),
@@ -23,17 +23,17 @@
     ("rogla", 3),
 ];
 /// The accounts that are large.
-const LARGE: usize = 3;
+const LARGE_ACCOUNTS: usize = 3;
 /// The shops of an account that is not large.
 const SMALL_SHOPS: usize = 2;
 /// The notes of a shop.
-const NOTES: usize = 2;
+const SHOP_NOTES: usize = 2;
 /// The tokens of the house instructions.
-const HOUSE_TOKENS: u64 = 2_000;
+const INSTRUCTION_TOKENS: u64 = 2_000;
 /// The tokens of a snow report.
-const SNOW_TOKENS: u64 = 4_000;
+const REPORT_TOKENS: u64 = 4_000;
 /// The kinds of work with their share in percent.
-const MIX: [(WorkKind, u32); 5] = [
+const KIND_SHARES: [(WorkKind, u32); 5] = [
     (WorkKind::Advice, 30),
     (WorkKind::Quotation, 15),
     (WorkKind::Order, 5),
@@ -42,30 +42,32 @@
 ];
 
 impl Population {
-    /// Creates the population of a shape.
-    pub const fn new(shape: &Shape) -> Self {
-        Self { shops: shape.shops }
+    /// Creates the population of a workload.
+    pub const fn new(workload: &Workload) -> Self {
+        Self {
+            shops: workload.shops,
+        }
     }
 
     /// Returns the names of the accounts.
     pub fn accounts() -> Vec<String> {
-        ACCOUNTS
+        ACCOUNT_SHARES
             .iter()
             .map(|(name, _)| (*name).to_owned())
             .collect()
     }
 
     /// Returns the levels, with lengths drawn from `rng`.
-    pub fn levels(&self, rng: &mut Rng) -> Levels {
-        let mut levels = Levels::new();
+    pub fn levels(&self, rng: &mut Rng) -> PromptLevels {
+        let mut levels = PromptLevels::new();
         for report in ["snow1", "snow2"] {
-            levels.insert(report, SNOW_TOKENS);
+            levels.insert(report, REPORT_TOKENS);
         }
-        for account in 0..ACCOUNTS.len() {
-            levels.insert(&house(account), HOUSE_TOKENS);
+        for account in 0..ACCOUNT_SHARES.len() {
+            levels.insert(&instructions_name(account), INSTRUCTION_TOKENS);
             for shop in 0..self.shops_of(account) {
                 levels.insert(&shop_name(account, shop), rng.u64(1_500..2_500));
-                for note in 0..NOTES {
+                for note in 0..SHOP_NOTES {
                     levels.insert(&note_name(account, shop, note), rng.u64(800..2_000));
                 }
             }
@@ -74,30 +76,38 @@
     }
 
     /// Draws a request of any account and kind, or of the given ones.
-    pub fn ask(&self, rng: &mut Rng, account: Option<usize>, kind: Option<WorkKind>) -> Ask {
-        let account = account.unwrap_or_else(|| draw(rng, &ACCOUNTS.map(|(_, share)| share)));
-        let kind = kind.unwrap_or_else(|| MIX[draw(rng, &MIX.map(|(_, share)| share))].0);
+    pub fn request(
+        &self,
+        rng: &mut Rng,
+        account: Option<usize>,
+        kind: Option<WorkKind>,
+    ) -> TraceRequest {
+        let account =
+            account.unwrap_or_else(|| weighted_index(rng, &ACCOUNT_SHARES.map(|(_, share)| share)));
+        let kind = kind.unwrap_or_else(|| {
+            KIND_SHARES[weighted_index(rng, &KIND_SHARES.map(|(_, share)| share))].0
+        });
         let shop = rng.usize(..self.shops_of(account));
-        let note = rng.usize(..NOTES);
+        let note = rng.usize(..SHOP_NOTES);
         let levels = vec![
-            house(account),
+            instructions_name(account),
             shop_name(account, shop),
             note_name(account, shop, note),
         ];
-        Ask {
-            account: ACCOUNTS[account].0.to_owned(),
+        TraceRequest {
+            account: ACCOUNT_SHARES[account].0.to_owned(),
             kind,
             worth: worth(kind),
-            patience: patience(kind),
+            ttft_limit: ttft_limit(kind),
             output: rng.u64(output(kind)),
             levels,
-            question: rng.u64(60..300),
+            unique_tokens: rng.u64(60..300),
             poison: false,
         }
     }
 
     const fn shops_of(&self, account: usize) -> usize {
-        if account < LARGE {
+        if account < LARGE_ACCOUNTS {
             self.shops
         } else {
             SMALL_SHOPS
@@ -105,7 +115,7 @@
     }
 }
 
-fn house(account: usize) -> String {
+fn instructions_name(account: usize) -> String {
     format!("h{account}")
 }
 
@@ -117,13 +127,13 @@
     format!("n{account}.{shop}.{note}")
 }
 
-/// Draws a place by the shares.
-fn draw<const N: usize>(rng: &mut Rng, shares: &[u32; N]) -> usize {
-    let whole: u32 = shares.iter().sum();
-    let mut rest = rng.u32(..whole);
-    for (place, share) in shares.iter().enumerate() {
+/// Draws an index by the shares.
+fn weighted_index<const N: usize>(rng: &mut Rng, shares: &[u32; N]) -> usize {
+    let total: u32 = shares.iter().sum();
+    let mut rest = rng.u32(..total);
+    for (index, share) in shares.iter().enumerate() {
         if rest < *share {
-            return place;
+            return index;
         }
         rest -= share;
     }
@@ -141,7 +151,7 @@
 }
 
 /// Returns the time to first token that callers allow, in milliseconds.
-const fn patience(kind: WorkKind) -> u64 {
+const fn ttft_limit(kind: WorkKind) -> u64 {
     match kind {
         WorkKind::Advice | WorkKind::Quotation => 2_000,
         WorkKind::Order => 3_000,
--- a/azureway-dev/src/generate/shape.rs
+++ b/azureway-dev/src/generate/workload.rs
@@ -5,94 +5,96 @@
 
 /// How much of what a trace holds.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct Workload {
     /// The seconds that the trace lasts.
     pub seconds: f64,
     /// The requests a second that this entry gets.
-    pub own: f64,
+    pub entry_rate: f64,
     /// The requests a second that other entries send to the engines of this zone.
-    pub home: f64,
+    pub zone_rate: f64,
     /// The requests a second that other entries send to the engines of another zone.
-    pub away: f64,
+    pub outside_rate: f64,
     /// The regions that the zones stand in.
     pub regions: [&'static str; 3],
     /// The microseconds one way to another zone.
-    pub link: u64,
+    pub link_latency: u64,
     /// The blocks that an engine's cache holds.
-    pub blocks: usize,
+    pub cache_blocks: usize,
     /// The shops of a large account.
     pub shops: usize,
     /// What comes on top.
-    pub waves: Vec<Burst>,
+    pub bursts: Vec<Burst>,
     /// What happens, at a time in milliseconds.
     pub incidents: Vec<(u64, Incident)>,
     /// The milliseconds at which a poison request is sent.
-    pub poison: Vec<u64>,
+    pub poison_times: Vec<u64>,
 }
 
-impl Shape {
-    /// Creates the shape of a plain minute.
+impl Workload {
+    /// Creates the workload of a plain minute.
     pub const fn new() -> Self {
         Self {
             seconds: 60.0,
-            own: 4.0,
-            home: 0.8,
-            away: 3.0,
+            entry_rate: 4.0,
+            zone_rate: 0.8,
+            outside_rate: 3.0,
             regions: ["slovenia"; 3],
-            link: 1_500,
-            blocks: 32,
+            link_latency: 1_500,
+            cache_blocks: 32,
             shops: 6,
-            waves: Vec::new(),
+            bursts: Vec::new(),
             incidents: Vec::new(),
-            poison: Vec::new(),
+            poison_times: Vec::new(),
         }
     }
 
-    /// Returns the shape of a case.
-    pub fn of(case: Case) -> Self {
-        let mut shape = Self::new();
+    /// Returns the workload of a case.
+    pub fn for_case(case: Case) -> Self {
+        let mut workload = Self::new();
         match case {
             Case::PlainMorning => {}
-            Case::SnowReport => shape.waves = snow_waves(),
-            Case::Eviction => shape = shape.with_pressure(),
-            Case::DraftingFlood => shape.waves = vec![flood(WorkKind::Draft)],
-            Case::UrgentFlood => shape.waves = vec![flood(WorkKind::Advice)],
-            Case::LargeAccount => shape.waves = vec![Burst::new(10.0..50.0, 8.0).with_account(0)],
-            Case::Crash => shape.incidents = crashes(),
-            Case::Restart => shape.incidents = vec![(30_000, Incident::Restart)],
-            Case::Rollout => shape.incidents = rollout(),
-            Case::Poison => shape.poison = vec![15_000, 25_000, 35_000, 45_000],
-            Case::Cut => shape.incidents = cuts(),
-            Case::PlatformAway => shape.incidents = platform_away(),
-            Case::Regions => shape = shape.with_regions(),
+            Case::SnowReport => workload.bursts = snow_bursts(),
+            Case::Eviction => workload = workload.with_cache_pressure(),
+            Case::DraftingFlood => workload.bursts = vec![flood(WorkKind::Draft)],
+            Case::UrgentFlood => workload.bursts = vec![flood(WorkKind::Advice)],
+            Case::LargeAccount => {
+                workload.bursts = vec![Burst::new(10.0..50.0, 8.0).with_account(0)]
+            }
+            Case::Crash => workload.incidents = crashes(),
+            Case::Restart => workload.incidents = vec![(30_000, Incident::Restart)],
+            Case::Rollout => workload.incidents = rollout(),
+            Case::Poison => workload.poison_times = vec![15_000, 25_000, 35_000, 45_000],
+            Case::Cut => workload.incidents = cuts(),
+            Case::PlatformAway => workload.incidents = platform_away(),
+            Case::Regions => workload = workload.with_regions(),
         }
-        shape
+        workload
     }
 
     fn with_regions(mut self) -> Self {
         self.regions = ["gorenjska", "podravska", "primorska"];
-        self.link = 8_000;
-        self.waves = vec![Burst::new(20.0..40.0, 2.0).with_kind(WorkKind::Advice)];
+        self.link_latency = 8_000;
+        self.bursts = vec![Burst::new(20.0..40.0, 2.0).with_kind(WorkKind::Advice)];
         self
     }
 
-    fn with_pressure(mut self) -> Self {
-        self.blocks = 14;
+    fn with_cache_pressure(mut self) -> Self {
+        self.cache_blocks = 14;
         self.shops = 14;
         self
     }
 }
 
-impl Default for Shape {
+impl Default for Workload {
     fn default() -> Self {
         Self::new()
     }
 }
 
-fn snow_waves() -> Vec<Burst> {
-    let report = |span, hot| {
-        let wave = Burst::new(span, 4.0).with_kind(WorkKind::Advice);
-        wave.with_account(0).with_hot(hot)
+fn snow_bursts() -> Vec<Burst> {
+    let report = |span, hot_level| {
+        let burst = Burst::new(span, 4.0).with_kind(WorkKind::Advice);
+        burst.with_account(0).with_hot_level(hot_level)
     };
     vec![report(10.0..32.0, "snow1"), report(32.0..55.0, "snow2")]
 }
--- a/azureway-dev/src/outcome/bound.rs
+++ b/azureway-dev/src/outcome/bound.rs
@@ -15,14 +15,14 @@
     /// The limit.
     pub limit: Limit,
     /// The number that is enough as well.
-    pub enough: Option<f64>,
+    pub alternative: Option<f64>,
 }
 
 impl Bound {
     /// Reads a bound from its words.
     pub fn parse(words: &[&str]) -> Option<Self> {
         let (&[measure, relation, limit], rest) = words.split_first_chunk()?;
-        let enough = match rest {
+        let alternative = match rest {
             [] => None,
             ["or", number] => Some(number.parse().ok()?),
             _ => return None,
@@ -31,7 +31,7 @@
             measure: Measure::parse(measure)?,
             relation: Relation::parse(relation)?,
             limit: Limit::parse(limit)?,
-            enough,
+            alternative,
         })
     }
 
@@ -41,19 +41,19 @@
             return Vec::new();
         };
         match self.limit {
-            Limit::Number(limit) => self.hold(product, limit, "the bound"),
-            Limit::Measure(other) => self.hold(product, other.value(product), other.as_str()),
+            Limit::Number(limit) => self.compare(product, limit, "the bound"),
+            Limit::Measure(other) => self.compare(product, other.value(product), other.as_str()),
             Limit::Baselines => baselines
                 .iter()
-                .flat_map(|b| self.hold(product, self.measure.value(b), b.policy))
+                .flat_map(|b| self.compare(product, self.measure.value(b), b.policy))
                 .collect(),
         }
     }
 
-    fn hold(&self, product: &Summary, limit: f64, against: &'static str) -> Vec<Shortfall> {
+    fn compare(&self, product: &Summary, limit: f64, source: &'static str) -> Vec<Shortfall> {
         let value = self.measure.value(product);
-        let kept = |limit: f64| self.relation.holds(value, limit);
-        if kept(limit) || self.enough.is_some_and(kept) {
+        let holds = |limit: f64| self.relation.holds(value, limit);
+        if holds(limit) || self.alternative.is_some_and(holds) {
             return Vec::new();
         }
         vec![Shortfall {
@@ -61,7 +61,7 @@
             relation: self.relation,
             value,
             limit,
-            against,
+            source,
         }]
     }
 }
--- a/azureway-dev/src/outcome/known_red.rs
+++ b/azureway-dev/src/outcome/known_shortfalls.rs
@@ -6,13 +6,13 @@
 ///
 /// An entry starts with a line `replay NAME: MEASURE...`; what follows it is for readers.
 #[derive(Clone, Debug, Default)]
-pub struct KnownRed {
+pub struct KnownShortfalls {
     measures: Vec<Measure>,
 }
 
-impl KnownRed {
+impl KnownShortfalls {
     /// Reads the entry of the trace `name`.
-    pub fn of(name: &str, text: &str) -> Self {
+    pub fn for_trace(name: &str, text: &str) -> Self {
         let head = format!("replay {name}:");
         let lines = text.lines().filter_map(|l| l.strip_prefix(&head));
         let words = lines.flat_map(str::split_whitespace);
@@ -22,14 +22,14 @@
     }
 
     /// Tells whether a shortfall is listed.
-    pub fn holds(&self, shortfall: &Shortfall) -> bool {
+    pub fn contains(&self, shortfall: &Shortfall) -> bool {
         self.measures.contains(&shortfall.measure)
     }
 
     /// Returns the measures that are listed although the replay does not fall short of them.
-    pub fn mended(&self, shortfalls: &[Shortfall]) -> Vec<Measure> {
-        let red = |m: &Measure| shortfalls.iter().any(|s| s.measure == *m);
+    pub fn resolved(&self, shortfalls: &[Shortfall]) -> Vec<Measure> {
+        let missed = |m: &Measure| shortfalls.iter().any(|s| s.measure == *m);
         let measures = self.measures.iter().copied();
-        measures.filter(|m| !red(m)).collect()
+        measures.filter(|m| !missed(m)).collect()
     }
 }
--- a/azureway-dev/src/outcome/measure.rs
+++ b/azureway-dev/src/outcome/measure.rs
@@ -10,7 +10,7 @@
     /// The share of prompt tokens that were found in a cache.
     Hit,
     /// The prompt tokens that were computed while another engine held them.
-    Wasted,
+    Recomputed,
     /// The median time to first token of urgent work.
     UrgentP50,
     /// The 95th percentile of the time to first token of urgent work.
@@ -32,21 +32,21 @@
     /// The share of the worth on time.
     WorthOnTime,
     /// The share of drafting in the tokens that were served.
-    DraftingKept,
+    DraftingShare,
     /// The share on time of the account that asks for the most.
     LargeOnTime,
     /// The least share on time of a small account.
     SmallOnTime,
     /// The kilobytes across regions.
-    Crossed,
+    RegionTraffic,
     /// The retries.
     Retries,
     /// The refusals.
     Refusals,
     /// The engines that crashed by a request.
-    Poisoned,
+    PoisonCrashes,
     /// The promises that were broken.
-    Promises,
+    Violations,
     /// The weighted loss of Smučarski Vosek.
     VosekLoss,
     /// The weighted loss of Corchos.
@@ -60,7 +60,7 @@
     /// All measures.
     pub const ALL: [Self; 22] = [
         Self::Hit,
-        Self::Wasted,
+        Self::Recomputed,
         Self::UrgentP50,
         Self::UrgentP95,
         Self::UrgentP99,
@@ -71,14 +71,14 @@
         Self::UrgentOnTime,
         Self::DraftingOnTime,
         Self::WorthOnTime,
-        Self::DraftingKept,
+        Self::DraftingShare,
         Self::LargeOnTime,
         Self::SmallOnTime,
-        Self::Crossed,
+        Self::RegionTraffic,
         Self::Retries,
         Self::Refusals,
-        Self::Poisoned,
-        Self::Promises,
+        Self::PoisonCrashes,
+        Self::Violations,
         Self::VosekLoss,
         Self::CorchosLoss,
     ];
@@ -92,7 +92,7 @@
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Hit => "hit",
-            Self::Wasted => "wasted",
+            Self::Recomputed => "wasted",
             Self::UrgentP50 => "urgent-p50",
             Self::UrgentP95 => "urgent-p95",
             Self::UrgentP99 => "urgent-p99",
@@ -103,14 +103,14 @@
             Self::UrgentOnTime => "urgent-on-time",
             Self::DraftingOnTime => "drafting-on-time",
             Self::WorthOnTime => "worth-on-time",
-            Self::DraftingKept => "drafting-kept",
+            Self::DraftingShare => "drafting-kept",
             Self::LargeOnTime => "large-on-time",
             Self::SmallOnTime => "small-on-time",
-            Self::Crossed => "crossed",
+            Self::RegionTraffic => "crossed",
             Self::Retries => "retries",
             Self::Refusals => "refusals",
-            Self::Poisoned => "poisoned",
-            Self::Promises => "promises",
+            Self::PoisonCrashes => "poisoned",
+            Self::Violations => "promises",
             Self::VosekLoss => "vosek-loss",
             Self::CorchosLoss => "corchos-loss",
         }
@@ -120,28 +120,28 @@
     pub fn value(self, summary: &Summary) -> f64 {
         let time = |t: Option<u64>| t.map_or(NEVER, |t| t as f64);
         match self {
-            Self::Hit => summary.hit,
-            Self::Wasted => summary.wasted as f64,
-            Self::UrgentP50 => time(summary.urgent[0]),
-            Self::UrgentP95 => time(summary.urgent[1]),
-            Self::UrgentP99 => time(summary.urgent[2]),
-            Self::DraftingP50 => time(summary.drafting[0]),
-            Self::DraftingP95 => time(summary.drafting[1]),
-            Self::DraftingP99 => time(summary.drafting[2]),
-            Self::GapP95 => summary.gap as f64,
-            Self::UrgentOnTime => summary.timely,
-            Self::DraftingOnTime => summary.drafted,
-            Self::WorthOnTime => summary.worth,
-            Self::DraftingKept => summary.kept,
-            Self::LargeOnTime => summary.largest,
-            Self::SmallOnTime => summary.smallest,
-            Self::Crossed => summary.crossed as f64,
+            Self::Hit => summary.hit_rate,
+            Self::Recomputed => summary.recomputed as f64,
+            Self::UrgentP50 => time(summary.urgent_ttft[0]),
+            Self::UrgentP95 => time(summary.urgent_ttft[1]),
+            Self::UrgentP99 => time(summary.urgent_ttft[2]),
+            Self::DraftingP50 => time(summary.drafting_ttft[0]),
+            Self::DraftingP95 => time(summary.drafting_ttft[1]),
+            Self::DraftingP99 => time(summary.drafting_ttft[2]),
+            Self::GapP95 => summary.token_gap as f64,
+            Self::UrgentOnTime => summary.urgent_timely,
+            Self::DraftingOnTime => summary.drafting_timely,
+            Self::WorthOnTime => summary.worth_timely,
+            Self::DraftingShare => summary.drafting_share,
+            Self::LargeOnTime => summary.largest_timely,
+            Self::SmallOnTime => summary.smallest_timely,
+            Self::RegionTraffic => summary.region_traffic as f64,
             Self::Retries => summary.retries as f64,
             Self::Refusals => summary.refusals as f64,
-            Self::Poisoned => summary.poisoned as f64,
-            Self::Promises => summary.promises.broken() as f64,
-            Self::VosekLoss => summary.vosek,
-            Self::CorchosLoss => summary.corchos,
+            Self::PoisonCrashes => summary.poison_crashes as f64,
+            Self::Violations => summary.violations.total() as f64,
+            Self::VosekLoss => summary.vosek_loss,
+            Self::CorchosLoss => summary.corchos_loss,
         }
     }
 }
--- a/azureway-dev/src/outcome/mod.rs
+++ b/azureway-dev/src/outcome/mod.rs
@@ -1,7 +1,7 @@
 //! Stated outcomes of a trace, and whether they hold.
 
 mod bound;
-mod known_red;
+mod known_shortfalls;
 mod limit;
 mod measure;
 mod outcomes;
@@ -9,7 +9,7 @@
 mod shortfall;
 
 pub use bound::Bound;
-pub use known_red::KnownRed;
+pub use known_shortfalls::KnownShortfalls;
 pub use limit::Limit;
 pub use measure::Measure;
 pub use outcomes::Outcomes;
--- a/azureway-dev/src/outcome/shortfall.rs
+++ b/azureway-dev/src/outcome/shortfall.rs
@@ -16,7 +16,7 @@
     /// The limit.
     pub limit: f64,
     /// Where the limit comes from.
-    pub against: &'static str,
+    pub source: &'static str,
 }
 
 impl fmt::Display for Shortfall {
@@ -26,11 +26,11 @@
             relation,
             value,
             limit,
-            against,
+            source,
         } = self;
         write!(
             f,
-            "{measure} is {value:.1}, not {relation} {limit:.1} ({against})"
+            "{measure} is {value:.1}, not {relation} {limit:.1} ({source})"
         )
     }
 }
--- a/azureway-dev/src/replay/command.rs
+++ b/azureway-dev/src/replay/command.rs
@@ -7,7 +7,7 @@
 use clap::{Arg, ArgMatches, Command};
 
 use super::{Report, compare};
-use crate::outcome::{KnownRed, Outcomes};
+use crate::outcome::{KnownShortfalls, Outcomes};
 use crate::trace::Trace;
 
 /// Returns the subcommand's arguments.
@@ -37,37 +37,38 @@
         None => String::new(),
     };
     let output = matches.get_one::<String>("output").context("no output")?;
-    let mut well = true;
+    let mut passed = true;
     for file in matches.get_many::<String>("FILE").context("no file")? {
-        let report = judge(file, &known)?;
+        let report = check_trace(file, &known)?;
         match output.as_str() {
             "json" => println!("{}", report.json()?),
-            "known" => print!("{}", report.entry()),
+            "known" => print!("{}", report.known_entry()),
             "verdict" => print!("{}", report.verdict()),
             _ => print!("{report}{}", report.verdict()),
         }
-        well &= report.is_well();
+        passed &= report.passes();
     }
-    Ok(well)
+    Ok(passed)
 }
 
 /// Replays the trace in a file and holds it against the outcomes beside it.
-fn judge(file: &str, known: &str) -> Result<Report> {
+fn check_trace(file: &str, known: &str) -> Result<Report> {
     let path = Path::new(file);
     let name = path
         .file_stem()
         .map_or_else(String::new, |n| n.to_string_lossy().into_owned());
     let text = fs::read_to_string(path).with_context(|| format!("read {file}"))?;
     let trace: Trace = text.parse().with_context(|| format!("read {file}"))?;
-    let beside = path.with_extension("outcomes");
-    let stated = fs::read_to_string(&beside);
-    let stated = stated.with_context(|| format!("read {}", beside.display()))?;
-    let outcomes: Outcomes = stated.parse()?;
+    let outcomes_path = path.with_extension("outcomes");
+    let outcomes_text = fs::read_to_string(&outcomes_path);
+    let outcomes_text =
+        outcomes_text.with_context(|| format!("read {}", outcomes_path.display()))?;
+    let outcomes: Outcomes = outcomes_text.parse()?;
     let summaries = compare(std::slice::from_ref(&trace));
     Ok(Report {
         shortfalls: outcomes.check(&summaries),
         bounds: outcomes.len(),
-        known: KnownRed::of(&name, known),
+        known: KnownShortfalls::for_trace(&name, known),
         seed: trace.header.seed,
         name,
         summaries,
--- a/azureway-dev/src/replay/contenders.rs
+++ b/azureway-dev/src/replay/compare.rs
@@ -10,7 +10,7 @@
 use crate::trace::Trace;
 
 /// The records between two lines of progress.
-const PROGRESS: usize = 500;
+const PROGRESS_INTERVAL: usize = 500;
 
 /// Replays traces under the product's policy, which comes first, and each baseline. The
 /// counts of all traces are added up.
@@ -25,21 +25,21 @@
 }
 
 /// Replays a trace under a policy and shows how far it is.
-pub fn play<P: Policy + Default>(trace: &Trace) -> Tally {
+pub fn replay_trace<P: Policy + Default>(trace: &Trace) -> Tally {
     let shown = stderr().is_terminal();
-    let all = trace.records.len();
-    let tell = |number: usize| {
-        if shown && number.is_multiple_of(PROGRESS) {
-            eprintln!("{}: record {number} of {all}", P::NAME);
+    let count = trace.records.len();
+    let on_record = |number: usize| {
+        if shown && number.is_multiple_of(PROGRESS_INTERVAL) {
+            eprintln!("{}: record {number} of {count}", P::NAME);
         }
     };
-    ReplayDriver::<P>::new(trace).play(tell)
+    ReplayDriver::<P>::new(trace).play(on_record)
 }
 
 fn summary<P: Policy + Default>(traces: &[Trace]) -> Summary {
-    let mut whole = Tally::new();
+    let mut tally = Tally::new();
     for trace in traces {
-        whole.merge(play::<P>(trace));
+        tally.merge(replay_trace::<P>(trace));
     }
-    Summary::new(P::NAME, &whole)
+    Summary::new(P::NAME, &tally)
 }
--- a/azureway-dev/src/replay/engine_model.rs
+++ b/azureway-dev/src/replay/engine_model.rs
@@ -7,7 +7,7 @@
     ZoneId,
 };
 
-use super::{EngineSpeed, GeneratedToken, News, Owner, PrefixCache, Task};
+use super::{EngineSpeed, EngineUpdate, GeneratedToken, Owner, PrefixCache, Task};
 
 /// A small model of a model engine: it batches continuously, caches prefixes, honours
 /// priorities and crashes. It is independent of what the core believes of it.
@@ -30,12 +30,12 @@
     /// The cache.
     pub cache: PrefixCache,
     speed: EngineSpeed,
-    tasks: Vec<Task>,
+    running: Vec<Task>,
     waiting: Vec<Task>,
     chunk: Option<(usize, u64)>,
     stepping: bool,
     ops: Vec<CacheOp>,
-    heard: u64,
+    reported: u64,
 }
 
 impl EngineModel {
@@ -51,12 +51,12 @@
             leaving: None,
             cache: PrefixCache::new(blocks),
             speed,
-            tasks: Vec::new(),
+            running: Vec::new(),
             waiting: Vec::new(),
             chunk: None,
             stepping: false,
             ops: Vec::new(),
-            heard: 0,
+            reported: 0,
         }
     }
 
@@ -73,8 +73,8 @@
     /// Adds a task.
     pub fn push(&mut self, task: Task) {
         // Work of one rank keeps its order; urgent work goes before drafting.
-        let place = self.waiting.partition_point(|t| t.rank <= task.rank);
-        self.waiting.insert(place, task);
+        let index = self.waiting.partition_point(|t| t.rank <= task.rank);
+        self.waiting.insert(index, task);
     }
 
     /// Begins a step, unless one is under way or there is nothing to do. Returns its time.
@@ -83,26 +83,26 @@
             return None;
         }
         self.admit();
-        if self.tasks.is_empty() {
+        if self.running.is_empty() {
             return None;
         }
         self.chunk = self.next_chunk();
         self.stepping = true;
         let prompt = self.chunk.map_or(0, |(_, tokens)| tokens);
-        Some(self.speed.time(self.tasks.len(), prompt))
+        Some(self.speed.step_time(self.running.len(), prompt))
     }
 
     /// Ends a step and appends the tokens that it computed. Returns whether a task in it
     /// crashes the engine.
     pub fn end_step(&mut self, out: &mut Vec<GeneratedToken>) -> bool {
         self.stepping = false;
-        if self.tasks.iter().any(|t| t.poison) {
+        if self.running.iter().any(|t| t.poison) {
             return true;
         }
         self.compute_chunk();
-        let ready = self.tasks.iter_mut().filter(|t| t.is_prefilled());
-        out.extend(ready.map(emit));
-        self.tasks.retain(|t| !t.is_done());
+        let prefilled = self.running.iter_mut().filter(|t| t.is_prefilled());
+        out.extend(prefilled.map(generate_token));
+        self.running.retain(|t| !t.is_done());
         false
     }
 
@@ -110,8 +110,8 @@
     pub fn cancel(&mut self, attempt: Attempt) {
         let other = |t: &Task| t.owner != Owner::Entry(attempt);
         self.waiting.retain(other);
-        // A step that is under way refers to its tasks by place: the rest of it is computed.
-        if let Some(task) = self.tasks.iter_mut().find(|t| !other(t)) {
+        // A step that is under way refers to its tasks by index: the rest of it is computed.
+        if let Some(task) = self.running.iter_mut().find(|t| !other(t)) {
             task.owner = Owner::Peer;
             task.output = task.position;
         }
@@ -126,8 +126,8 @@
         self.incarnation = self.incarnation.next();
         self.cache.clear();
         self.ops.clear();
-        self.heard = 0;
-        let mut tasks = std::mem::take(&mut self.tasks);
+        self.reported = 0;
+        let mut tasks = std::mem::take(&mut self.running);
         tasks.append(&mut self.waiting);
         tasks
     }
@@ -142,36 +142,36 @@
     }
 
     /// Returns the load and the cache events since the last call.
-    pub fn news(&mut self) -> News {
+    pub fn take_update(&mut self) -> EngineUpdate {
         let ops = std::mem::take(&mut self.ops);
-        let first = self.heard;
-        self.heard += ops.len() as u64;
-        News {
+        let first = self.reported;
+        self.reported += ops.len() as u64;
+        EngineUpdate {
             load: self.report(),
             first,
-            whole: false,
+            snapshot: false,
             ops,
         }
     }
 
     /// Returns the load and the whole content of the cache.
-    pub fn content(&self) -> News {
+    pub fn snapshot(&self) -> EngineUpdate {
         // Events that are not yet told will be told again: they name what is held already.
-        News {
+        EngineUpdate {
             load: self.report(),
-            first: self.heard,
-            whole: true,
+            first: self.reported,
+            snapshot: true,
             ops: self.cache.keys().map(CacheOp::Stored).collect(),
         }
     }
 
     fn report(&self) -> LoadReport {
-        let all = self.tasks.iter().chain(&self.waiting);
+        let all = self.running.iter().chain(&self.waiting);
         LoadReport {
             server: self.id.clone(),
             incarnation: self.incarnation,
             weights: self.weights,
-            running: u32::try_from(self.tasks.len()).unwrap_or(u32::MAX),
+            running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
             queued: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
             pending: TokenCount::new(all.map(|t| t.pending).sum()),
             leaving: self.leaving.is_some(),
@@ -180,30 +180,30 @@
 
     /// Moves tasks that wait into free slots.
     fn admit(&mut self) {
-        while self.tasks.len() < self.speed.slots && !self.waiting.is_empty() {
+        while self.running.len() < self.speed.slots && !self.waiting.is_empty() {
             let mut task = self.waiting.remove(0);
             let blocks = task.chain.blocks();
-            task.cached = self.cache.held(blocks).get();
-            self.cache.touch(blocks);
-            let known = task.chain.tokens().get() - task.cached;
+            task.cached = self.cache.cached_tokens(blocks).get();
+            self.cache.mark_used(blocks);
+            let uncached = task.chain.tokens().get() - task.cached;
             // The last token of the prompt is always computed, since the answer starts there.
-            task.pending = (known + task.position).max(1);
-            self.tasks.push(task);
+            task.pending = (uncached + task.position).max(1);
+            self.running.push(task);
         }
     }
 
     fn next_chunk(&self) -> Option<(usize, u64)> {
-        let tasks = self.tasks.iter().enumerate();
-        let unready = tasks.filter(|(_, t)| !t.is_prefilled());
-        let (place, task) = unready.min_by_key(|(place, t)| (t.rank, *place))?;
-        Some((place, task.pending.min(self.speed.chunk)))
+        let tasks = self.running.iter().enumerate();
+        let prefilling = tasks.filter(|(_, t)| !t.is_prefilled());
+        let (index, task) = prefilling.min_by_key(|(index, t)| (t.rank, *index))?;
+        Some((index, task.pending.min(self.speed.chunk_tokens)))
     }
 
     fn compute_chunk(&mut self) {
-        let Some((place, tokens)) = self.chunk.take() else {
+        let Some((index, tokens)) = self.chunk.take() else {
             return;
         };
-        let task = &mut self.tasks[place];
+        let task = &mut self.running[index];
         task.pending -= tokens;
         if task.is_prefilled() {
             self.cache.store(task.chain.blocks(), &mut self.ops);
@@ -212,7 +212,7 @@
 }
 
 /// Computes the next token of an answer.
-fn emit(task: &mut Task) -> GeneratedToken {
+fn generate_token(task: &mut Task) -> GeneratedToken {
     let first = task.position == task.resumed;
     task.position += 1;
     GeneratedToken {
--- a/azureway-dev/src/replay/engine_speed.rs
+++ b/azureway-dev/src/replay/engine_speed.rs
@@ -9,17 +9,17 @@
     /// The requests that run at once.
     pub slots: usize,
     /// The prompt tokens that a step computes at most.
-    pub chunk: u64,
+    pub chunk_tokens: u64,
     /// The time of a step.
-    pub step: Duration,
+    pub base_time: Duration,
     /// The time that each running request adds to a step.
-    pub sequence: Duration,
+    pub sequence_time: Duration,
     /// The time of a prompt token.
-    pub token: Duration,
+    pub token_time: Duration,
     /// The time to load weights.
-    pub load: Duration,
+    pub base_load: Duration,
     /// The engines that load at once without slowing each other down.
-    pub loads: u32,
+    pub parallel_loads: u32,
 }
 
 impl EngineSpeed {
@@ -28,25 +28,25 @@
     pub const fn new() -> Self {
         Self {
             slots: 16,
-            chunk: 512,
-            step: Duration::from_millis(10),
-            sequence: Duration::from_millis(1),
-            token: Duration::from_nanos(62_500),
-            load: Duration::from_millis(600),
-            loads: 2,
+            chunk_tokens: 512,
+            base_time: Duration::from_millis(10),
+            sequence_time: Duration::from_millis(1),
+            token_time: Duration::from_nanos(62_500),
+            base_load: Duration::from_millis(600),
+            parallel_loads: 2,
         }
     }
 
     /// Returns the time of a step with `running` requests and `prompt` prompt tokens.
-    pub fn time(&self, running: usize, prompt: u64) -> Duration {
+    pub fn step_time(&self, running: usize, prompt: u64) -> Duration {
         let running = u32::try_from(running).unwrap_or(u32::MAX);
         let prompt = u32::try_from(prompt).unwrap_or(u32::MAX);
-        self.step + self.sequence * running + self.token * prompt
+        self.base_time + self.sequence_time * running + self.token_time * prompt
     }
 
     /// Returns the time to load weights while `loading` engines load, this one among them.
     pub fn load_time(&self, loading: u32) -> Duration {
-        self.load * loading.div_ceil(self.loads).max(1)
+        self.base_load * loading.div_ceil(self.parallel_loads).max(1)
     }
 }
 
--- a/azureway-dev/src/replay/news.rs
+++ b/azureway-dev/src/replay/engine_update.rs
@@ -4,25 +4,25 @@
 
 /// What an engine tells of itself: its load and a run of cache events.
 #[derive(Clone, Debug)]
-pub struct News {
+pub struct EngineUpdate {
     /// The load.
     pub load: LoadReport,
     /// The number of the first cache event.
     pub first: u64,
     /// Whether the events are the whole content of the cache.
-    pub whole: bool,
+    pub snapshot: bool,
     /// The cache events.
     pub ops: Vec<CacheOp>,
 }
 
-impl News {
+impl EngineUpdate {
     /// Returns the cache events as the core takes them.
-    pub fn update(&self) -> CacheUpdate<'_> {
+    pub fn cache_update(&self) -> CacheUpdate<'_> {
         CacheUpdate {
             server: self.server(),
             incarnation: self.incarnation(),
             first: self.first,
-            snapshot: self.whole,
+            snapshot: self.snapshot,
             ops: &self.ops,
         }
     }
--- a/azureway-dev/src/replay/engines.rs
+++ b/azureway-dev/src/replay/engines.rs
@@ -7,11 +7,11 @@
 use super::{EngineModel, EngineSpeed};
 use crate::trace::Header;
 
-/// The engines of a replay, by their place in the order of the trace's zones.
+/// The engines of a replay, by their index in the order of the trace's zones.
 #[derive(Clone, Debug)]
 pub struct Engines {
     models: Vec<EngineModel>,
-    places: HashMap<ServerId, usize>,
+    indices: HashMap<ServerId, usize>,
 }
 
 impl Engines {
@@ -21,11 +21,11 @@
         let servers = header.servers();
         let models: Vec<EngineModel> = servers
             .into_iter()
-            .map(|(id, zone)| EngineModel::new(id, zone, speed, header.blocks))
+            .map(|(id, zone)| EngineModel::new(id, zone, speed, header.cache_blocks))
             .collect();
         let names = models.iter().map(|m| m.id.clone());
         Self {
-            places: names.zip(0..).collect(),
+            indices: names.zip(0..).collect(),
             models,
         }
     }
@@ -40,30 +40,30 @@
         self.models.is_empty()
     }
 
-    /// Returns the place of an engine.
-    pub fn place(&self, id: &str) -> Option<usize> {
-        self.places.get(id).copied()
+    /// Returns the index of an engine.
+    pub fn index_of(&self, id: &str) -> Option<usize> {
+        self.indices.get(id).copied()
     }
 
-    /// Returns the engine at a place.
-    pub fn at(&self, place: usize) -> &EngineModel {
-        &self.models[place]
+    /// Returns the engine at an index.
+    pub fn at(&self, index: usize) -> &EngineModel {
+        &self.models[index]
     }
 
-    /// Returns the engine at a place, to change it.
-    pub fn at_mut(&mut self, place: usize) -> &mut EngineModel {
-        &mut self.models[place]
+    /// Returns the engine at an index, to change it.
+    pub fn at_mut(&mut self, index: usize) -> &mut EngineModel {
+        &mut self.models[index]
     }
 
     /// Returns the most tokens at the head of `blocks` that an engine with the weights holds.
-    pub fn best_held(&self, blocks: &[Block], weights: WeightsVersion) -> TokenCount {
-        let able = self.models.iter().filter(|m| m.accepts_weights(weights));
-        let held = able.map(|m| m.cache.held(blocks));
-        held.max().unwrap_or_default()
+    pub fn best_cached(&self, blocks: &[Block], weights: WeightsVersion) -> TokenCount {
+        let accepting = self.models.iter().filter(|m| m.accepts_weights(weights));
+        let cached = accepting.map(|m| m.cache.cached_tokens(blocks));
+        cached.max().unwrap_or_default()
     }
 
     /// Returns the number of engines that are loading weights.
-    pub fn loading(&self) -> u32 {
+    pub fn loading_count(&self) -> u32 {
         let loading = self.models.iter().filter(|m| m.loading);
         u32::try_from(loading.count()).unwrap_or(u32::MAX)
     }
--- a/azureway-dev/src/replay/environment.rs
+++ b/azureway-dev/src/replay/environment.rs
@@ -10,8 +10,8 @@
 use fastrand::Rng;
 
 use super::{
-    Engines, EventQueue, GeneratedToken, InFlightView, Links, News, Owner, PlatformModel,
-    ReplayEvent, Tally, Task, Transit,
+    EngineUpdate, Engines, EventQueue, GeneratedToken, InFlightAttempt, Links, Owner,
+    PlatformModel, ReplayEvent, Tally, Task, Transit,
 };
 use crate::trace::Header;
 
@@ -21,241 +21,255 @@
     /// The virtual time.
     pub now: Timestamp,
     /// What is to happen.
-    pub agenda: EventQueue,
+    pub events: EventQueue,
     /// The engines.
     pub engines: Engines,
     /// The links.
     pub links: Links,
     /// The tries that are under way.
-    pub flights: BTreeMap<RequestId, InFlightView>,
+    pub in_flight: BTreeMap<RequestId, InFlightAttempt>,
     /// What is counted.
     pub tally: Tally,
     /// The platform.
     pub platform: PlatformModel,
-    paid: bool,
-    lags: Vec<Duration>,
+    crosses_regions: bool,
+    update_delays: Vec<Duration>,
     rng: Rng,
 }
 
 /// The bytes of a token on a link.
 const TOKEN_BYTES: u64 = 4;
 /// The time that a crashed engine stays away after a request crashed it.
-const RESTART: Duration = Duration::from_secs(5);
-/// The least time by which an engine's news is late.
-const LAG_MIN: Duration = Duration::from_millis(200);
-/// The most time by which an engine's news is later than the least.
-const LAG_SPREAD_MILLIS: u64 = 300;
+const CRASH_DOWNTIME: Duration = Duration::from_secs(5);
+/// The least time by which an engine's update is late.
+const MIN_UPDATE_DELAY: Duration = Duration::from_millis(200);
+/// The most time by which an engine's update is later than the least.
+const UPDATE_DELAY_SPREAD_MILLIS: u64 = 300;
 /// The time after which an engine that is leaving gets no new work.
-const LEAVE_LIMIT: Duration = Duration::from_secs(3);
-/// The share of news that is lost on its way.
-const LOSS: f64 = 0.01;
+const LEAVING_GRACE: Duration = Duration::from_secs(3);
+/// The share of updates that are lost on their way.
+const UPDATE_LOSS: f64 = 0.01;
 
 impl Environment {
     /// Creates the scene at the start of a trace.
     pub fn new(header: &Header) -> Self {
         let engines = Engines::new(header);
         let mut rng = Rng::with_seed(header.seed);
-        let draws = (0..engines.len()).map(|_| rng.u64(..LAG_SPREAD_MILLIS));
-        let lags = draws.map(|d| LAG_MIN + Duration::from_millis(d)).collect();
-        let home = header.zones.first().map_or("", String::as_str);
+        let extra_millis = (0..engines.len()).map(|_| rng.u64(..UPDATE_DELAY_SPREAD_MILLIS));
+        let update_delays = extra_millis
+            .map(|d| MIN_UPDATE_DELAY + Duration::from_millis(d))
+            .collect();
+        let local = header.zones.first().map_or("", String::as_str);
         Self {
             now: Timestamp::ZERO,
-            agenda: EventQueue::new(),
+            events: EventQueue::new(),
             engines,
-            links: Links::new(ZoneId::new(home), Duration::from_micros(header.link)),
-            flights: BTreeMap::new(),
+            links: Links::new(
+                ZoneId::new(local),
+                Duration::from_micros(header.link_latency),
+            ),
+            in_flight: BTreeMap::new(),
             tally: Tally::new(),
             platform: PlatformModel::new(),
-            paid: !header.is_one_region(),
-            lags,
+            crosses_regions: !header.is_one_region(),
+            update_delays,
             rng,
         }
     }
 
     /// Enters what is to happen after `time`.
-    pub fn after(&mut self, time: Duration, happening: ReplayEvent) {
-        self.agenda.push(self.now + time, happening);
+    pub fn schedule(&mut self, time: Duration, event: ReplayEvent) {
+        self.events.push(self.now + time, event);
     }
 
     /// Returns the time one way to an engine.
-    pub fn delay(&self, place: usize) -> Duration {
-        self.links.delay(&self.engines.at(place).zone)
+    pub fn delay(&self, index: usize) -> Duration {
+        self.links.delay(&self.engines.at(index).zone)
     }
 
     /// Tells whether an engine is cut off from the entry.
-    pub fn is_cut(&self, place: usize) -> bool {
-        self.links.is_cut(&self.engines.at(place).zone)
+    pub fn is_cut(&self, index: usize) -> bool {
+        self.links.is_cut(&self.engines.at(index).zone)
     }
 
     /// Lets the entry notice after `time` that a try failed.
-    pub fn fail(&mut self, time: Duration, attempt: Attempt, kind: FailureKind, sent: SendState) {
-        self.after(time, ReplayEvent::Failed(attempt, kind, sent));
+    pub fn schedule_failure(
+        &mut self,
+        time: Duration,
+        attempt: Attempt,
+        kind: FailureKind,
+        sent: SendState,
+    ) {
+        self.schedule(time, ReplayEvent::AttemptFailed(attempt, kind, sent));
     }
 
     /// Sends a request on its way to an engine.
-    pub fn depart(&mut self, order: &Dispatch, place: usize, task: Task) {
-        let attempt = order.attempt;
-        self.count_try(order, place, &task);
-        let flight = InFlightView {
+    pub fn send_request(&mut self, dispatch: &Dispatch, index: usize, task: Task) {
+        let attempt = dispatch.attempt;
+        self.count_attempt(dispatch, index, &task);
+        let in_flight = InFlightAttempt {
             attempt,
-            engine: place,
+            engine: index,
             silent: false,
         };
-        self.flights.insert(attempt.id, flight);
-        if self.is_cut(place) {
+        self.in_flight.insert(attempt.id, in_flight);
+        if self.is_cut(index) {
             let kind = FailureKind::Unreachable;
-            return self.fail(Links::CONNECT_LIMIT, attempt, kind, SendState::Unsent);
+            return self.schedule_failure(Links::CONNECT_TIMEOUT, attempt, kind, SendState::Unsent);
         }
-        let cargo = Transit {
+        let transit = Transit {
             attempt,
-            engine: place,
-            incarnation: order.incarnation,
+            engine: index,
+            incarnation: dispatch.incarnation,
             task,
         };
-        self.after(self.delay(place), ReplayEvent::Reach(Box::new(cargo)));
+        self.schedule(self.delay(index), ReplayEvent::Delivered(Box::new(transit)));
     }
 
     /// Hands a request to the engine that it has reached.
-    pub fn reach(&mut self, cargo: Transit) {
+    pub fn deliver(&mut self, transit: Transit) {
         let Transit {
             attempt,
-            engine: place,
+            engine: index,
             incarnation,
             task,
-        } = cargo;
-        let delay = self.delay(place);
-        let engine = self.engines.at(place);
+        } = transit;
+        let delay = self.delay(index);
+        let engine = self.engines.at(index);
         if !engine.up {
             let kind = FailureKind::Unreachable;
-            return self.fail(delay, attempt, kind, SendState::Unsent);
+            return self.schedule_failure(delay, attempt, kind, SendState::Unsent);
         }
         let same = incarnation.is_none_or(|i| i == engine.incarnation);
         if !same || !engine.accepts_weights(task.weights) {
             let kind = FailureKind::Mismatch;
-            return self.fail(delay, attempt, kind, SendState::Rejected);
+            return self.schedule_failure(delay, attempt, kind, SendState::Rejected);
         }
-        self.count_run(attempt, place, &task);
-        self.engines.at_mut(place).push(task);
-        self.begin(place);
+        self.count_run(attempt, index, &task);
+        self.engines.at_mut(index).push(task);
+        self.begin_step(index);
     }
 
     /// Gives an engine a task of another entry.
-    pub fn place_other(&mut self, place: usize, task: Task) {
-        let engine = self.engines.at_mut(place);
+    pub fn start_peer_task(&mut self, index: usize, task: Task) {
+        let engine = self.engines.at_mut(index);
         if engine.accepts_weights(task.weights) {
             engine.push(task);
-            self.begin(place);
+            self.begin_step(index);
         }
     }
 
     /// Ends a step of an engine.
-    pub fn step(&mut self, place: usize, incarnation: Incarnation) {
-        let engine = self.engines.at_mut(place);
+    pub fn end_step(&mut self, index: usize, incarnation: Incarnation) {
+        let engine = self.engines.at_mut(index);
         if engine.incarnation != incarnation {
             return;
         }
         let mut tokens = Vec::new();
         if engine.end_step(&mut tokens) {
-            self.tally.poisoned += 1;
-            return self.crash(place, RESTART);
+            self.tally.poison_crashes += 1;
+            return self.crash(index, CRASH_DOWNTIME);
         }
         for token in tokens {
-            self.pass_on(place, token);
+            self.forward_token(index, token);
         }
-        self.begin(place);
+        self.begin_step(index);
     }
 
     /// Crashes an engine, which comes back empty after `down`.
-    pub fn crash(&mut self, place: usize, down: Duration) {
-        let delay = self.delay(place);
-        let cut = self.is_cut(place);
-        let tasks = self.engines.at_mut(place).crash();
+    pub fn crash(&mut self, index: usize, down: Duration) {
+        let delay = self.delay(index);
+        let is_cut = self.is_cut(index);
+        let tasks = self.engines.at_mut(index).crash();
         for task in tasks {
             let Owner::Entry(attempt) = task.owner else {
                 continue;
             };
-            if !cut {
+            if !is_cut {
                 let kind = FailureKind::Broken;
-                self.fail(delay, attempt, kind, SendState::MaybeRun);
+                self.schedule_failure(delay, attempt, kind, SendState::MaybeRun);
             }
         }
-        self.after(down, ReplayEvent::Return(place));
+        self.schedule(down, ReplayEvent::EngineRestarted(index));
     }
 
     /// Lets an engine load weights.
-    pub fn load(&mut self, place: usize, weights: WeightsVersion) {
-        self.engines.at_mut(place).loading = true;
-        let engine = self.engines.at(place);
-        let time = engine.speed().load_time(self.engines.loading());
+    pub fn start_load(&mut self, index: usize, weights: WeightsVersion) {
+        self.engines.at_mut(index).loading = true;
+        let engine = self.engines.at(index);
+        let time = engine.speed().load_time(self.engines.loading_count());
         let incarnation = engine.incarnation;
-        self.after(time, ReplayEvent::Loaded(place, incarnation, weights));
+        self.schedule(
+            time,
+            ReplayEvent::WeightsLoaded(index, incarnation, weights),
+        );
     }
 
     /// Cuts a zone off: the connections to it go silent.
-    pub fn cut(&mut self, zone: &ZoneId) {
+    pub fn cut_zone(&mut self, zone: &ZoneId) {
         self.links.cut(zone.clone());
         let engines = &self.engines;
-        let silent = self.flights.values_mut();
+        let silent = self.in_flight.values_mut();
         let silent = silent.filter(|f| engines.at(f.engine).zone == *zone && !f.silent);
-        let attempts: Vec<Attempt> = silent.map(hush).collect();
+        let attempts: Vec<Attempt> = silent.map(mark_silent).collect();
         for attempt in attempts {
             let kind = FailureKind::Silent;
-            self.fail(Links::READ_LIMIT, attempt, kind, SendState::MaybeRun);
+            self.schedule_failure(Links::READ_TIMEOUT, attempt, kind, SendState::MaybeRun);
         }
     }
 
-    /// Sends an engine's news to the entry, or its whole content.
-    pub fn tell(&mut self, place: usize, whole: bool) {
-        let engine = self.engines.at_mut(place);
+    /// Sends an engine's update to the entry, or its whole content.
+    pub fn send_update(&mut self, index: usize, snapshot: bool) {
+        let engine = self.engines.at_mut(index);
         if !engine.up {
             return;
         }
-        let news = if whole {
-            engine.content()
+        let update = if snapshot {
+            engine.snapshot()
         } else {
-            engine.news()
+            engine.take_update()
         };
-        let lost = self.rng.f64() < LOSS;
-        if lost || self.is_cut(place) {
-            self.tally.lost += 1;
+        let lost = self.rng.f64() < UPDATE_LOSS;
+        if lost || self.is_cut(index) {
+            self.tally.lost_updates += 1;
             return;
         }
-        self.send_news(place, news);
+        self.schedule_update(index, update);
     }
 
     /// Begins a step of an engine if it has something to do.
-    pub fn begin(&mut self, place: usize) {
-        let engine = self.engines.at_mut(place);
+    pub fn begin_step(&mut self, index: usize) {
+        let engine = self.engines.at_mut(index);
         let incarnation = engine.incarnation;
         if let Some(time) = engine.begin_step() {
-            self.after(time, ReplayEvent::Step(place, incarnation));
+            self.schedule(time, ReplayEvent::StepEnded(index, incarnation));
         }
     }
 
-    fn send_news(&mut self, place: usize, news: News) {
-        let time = self.lags[place] + self.delay(place);
-        self.after(time, ReplayEvent::Hear(Box::new(news)));
+    fn schedule_update(&mut self, index: usize, update: EngineUpdate) {
+        let time = self.update_delays[index] + self.delay(index);
+        self.schedule(time, ReplayEvent::UpdateReceived(Box::new(update)));
     }
 
     /// Passes a token on to the entry.
-    fn pass_on(&mut self, place: usize, token: GeneratedToken) {
+    fn forward_token(&mut self, index: usize, token: GeneratedToken) {
         let Owner::Entry(attempt) = token.owner else {
             return;
         };
-        let (cut, delay) = (self.is_cut(place), self.delay(place));
+        let (is_cut, delay) = (self.is_cut(index), self.delay(index));
         let at = self.now + delay;
-        let Some(flight) = self.flights.get_mut(&attempt.id) else {
+        let Some(in_flight) = self.in_flight.get_mut(&attempt.id) else {
             return;
         };
-        if flight.attempt != attempt || flight.silent || cut {
+        if in_flight.attempt != attempt || in_flight.silent || is_cut {
             return;
         }
-        if let Some(story) = self.tally.story(attempt.id.sequence()) {
-            story.receive(token.position, at);
+        if let Some(log) = self.tally.log_mut(attempt.id.sequence()) {
+            log.receive(token.position, at);
         }
         if token.first {
-            self.tally.cached += token.cached;
-            self.after(delay, ReplayEvent::Started(attempt));
+            self.tally.cached_tokens += token.cached;
+            self.schedule(delay, ReplayEvent::FirstToken(attempt));
         }
         if token.done {
             let finish = Finish {
@@ -263,38 +277,38 @@
                 cached: TokenCount::new(token.cached),
                 output: TokenCount::new(token.position),
             };
-            self.after(delay, ReplayEvent::Finished(finish));
+            self.schedule(delay, ReplayEvent::AttemptFinished(finish));
         }
     }
 
-    fn count_try(&mut self, order: &Dispatch, place: usize, task: &Task) {
-        let left = self.engines.at(place).leaving;
-        let late = left.is_some_and(|at| self.now.since(at) > LEAVE_LIMIT);
-        let promises = &mut self.tally.promises;
-        promises.leaving += u64::from(late);
-        promises.mixed += u64::from(order.salt != task.chain.salt());
-        self.tally.count_try(order.attempt.id.sequence());
+    fn count_attempt(&mut self, dispatch: &Dispatch, index: usize, task: &Task) {
+        let leaving = self.engines.at(index).leaving;
+        let is_late = leaving.is_some_and(|at| self.now.since(at) > LEAVING_GRACE);
+        let violations = &mut self.tally.violations;
+        violations.late_dispatches += u64::from(is_late);
+        violations.salt_mismatches += u64::from(dispatch.salt != task.chain.salt());
+        self.tally.count_attempt(dispatch.attempt.id.sequence());
     }
 
-    fn count_run(&mut self, attempt: Attempt, place: usize, task: &Task) {
+    fn count_run(&mut self, attempt: Attempt, index: usize, task: &Task) {
         let blocks = task.chain.blocks();
         let prompt = task.chain.tokens().get();
-        let engine = self.engines.at(place);
-        let held = engine.cache.held(blocks);
-        let best = self.engines.best_held(blocks, task.weights);
-        let across = self.paid && !self.links.is_home(&engine.zone);
+        let engine = self.engines.at(index);
+        let cached = engine.cache.cached_tokens(blocks);
+        let best = self.engines.best_cached(blocks, task.weights);
+        let is_remote = self.crosses_regions && !self.links.is_local(&engine.zone);
         let tally = &mut self.tally;
-        tally.prompt += prompt;
-        tally.wasted += best.saturating_sub(held).get();
-        if across {
-            tally.crossed += (prompt + task.output) * TOKEN_BYTES;
+        tally.prompt_tokens += prompt;
+        tally.recomputed += best.saturating_sub(cached).get();
+        if is_remote {
+            tally.region_bytes += (prompt + task.output) * TOKEN_BYTES;
         }
         tally.count_run(attempt.id.sequence());
     }
 }
 
 /// Marks a connection as silent.
-fn hush(flight: &mut InFlightView) -> Attempt {
-    flight.silent = true;
-    flight.attempt
+fn mark_silent(in_flight: &mut InFlightAttempt) -> Attempt {
+    in_flight.silent = true;
+    in_flight.attempt
 }
--- a/azureway-dev/src/replay/flight_view.rs
+++ b/azureway-dev/src/replay/in_flight_attempt.rs
@@ -4,7 +4,7 @@
 
 /// A try that is under way, as the replay sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct InFlightView {
+pub struct InFlightAttempt {
     /// The try.
     pub attempt: Attempt,
     /// The place of the engine.
--- a/azureway-dev/src/replay/loss.rs
+++ b/azureway-dev/src/replay/loss.rs
@@ -12,9 +12,9 @@
 }
 
 /// The time to first token that loses half, in milliseconds.
-const HALF_MILLIS: f64 = 1_000.0;
+const HALF_LOSS_MILLIS: f64 = 1_000.0;
 /// The whole, in percent.
-const WHOLE: f64 = 100.0;
+const FULL_PERCENT: f64 = 100.0;
 
 impl<'a> Loss<'a> {
     /// Creates the losses of a replay.
@@ -25,28 +25,32 @@
     /// Returns the loss of Smučarski Vosek, for whom the tail of urgent work weighs the most.
     pub fn vosek(&self) -> f64 {
         let s = self.summary;
-        let tail = 0.4 * tail(s.urgent[2]) + 0.2 * tail(s.urgent[1]);
-        let service = 0.1 * missed(s.timely) + 0.1 * missed(s.drafted);
+        let tail = 0.4 * latency_loss(s.urgent_ttft[2]) + 0.2 * latency_loss(s.urgent_ttft[1]);
+        let service = 0.1 * missed_share(s.urgent_timely) + 0.1 * missed_share(s.drafting_timely);
         tail + service + self.common()
     }
 
     /// Returns the loss of Corchos, for whom service by rank and worth weighs the most.
     pub fn corchos(&self) -> f64 {
         let s = self.summary;
-        let service = 0.4 * missed(s.worth) + 0.2 * missed(s.timely) + 0.1 * missed(s.drafted);
-        service + 0.1 * tail(s.urgent[2]) + self.common()
+        let service = 0.4 * missed_share(s.worth_timely)
+            + 0.2 * missed_share(s.urgent_timely)
+            + 0.1 * missed_share(s.drafting_timely);
+        service + 0.1 * latency_loss(s.urgent_ttft[2]) + self.common()
     }
 
     /// Returns what both lose alike: prompts computed anew, and the worst of small accounts.
     fn common(&self) -> f64 {
-        0.1 * missed(self.summary.hit) + 0.1 * missed(self.summary.smallest)
+        0.1 * missed_share(self.summary.hit_rate) + 0.1 * missed_share(self.summary.smallest_timely)
     }
 }
 
-fn missed(share: f64) -> f64 {
-    WHOLE - share
+fn missed_share(share: f64) -> f64 {
+    FULL_PERCENT - share
 }
 
-fn tail(time: Option<u64>) -> f64 {
-    time.map_or(WHOLE, |t| t as f64 / (t as f64 + HALF_MILLIS) * WHOLE)
+fn latency_loss(time: Option<u64>) -> f64 {
+    time.map_or(FULL_PERCENT, |t| {
+        t as f64 / (t as f64 + HALF_LOSS_MILLIS) * FULL_PERCENT
+    })
 }
--- a/azureway-dev/src/replay/plot.rs
+++ b/azureway-dev/src/replay/plot.rs
@@ -19,11 +19,11 @@
 /// The height of the plot, in pixels.
 const HEIGHT: u32 = 420;
 /// The longest time that is drawn, in milliseconds; longer bars end there.
-const TIME_MAX: f64 = 4_000.0;
+const MAX_TIME: f64 = 4_000.0;
 /// The target, in milliseconds.
 const TARGET: f64 = 1_000.0;
 /// The part of a group that its bars take.
-const BARS: f64 = 0.8;
+const GROUP_FILL: f64 = 0.8;
 /// The colours of the policies.
 const COLOURS: [RGBColor; 5] = [
     RGBColor(31, 119, 180),
@@ -57,7 +57,7 @@
             .margin(10)
             .x_label_area_size(40)
             .y_label_area_size(50)
-            .build_cartesian_2d(0.0..count, 0.0..TIME_MAX)
+            .build_cartesian_2d(0.0..count, 0.0..MAX_TIME)
             .map_err(failed)?;
         chart
             .configure_mesh()
@@ -76,13 +76,13 @@
         &self,
         chart: &mut ChartContext<'b, SVGBackend<'b>, Cartesian>,
     ) -> Result<(), DrawError> {
-        for (place, colour) in COLOURS.iter().enumerate() {
+        for (index, colour) in COLOURS.iter().enumerate() {
             let bars = self.groups.iter().enumerate();
             let bars = bars.filter_map(|(group, (_, all))| {
-                let time = all.get(place)?.urgent[1].map_or(TIME_MAX, |t| t as f64);
-                let width = BARS / COLOURS.len() as f64;
-                let left = group as f64 + (1.0 - BARS) / 2.0 + place as f64 * width;
-                let corners = [(left, 0.0), (left + width, time.min(TIME_MAX))];
+                let time = all.get(index)?.urgent_ttft[1].map_or(MAX_TIME, |t| t as f64);
+                let width = GROUP_FILL / COLOURS.len() as f64;
+                let left = group as f64 + (1.0 - GROUP_FILL) / 2.0 + index as f64 * width;
+                let corners = [(left, 0.0), (left + width, time.min(MAX_TIME))];
                 Some(Rectangle::new(corners, colour.filled()))
             });
             chart.draw_series(bars)?;
@@ -100,8 +100,8 @@
             root.draw(&Text::new(*name, (left as i32, low), font))?;
         }
         let policies = self.groups.first().map_or(&[][..], |(_, all)| all);
-        for (place, (summary, colour)) in policies.iter().zip(COLOURS).enumerate() {
-            let at = (80 + place as i32 * 130, 34);
+        for (index, (summary, colour)) in policies.iter().zip(COLOURS).enumerate() {
+            let at = (80 + index as i32 * 130, 34);
             let font = ("sans-serif", 13).into_font().color(&colour);
             root.draw(&Text::new(summary.policy, at, font))?;
         }
--- a/azureway-dev/src/replay/prefix_cache.rs
+++ b/azureway-dev/src/replay/prefix_cache.rs
@@ -8,58 +8,58 @@
 /// used is evicted first.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
-    bound: usize,
+    capacity: usize,
     clock: u64,
-    touched: HashMap<BlockKey, u64>,
-    order: BTreeMap<u64, BlockKey>,
+    last_used: HashMap<BlockKey, u64>,
+    by_age: BTreeMap<u64, BlockKey>,
 }
 
 impl PrefixCache {
-    /// Creates an empty cache of `bound` blocks.
-    pub fn new(bound: usize) -> Self {
+    /// Creates an empty cache of `capacity` blocks.
+    pub fn new(capacity: usize) -> Self {
         Self {
-            bound,
+            capacity,
             clock: 0,
-            touched: HashMap::new(),
-            order: BTreeMap::new(),
+            last_used: HashMap::new(),
+            by_age: BTreeMap::new(),
         }
     }
 
     /// Returns the tokens at the head of `blocks` that are held.
-    pub fn held(&self, blocks: &[Block]) -> TokenCount {
-        let held = blocks
+    pub fn cached_tokens(&self, blocks: &[Block]) -> TokenCount {
+        let cached = blocks
             .iter()
-            .take_while(|b| self.touched.contains_key(&b.key));
-        held.map(|b| b.tokens).sum()
+            .take_while(|b| self.last_used.contains_key(&b.key));
+        cached.map(|b| b.tokens).sum()
     }
 
     /// Returns the keys that are held, the least recently used first.
     pub fn keys(&self) -> impl Iterator<Item = BlockKey> {
-        self.order.values().copied()
+        self.by_age.values().copied()
     }
 
     /// Marks the held head of `blocks` as used.
-    pub fn touch(&mut self, blocks: &[Block]) {
-        let held = blocks
+    pub fn mark_used(&mut self, blocks: &[Block]) {
+        let cached = blocks
             .iter()
-            .take_while(|b| self.touched.contains_key(&b.key));
-        let keys: Vec<BlockKey> = held.map(|b| b.key).collect();
-        // The last block is touched first, so that a chain is evicted from its end.
+            .take_while(|b| self.last_used.contains_key(&b.key));
+        let keys: Vec<BlockKey> = cached.map(|b| b.key).collect();
+        // The last block is last_used first, so that a chain is evicted from its end.
         for key in keys.into_iter().rev() {
-            self.mark(key);
+            self.touch(key);
         }
     }
 
     /// Stores `blocks` and appends what changed.
     pub fn store(&mut self, blocks: &[Block], out: &mut Vec<CacheOp>) {
         for block in blocks.iter().rev() {
-            if !self.mark(block.key) {
+            if !self.touch(block.key) {
                 out.push(CacheOp::Stored(block.key));
             }
         }
-        while self.order.len() > self.bound {
-            if let Some((_, key)) = self.order.pop_first() {
-                self.touched.remove(&key);
+        while self.by_age.len() > self.capacity {
+            if let Some((_, key)) = self.by_age.pop_first() {
+                self.last_used.remove(&key);
                 out.push(CacheOp::Evicted(key));
             }
         }
@@ -67,16 +67,16 @@
 
     /// Forgets everything.
     pub fn clear(&mut self) {
-        self.touched.clear();
-        self.order.clear();
+        self.last_used.clear();
+        self.by_age.clear();
     }
 
     /// Marks a block as used now. Returns whether it was held.
-    fn mark(&mut self, key: BlockKey) -> bool {
+    fn touch(&mut self, key: BlockKey) -> bool {
         self.clock += 1;
-        self.order.insert(self.clock, key);
-        match self.touched.insert(key, self.clock) {
-            Some(old) => self.order.remove(&old).is_some(),
+        self.by_age.insert(self.clock, key);
+        match self.last_used.insert(key, self.clock) {
+            Some(old) => self.by_age.remove(&old).is_some(),
             None => false,
         }
     }
--- a/azureway-dev/src/replay/replay_driver.rs
+++ b/azureway-dev/src/replay/replay_driver.rs
@@ -7,278 +7,292 @@
     Router, SendState, StreamPosition, Timestamp, WeightsVersion, ZoneId,
 };
 
-use super::{Environment, News, ReplayEvent, RequestLog, Requests, Tally};
-use crate::trace::{Ask, Incident, Record, Trace};
+use super::{EngineUpdate, Environment, ReplayEvent, RequestFactory, RequestLog, Tally};
+use crate::trace::{Incident, Record, Trace, TraceRequest};
 
 /// The driver of a replay: it drives one core with a policy through a trace.
 #[derive(Debug)]
 pub struct ReplayDriver<'a, P> {
     trace: &'a Trace,
     router: Router<P>,
-    scene: Environment,
-    requests: Requests<'a>,
+    environment: Environment,
+    factory: RequestFactory<'a>,
     version: u64,
     epoch: u64,
-    wake: Option<Timestamp>,
+    next_wakeup: Option<Timestamp>,
 }
 
 /// The entry instances of a zone: 6 to 8 stand in three zones.
-const ENTRIES: u32 = 2;
-/// The time between two news of an engine.
-const NEWS_INTERVAL: Duration = Duration::from_millis(250);
+const ZONE_ENTRIES: u32 = 2;
+/// The time between two updates of an engine.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
 /// The time after the last record at which a replay ends at the latest.
-const TAIL: Duration = Duration::from_secs(300);
+const MAX_TAIL: Duration = Duration::from_secs(300);
 
 impl<'a, P: Policy + Default> ReplayDriver<'a, P> {
     /// Creates the driver at the start of a trace.
     pub fn new(trace: &'a Trace) -> Self {
         Self {
             trace,
-            router: Router::new(trace.header.router(), P::default()),
-            scene: Environment::new(&trace.header),
-            requests: Requests::new(trace),
+            router: Router::new(trace.header.router_config(), P::default()),
+            environment: Environment::new(&trace.header),
+            factory: RequestFactory::new(trace),
             version: 1,
             epoch: 1,
-            wake: None,
+            next_wakeup: None,
         }
     }
 
-    /// Plays the trace to its end and returns what was counted. `tell` is told the number of
+    /// Plays the trace to its end and returns what was counted. `on_record` is told the number of
     /// each record before it is played.
-    pub fn play(mut self, mut tell: impl FnMut(usize)) -> Tally {
+    pub fn play(mut self, mut on_record: impl FnMut(usize)) -> Tally {
         self.configure();
-        for place in 0..self.scene.engines.len() {
-            self.scene.after(NEWS_INTERVAL, ReplayEvent::Tell(place));
+        for index in 0..self.environment.engines.len() {
+            self.environment
+                .schedule(UPDATE_INTERVAL, ReplayEvent::SendUpdate(index));
         }
-        self.schedule(0);
-        let end = self.trace.end() + TAIL;
-        while let Some((at, happening)) = self.scene.agenda.pop() {
+        self.schedule_record(0);
+        let end = self.trace.end() + MAX_TAIL;
+        while let Some((at, event)) = self.environment.events.pop() {
             if at > end {
                 break;
             }
-            self.scene.now = at;
-            if let ReplayEvent::Record(number) = happening {
-                tell(number);
+            self.environment.now = at;
+            if let ReplayEvent::Record(number) = event {
+                on_record(number);
             }
-            self.happen(happening);
+            self.handle_event(event);
         }
-        self.scene.tally.close();
-        self.scene.tally
+        self.environment.tally.count_unanswered();
+        self.environment.tally
     }
 
-    fn happen(&mut self, happening: ReplayEvent) {
-        match happening {
-            ReplayEvent::Record(number) => self.record(number),
-            ReplayEvent::Reach(cargo) => self.scene.reach(*cargo),
-            ReplayEvent::Step(place, incarnation) => self.scene.step(place, incarnation),
-            ReplayEvent::Started(attempt) => self.tell_core(Event::Started(attempt)),
-            ReplayEvent::Finished(finish) => self.finish(&finish),
-            ReplayEvent::Failed(attempt, kind, sent) => self.fail(attempt, kind, sent),
-            ReplayEvent::Tell(place) => self.collect(place),
-            ReplayEvent::Content(place) => self.scene.tell(place, true),
-            ReplayEvent::Hear(news) => self.hear(&news),
-            ReplayEvent::Claim(news) => self.tell_core(Event::Claim(&news)),
-            ReplayEvent::Return(place) => self.scene.engines.at_mut(place).up = true,
-            ReplayEvent::Loaded(place, incarnation, weights) => {
-                let engine = self.scene.engines.at_mut(place);
+    fn handle_event(&mut self, event: ReplayEvent) {
+        match event {
+            ReplayEvent::Record(number) => self.play_record(number),
+            ReplayEvent::Delivered(transit) => self.environment.deliver(*transit),
+            ReplayEvent::StepEnded(index, incarnation) => {
+                self.environment.end_step(index, incarnation)
+            }
+            ReplayEvent::FirstToken(attempt) => self.handle(Event::Started(attempt)),
+            ReplayEvent::AttemptFinished(finish) => self.finish(&finish),
+            ReplayEvent::AttemptFailed(attempt, kind, sent) => self.fail(attempt, kind, sent),
+            ReplayEvent::SendUpdate(index) => self.send_update(index),
+            ReplayEvent::SendSnapshot(index) => self.environment.send_update(index, true),
+            ReplayEvent::UpdateReceived(update) => self.receive_update(&update),
+            ReplayEvent::ClaimAnswered(outcome) => self.handle(Event::Claim(&outcome)),
+            ReplayEvent::EngineRestarted(index) => self.environment.engines.at_mut(index).up = true,
+            ReplayEvent::WeightsLoaded(index, incarnation, weights) => {
+                let engine = self.environment.engines.at_mut(index);
                 if engine.incarnation == incarnation {
                     engine.load(weights);
                 }
             }
-            ReplayEvent::Wake => {
-                self.wake = None;
-                self.tell_core(Event::Tick);
+            ReplayEvent::Wakeup => {
+                self.next_wakeup = None;
+                self.handle(Event::Tick);
             }
         }
     }
 
-    fn schedule(&mut self, number: usize) {
+    fn schedule_record(&mut self, number: usize) {
         if let Some((at, _)) = self.trace.records.get(number) {
             let at = Timestamp::from_millis(*at);
-            self.scene.agenda.push(at, ReplayEvent::Record(number));
+            self.environment
+                .events
+                .push(at, ReplayEvent::Record(number));
         }
     }
 
-    fn record(&mut self, number: usize) {
-        self.schedule(number + 1);
+    fn play_record(&mut self, number: usize) {
+        self.schedule_record(number + 1);
         let trace = self.trace;
         let Some((_, record)) = trace.records.get(number) else {
             return;
         };
         match record {
-            Record::Ask(ask) => self.ask(ask, number as u64),
-            Record::Other(other) => {
-                let task = self.requests.task(&other.ask, number as u64);
-                if let Some(place) = self.scene.engines.place(&other.server) {
-                    self.scene.place_other(place, task);
+            Record::Request(request) => self.submit(request, number as u64),
+            Record::PeerRequest(recorded) => {
+                let task = self.factory.peer_task(&recorded.request, number as u64);
+                if let Some(index) = self.environment.engines.index_of(&recorded.server) {
+                    self.environment.start_peer_task(index, task);
                 }
             }
-            Record::Incident(incident) => self.befall(incident),
+            Record::Incident(incident) => self.apply_incident(incident),
         }
     }
 
-    fn ask(&mut self, ask: &Ask, sequence: u64) {
-        let now = self.scene.now;
-        let request = self.requests.make(ask, self.epoch, sequence, now);
-        let story = RequestLog::new(ask, request.chain.tokens().get(), now);
-        self.scene.tally.stories.insert(sequence, story);
-        self.tell_core(Event::Arrived(&request));
+    fn submit(&mut self, recorded: &TraceRequest, sequence: u64) {
+        let now = self.environment.now;
+        let request = self
+            .factory
+            .new_request(recorded, self.epoch, sequence, now);
+        let log = RequestLog::new(recorded, request.chain.tokens().get(), now);
+        self.environment.tally.logs.insert(sequence, log);
+        self.handle(Event::Arrived(&request));
     }
 
-    fn befall(&mut self, incident: &Incident) {
-        let place = |id: &String| self.scene.engines.place(id).unwrap_or_default();
+    fn apply_incident(&mut self, incident: &Incident) {
+        let index_of = |id: &String| self.environment.engines.index_of(id).unwrap_or_default();
         match incident {
             Incident::Crash(server, millis) => {
                 let down = Duration::from_millis(*millis);
-                self.scene.crash(place(server), down);
+                self.environment.crash(index_of(server), down);
             }
             Incident::Leave(server) => {
-                let place = place(server);
-                let now = self.scene.now;
-                self.scene.engines.at_mut(place).leaving = Some(now);
+                let index = index_of(server);
+                let now = self.environment.now;
+                self.environment.engines.at_mut(index).leaving = Some(now);
             }
             Incident::Load(server, version) => {
                 let weights = WeightsVersion::new(*version);
-                self.scene.load(place(server), weights);
+                self.environment.start_load(index_of(server), weights);
             }
             Incident::Weights(version) => {
-                self.requests.weights = WeightsVersion::new(*version);
+                self.factory.weights = WeightsVersion::new(*version);
                 self.version += 1;
                 self.configure();
             }
             Incident::Restart => self.restart(),
-            Incident::Cut(zone) => self.scene.cut(&ZoneId::new(zone)),
-            Incident::Heal(zone) => self.scene.links.heal(&ZoneId::new(zone)),
-            Incident::PlatformDown => self.scene.platform.away = true,
-            Incident::PlatformUp => self.scene.platform.away = false,
+            Incident::Cut(zone) => self.environment.cut_zone(&ZoneId::new(zone)),
+            Incident::Heal(zone) => self.environment.links.heal(&ZoneId::new(zone)),
+            Incident::PlatformDown => self.environment.platform.is_down = true,
+            Incident::PlatformUp => self.environment.platform.is_down = false,
         }
     }
 
     fn configure(&mut self) {
-        let fleet = self.trace.header.fleet(self.version, self.requests.weights);
-        self.tell_core(Event::Configured(&fleet));
-        self.tell_core(Event::ZoneEntries(ENTRIES));
+        let fleet = self.trace.header.fleet(self.version, self.factory.weights);
+        self.handle(Event::Configured(&fleet));
+        self.handle(Event::ZoneEntries(ZONE_ENTRIES));
     }
 
     /// Starts the entry anew: what it knew is gone, and its connections break.
     fn restart(&mut self) {
-        for flight in std::mem::take(&mut self.scene.flights).into_values() {
-            let engine = self.scene.engines.at_mut(flight.engine);
-            engine.cancel(flight.attempt);
+        for in_flight in std::mem::take(&mut self.environment.in_flight).into_values() {
+            let engine = self.environment.engines.at_mut(in_flight.engine);
+            engine.cancel(in_flight.attempt);
         }
-        let stories = self.scene.tally.stories.values_mut();
-        let open = stories.filter(|s| !s.is_answered());
+        let logs = self.environment.tally.logs.values_mut();
+        let open = logs.filter(|s| !s.is_answered());
         open.for_each(|s| s.dropped = true);
         self.epoch += 1;
-        self.wake = None;
-        self.router = Router::new(self.trace.header.router(), P::default());
+        self.next_wakeup = None;
+        self.router = Router::new(self.trace.header.router_config(), P::default());
         self.configure();
     }
 
-    fn collect(&mut self, place: usize) {
-        self.scene.tell(place, false);
-        let active = self.router.active() > 0 || !self.scene.flights.is_empty();
-        if active || self.scene.now <= self.trace.end() {
-            self.scene.after(NEWS_INTERVAL, ReplayEvent::Tell(place));
+    fn send_update(&mut self, index: usize) {
+        self.environment.send_update(index, false);
+        let active = self.router.active() > 0 || !self.environment.in_flight.is_empty();
+        if active || self.environment.now <= self.trace.end() {
+            self.environment
+                .schedule(UPDATE_INTERVAL, ReplayEvent::SendUpdate(index));
         }
     }
 
-    fn hear(&mut self, news: &News) {
-        self.tell_core(Event::Load(&news.load));
-        self.tell_core(Event::Cache(&news.update()));
+    fn receive_update(&mut self, update: &EngineUpdate) {
+        self.handle(Event::Load(&update.load));
+        self.handle(Event::Cache(&update.cache_update()));
     }
 
     fn finish(&mut self, finish: &Finish) {
         let id = finish.attempt.id;
-        let current = self.scene.flights.get(&id);
+        let current = self.environment.in_flight.get(&id);
         if current.is_some_and(|f| f.attempt == finish.attempt) {
-            self.scene.flights.remove(&id);
-            let tally = &mut self.scene.tally;
-            if let Some(story) = tally.stories.get_mut(&id.sequence()) {
-                story.finished = true;
-                tally.promises.holes += u64::from(story.received != story.output);
+            self.environment.in_flight.remove(&id);
+            let tally = &mut self.environment.tally;
+            if let Some(log) = tally.logs.get_mut(&id.sequence()) {
+                log.finished = true;
+                tally.violations.wrong_lengths += u64::from(log.received != log.output);
             }
         }
-        self.tell_core(Event::Finished(finish));
+        self.handle(Event::Finished(finish));
     }
 
     fn fail(&mut self, attempt: Attempt, kind: FailureKind, sent: SendState) {
-        let current = self.scene.flights.get(&attempt.id);
+        let current = self.environment.in_flight.get(&attempt.id);
         if current.is_none_or(|f| f.attempt != attempt) {
             return;
         }
-        self.scene.flights.remove(&attempt.id);
-        let story = self.scene.tally.story(attempt.id.sequence());
+        self.environment.in_flight.remove(&attempt.id);
+        let log = self.environment.tally.log_mut(attempt.id.sequence());
         let failure = Failure {
             attempt,
             kind,
             sent,
-            position: StreamPosition::new(story.map_or(0, |s| s.received)),
+            position: StreamPosition::new(log.map_or(0, |s| s.received)),
         };
-        self.tell_core(Event::Failed(&failure));
+        self.handle(Event::Failed(&failure));
     }
 
     /// Tells the core an event and does what it wants done.
-    fn tell_core(&mut self, event: Event<'_>) {
+    fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.router.handle(event, self.scene.now, &mut actions);
+        self.router
+            .handle(event, self.environment.now, &mut actions);
         for action in actions {
-            self.act(action);
+            self.apply(action);
         }
-        self.set_wake();
+        self.schedule_wakeup();
     }
 
-    fn set_wake(&mut self) {
+    fn schedule_wakeup(&mut self) {
         let Some(at) = self.router.next_wakeup() else {
             return;
         };
         // A deadline is past one tick of the clock after it.
-        let at = at.max(self.scene.now) + Duration::from_micros(1);
-        if self.wake.is_none_or(|w| at < w) {
-            self.wake = Some(at);
-            self.scene.agenda.push(at, ReplayEvent::Wake);
+        let at = at.max(self.environment.now) + Duration::from_micros(1);
+        if self.next_wakeup.is_none_or(|w| at < w) {
+            self.next_wakeup = Some(at);
+            self.environment.events.push(at, ReplayEvent::Wakeup);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
-            Action::Dispatch(order) => self.dispatch(&order),
+            Action::Dispatch(dispatch) => self.dispatch(&dispatch),
             Action::Refuse(id, refusal) => self.refuse(id, refusal),
             Action::Cancel(attempt) => {
-                if let Some(flight) = self.scene.flights.remove(&attempt.id) {
-                    self.scene.engines.at_mut(flight.engine).cancel(attempt);
+                if let Some(in_flight) = self.environment.in_flight.remove(&attempt.id) {
+                    self.environment
+                        .engines
+                        .at_mut(in_flight.engine)
+                        .cancel(attempt);
                 }
             }
-            Action::Claim(call) => {
-                let (time, news) = self.scene.platform.answer(&call);
-                self.scene.after(time, ReplayEvent::Claim(news));
+            Action::Claim(command) => {
+                let (time, outcome) = self.environment.platform.answer(&command);
+                self.environment
+                    .schedule(time, ReplayEvent::ClaimAnswered(outcome));
             }
             // No request of a trace is sent again with its key, and the entries of a replay
             // do not talk to one another.
             Action::ReplayAnswer(..) | Action::BroadcastServer(_) | Action::BroadcastStrike(_) => {}
             Action::Resync(server) => {
-                if let Some(place) = self.scene.engines.place(server.as_str()) {
-                    let delay = self.scene.delay(place);
-                    self.scene.after(delay, ReplayEvent::Content(place));
+                if let Some(index) = self.environment.engines.index_of(server.as_str()) {
+                    let delay = self.environment.delay(index);
+                    self.environment
+                        .schedule(delay, ReplayEvent::SendSnapshot(index));
                 }
             }
         }
     }
 
     fn refuse(&mut self, id: RequestId, refusal: Refusal) {
-        self.scene.flights.remove(&id);
-        let tally = &mut self.scene.tally;
-        if let Some(story) = tally.stories.get_mut(&id.sequence()) {
-            tally.promises.untrue += u64::from(refusal.not_run && story.runs > 0);
-            story.refused = Some(refusal);
+        self.environment.in_flight.remove(&id);
+        let tally = &mut self.environment.tally;
+        if let Some(log) = tally.logs.get_mut(&id.sequence()) {
+            tally.violations.false_refusals += u64::from(refusal.not_run && log.runs > 0);
+            log.refusal = Some(refusal);
         }
     }
 
-    fn dispatch(&mut self, order: &Dispatch) {
-        let place = self.scene.engines.place(order.server.as_str());
-        let task = self.requests.ordered(order);
-        if let (Some(place), Some(task)) = (place, task) {
-            self.scene.depart(order, place, task);
+    fn dispatch(&mut self, dispatch: &Dispatch) {
+        let index = self.environment.engines.index_of(dispatch.server.as_str());
+        let task = self.factory.dispatched_task(dispatch);
+        if let (Some(index), Some(task)) = (index, task) {
+            self.environment.send_request(dispatch, index, task);
         }
     }
 }
--- a/azureway-dev/src/replay/replay_event.rs
+++ b/azureway-dev/src/replay/replay_event.rs
@@ -5,7 +5,7 @@
     Attempt, FailureKind, Finish, Incarnation, SendState, WeightsVersion,
 };
 
-use super::{News, Transit};
+use super::{EngineUpdate, Transit};
 
 /// Something that happens in a replay. Engines are named by their place.
 #[derive(Clone, Debug)]
@@ -13,27 +13,27 @@
     /// A record of the trace is due.
     Record(usize),
     /// A request reaches an engine.
-    Reach(Box<Transit>),
+    Delivered(Box<Transit>),
     /// A step of an engine's incarnation ends.
-    Step(usize, Incarnation),
+    StepEnded(usize, Incarnation),
     /// The first token of a try reaches the entry.
-    Started(Attempt),
+    FirstToken(Attempt),
     /// The last token of a try reaches the entry.
-    Finished(Finish),
+    AttemptFinished(Finish),
     /// The entry notices that a try failed.
-    Failed(Attempt, FailureKind, SendState),
+    AttemptFailed(Attempt, FailureKind, SendState),
     /// An engine collects its news.
-    Tell(usize),
+    SendUpdate(usize),
     /// An engine is asked for the whole content of its cache.
-    Content(usize),
+    SendSnapshot(usize),
     /// An engine's news reaches the entry.
-    Hear(Box<News>),
+    UpdateReceived(Box<EngineUpdate>),
     /// A call for a claim ends.
-    Claim(ClaimOutcome),
+    ClaimAnswered(ClaimOutcome),
     /// An engine comes back from a crash.
-    Return(usize),
+    EngineRestarted(usize),
     /// An engine's incarnation has loaded weights.
-    Loaded(usize, Incarnation, WeightsVersion),
+    WeightsLoaded(usize, Incarnation, WeightsVersion),
     /// The entry asked to be told of the time.
-    Wake,
+    Wakeup,
 }
--- a/azureway-dev/src/replay/report.rs
+++ b/azureway-dev/src/replay/report.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use super::{Summary, Table};
-use crate::outcome::{KnownRed, Shortfall};
+use crate::outcome::{KnownShortfalls, Shortfall};
 
 /// What the replay of one trace reports.
 #[derive(Clone, Debug)]
@@ -21,25 +21,25 @@
     /// Where the product falls short.
     pub shortfalls: Vec<Shortfall>,
     /// The shortfalls that are known.
-    pub known: KnownRed,
+    pub known: KnownShortfalls,
 }
 
 impl Report {
     /// Tells whether every shortfall is known.
-    pub fn is_well(&self) -> bool {
-        self.shortfalls.iter().all(|s| self.known.holds(s))
+    pub fn passes(&self) -> bool {
+        self.shortfalls.iter().all(|s| self.known.contains(s))
     }
 
     /// Returns the verdict in lines of text.
     pub fn verdict(&self) -> String {
-        let word = match (self.shortfalls.is_empty(), self.is_well()) {
+        let word = match (self.shortfalls.is_empty(), self.passes()) {
             (true, _) => "holds",
             (false, true) => "falls short as known",
             (false, false) => "falls short",
         };
         let mut text = format!("{}: {word}, {} bounds\n", self.name, self.bounds);
         for shortfall in &self.shortfalls {
-            let known = if self.known.holds(shortfall) {
+            let known = if self.known.contains(shortfall) {
                 "known red"
             } else {
                 "RED"
@@ -47,25 +47,25 @@
             // Writing to a string does not fail.
             let _ = writeln!(text, "  {known}: {shortfall}");
         }
-        for measure in self.known.mended(&self.shortfalls) {
+        for measure in self.known.resolved(&self.shortfalls) {
             let _ = writeln!(text, "  listed as known red, but holds: {measure}");
         }
         text
     }
 
     /// Returns the entry for KNOWN-RED.txt, or nothing if the outcomes hold.
-    pub fn entry(&self) -> String {
-        let mut worst: Vec<&Shortfall> = Vec::new();
+    pub fn known_entry(&self) -> String {
+        let mut distinct: Vec<&Shortfall> = Vec::new();
         for shortfall in &self.shortfalls {
-            if worst.iter().all(|w| w.measure != shortfall.measure) {
-                worst.push(shortfall);
+            if distinct.iter().all(|w| w.measure != shortfall.measure) {
+                distinct.push(shortfall);
             }
         }
-        if worst.is_empty() {
+        if distinct.is_empty() {
             return String::new();
         }
-        let measures: Vec<&str> = worst.iter().map(|s| s.measure.as_str()).collect();
-        let seen: Vec<String> = worst.iter().map(ToString::to_string).collect();
+        let measures: Vec<&str> = distinct.iter().map(|s| s.measure.as_str()).collect();
+        let seen: Vec<String> = distinct.iter().map(ToString::to_string).collect();
         let Self { name, seed, .. } = self;
         format!(
             "replay {name}: {}\n  \
--- /dev/null
+++ b/azureway-dev/src/replay/request_factory.rs
@@ -0,0 +1,116 @@
+//! The requests of a trace, as the core and the engines take them.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use azureway_core::prelude::{
+    AccountId, BlockChain, Deadline, Dispatch, Fingerprint, IdempotencyKey, Request, RequestId,
+    RequestKind, Salt, Timestamp, TokenCount, WeightsVersion, Worth,
+};
+
+use super::{Owner, Task};
+use crate::trace::{Header, Record, Trace, TraceRequest};
+
+/// The requests of a trace, as the core and the engines take them.
+#[derive(Debug)]
+pub struct RequestFactory<'a> {
+    /// The weights version in force.
+    pub weights: WeightsVersion,
+    trace: &'a Trace,
+    chains: BTreeMap<u64, BlockChain>,
+}
+
+impl<'a> RequestFactory<'a> {
+    /// Creates the requests of `trace`, of which none was made yet.
+    pub const fn new(trace: &'a Trace) -> Self {
+        Self {
+            weights: WeightsVersion::new(1),
+            trace,
+            chains: BTreeMap::new(),
+        }
+    }
+
+    /// Makes the request that record `sequence` asks of entry process `epoch`.
+    pub fn new_request(
+        &mut self,
+        request: &TraceRequest,
+        epoch: u64,
+        sequence: u64,
+        now: Timestamp,
+    ) -> Request {
+        let chain = self.chain(request, sequence);
+        self.chains.insert(sequence, chain.clone());
+        let unique = unique_name(request, sequence);
+        let at_most_once = request.kind.request_kind() == RequestKind::AtMostOnce;
+        Request {
+            id: RequestId::new(epoch, sequence),
+            account: AccountId::new(&request.account),
+            service: Header::service(request.kind),
+            rank: request.kind.rank(),
+            kind: request.kind.request_kind(),
+            worth: Worth::new(request.worth),
+            deadline: Deadline::new(now + Duration::from_millis(request.ttft_limit)),
+            arrived: now,
+            weights: self.weights,
+            fingerprint: Fingerprint::of(
+                &request.account,
+                request.kind.as_str(),
+                unique.as_bytes(),
+            ),
+            max_attempts: None,
+            chain,
+            max_output: TokenCount::new(request.output),
+            idempotency_key: at_most_once.then(|| IdempotencyKey::new(&unique)),
+        }
+    }
+
+    /// Makes the task that another entry sent to an engine.
+    pub fn peer_task(&self, request: &TraceRequest, sequence: u64) -> Task {
+        Task {
+            owner: Owner::Peer,
+            rank: request.kind.rank(),
+            chain: self.chain(request, sequence),
+            weights: self.weights,
+            output: request.output,
+            position: 0,
+            resumed: 0,
+            pending: 0,
+            cached: 0,
+            poison: request.poison,
+        }
+    }
+
+    /// Makes the task that the core orders.
+    pub fn dispatched_task(&self, dispatch: &Dispatch) -> Option<Task> {
+        let sequence = dispatch.attempt.id.sequence();
+        let number = usize::try_from(sequence).ok()?;
+        let Some((_, Record::Request(request))) = self.trace.records.get(number) else {
+            return None;
+        };
+        let position = dispatch.position.get();
+        Some(Task {
+            owner: Owner::Entry(dispatch.attempt),
+            chain: self.chains.get(&sequence)?.clone(),
+            weights: dispatch.weights,
+            position,
+            resumed: position,
+            ..self.peer_task(request, sequence)
+        })
+    }
+
+    fn chain(&self, request: &TraceRequest, sequence: u64) -> BlockChain {
+        let account = AccountId::new(&request.account);
+        let salt = Salt::new(&account, &Header::service(request.kind), self.weights);
+        let unique = unique_name(request, sequence);
+        self.trace.levels.chain(request, salt, &unique)
+    }
+}
+
+/// Names the part of a prompt that is a request's own. A poison request is always the same.
+fn unique_name(request: &TraceRequest, sequence: u64) -> String {
+    if request.poison {
+        "poison".to_owned()
+    } else {
+        format!("own-{sequence}")
+    }
+}
--- a/azureway-dev/src/replay/request_log.rs
+++ b/azureway-dev/src/replay/request_log.rs
@@ -5,7 +5,7 @@
 use azureway_core::prelude::{Rank, Refusal, RefusalReason, Timestamp};
 
 use super::Links;
-use crate::trace::{Ask, WorkKind};
+use crate::trace::{TraceRequest, WorkKind};
 
 /// What became of a request, as its caller sees it.
 #[derive(Clone, Debug)]
@@ -17,15 +17,15 @@
     /// What an answer in time is worth.
     pub worth: u64,
     /// The tokens of prompt and answer.
-    pub cost: u64,
+    pub total_tokens: u64,
     /// The tokens of the answer.
     pub output: u64,
     /// The time to first token that the caller allows.
-    pub patience: Duration,
+    pub ttft_limit: Duration,
     /// When it arrived.
     pub arrived: Timestamp,
     /// The time to first token.
-    pub first: Option<Duration>,
+    pub ttft: Option<Duration>,
     /// The times between two tokens, in milliseconds.
     pub gaps: Vec<u64>,
     /// The tokens that the caller has.
@@ -33,36 +33,36 @@
     /// Whether the answer ended well.
     pub finished: bool,
     /// The refusal, if there was one.
-    pub refused: Option<Refusal>,
+    pub refusal: Option<Refusal>,
     /// Whether the entry restarted while it was under way.
     pub dropped: bool,
     /// The tries.
-    pub tries: u32,
+    pub attempts: u32,
     /// The engines that took it.
     pub runs: u32,
-    last: Timestamp,
+    last_token: Timestamp,
 }
 
 impl RequestLog {
-    /// Creates the story of a request that arrived at `now` with a prompt of `prompt` tokens.
-    pub fn new(ask: &Ask, prompt: u64, now: Timestamp) -> Self {
+    /// Creates the log of a request that arrived at `now` with a prompt of `prompt` tokens.
+    pub fn new(request: &TraceRequest, prompt: u64, now: Timestamp) -> Self {
         Self {
-            account: ask.account.clone(),
-            kind: ask.kind,
-            worth: ask.worth,
-            cost: prompt + ask.output,
-            output: ask.output,
-            patience: Duration::from_millis(ask.patience),
+            account: request.account.clone(),
+            kind: request.kind,
+            worth: request.worth,
+            total_tokens: prompt + request.output,
+            output: request.output,
+            ttft_limit: Duration::from_millis(request.ttft_limit),
             arrived: now,
-            first: None,
+            ttft: None,
             gaps: Vec::new(),
             received: 0,
             finished: false,
-            refused: None,
+            refusal: None,
             dropped: false,
-            tries: 0,
+            attempts: 0,
             runs: 0,
-            last: now,
+            last_token: now,
         }
     }
 
@@ -72,13 +72,13 @@
             return;
         }
         self.received = position;
-        if self.first.is_none() {
-            self.first = Some(at.since(self.arrived) + Links::CLIENT * 2);
+        if self.ttft.is_none() {
+            self.ttft = Some(at.since(self.arrived) + Links::CALLER_DELAY * 2);
         } else {
-            let gap = at.since(self.last).as_millis();
+            let gap = at.since(self.last_token).as_millis();
             self.gaps.push(u64::try_from(gap).unwrap_or(u64::MAX));
         }
-        self.last = at;
+        self.last_token = at;
     }
 
     /// Returns the rank.
@@ -88,18 +88,18 @@
 
     /// Tells whether the request was answered whole and its first token was in time.
     pub fn is_on_time(&self) -> bool {
-        self.finished && self.first.is_some_and(|t| t <= self.patience)
+        self.finished && self.ttft.is_some_and(|t| t <= self.ttft_limit)
     }
 
     /// Tells whether the request was refused, truly, since the platform could not be asked
     /// whether it has run before. No policy can serve such a request.
     pub fn is_unclaimed(&self) -> bool {
-        let refused = self.refused.as_ref();
-        refused.is_some_and(|r| r.not_run && r.reason == RefusalReason::ClaimUnavailable)
+        let refusal = self.refusal.as_ref();
+        refusal.is_some_and(|r| r.not_run && r.reason == RefusalReason::ClaimUnavailable)
     }
 
     /// Tells whether the request got an answer or a refusal.
     pub const fn is_answered(&self) -> bool {
-        self.finished || self.refused.is_some() || self.dropped
+        self.finished || self.refusal.is_some() || self.dropped
     }
 }
--- a/azureway-dev/src/replay/table.rs
+++ b/azureway-dev/src/replay/table.rs
@@ -35,9 +35,9 @@
         name: &str,
         times: impl Fn(&Summary) -> [Option<u64>; 3],
     ) -> fmt::Result {
-        for (place, percentile) in ["p50", "p95", "p99"].into_iter().enumerate() {
+        for (index, percentile) in ["p50", "p95", "p99"].into_iter().enumerate() {
             let label = format!("first token {name} {percentile} ms");
-            self.row(f, &label, |s| millis(times(s)[place]))?;
+            self.row(f, &label, |s| millis(times(s)[index]))?;
         }
         Ok(())
     }
@@ -46,8 +46,8 @@
         let Some(first) = self.summaries.first() else {
             return Ok(());
         };
-        for kind in first.kinds.keys() {
-            let cell = |s: &Summary| percent(s.kinds.get(kind).copied().unwrap_or(0.0));
+        for kind in first.kind_timely.keys() {
+            let cell = |s: &Summary| percent(s.kind_timely.get(kind).copied().unwrap_or(0.0));
             self.row(f, &format!("on time {kind} %"), cell)?;
         }
         Ok(())
@@ -58,27 +58,33 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.row(f, "", |s| s.policy.to_owned())?;
         self.row(f, "requests", |s| s.requests.to_string())?;
-        self.row(f, "prefix hit %", |s| percent(s.hit))?;
-        self.row(f, "wasted tokens", |s| s.wasted.to_string())?;
-        self.times(f, "urgent", |s| s.urgent)?;
-        self.times(f, "drafting", |s| s.drafting)?;
-        self.row(f, "between tokens p95 ms", |s| s.gap.to_string())?;
+        self.row(f, "prefix hit %", |s| percent(s.hit_rate))?;
+        self.row(f, "wasted tokens", |s| s.recomputed.to_string())?;
+        self.times(f, "urgent", |s| s.urgent_ttft)?;
+        self.times(f, "drafting", |s| s.drafting_ttft)?;
+        self.row(f, "between tokens p95 ms", |s| s.token_gap.to_string())?;
         self.kinds(f)?;
-        self.row(f, "on time urgent %", |s| percent(s.timely))?;
-        self.row(f, "on time drafting %", |s| percent(s.drafted))?;
-        self.row(f, "worth on time %", |s| percent(s.worth))?;
-        self.row(f, "drafting of served tokens %", |s| percent(s.kept))?;
-        self.row(f, "on time largest account %", |s| percent(s.largest))?;
-        self.row(f, "on time worst small account %", |s| percent(s.smallest))?;
-        self.row(f, "across regions kB", |s| s.crossed.to_string())?;
+        self.row(f, "on time urgent %", |s| percent(s.urgent_timely))?;
+        self.row(f, "on time drafting %", |s| percent(s.drafting_timely))?;
+        self.row(f, "worth on time %", |s| percent(s.worth_timely))?;
+        self.row(f, "drafting of served tokens %", |s| {
+            percent(s.drafting_share)
+        })?;
+        self.row(f, "on time largest account %", |s| {
+            percent(s.largest_timely)
+        })?;
+        self.row(f, "on time worst small account %", |s| {
+            percent(s.smallest_timely)
+        })?;
+        self.row(f, "across regions kB", |s| s.region_traffic.to_string())?;
         self.row(f, "retries", |s| s.retries.to_string())?;
         self.row(f, "refusals", |s| s.refusals.to_string())?;
         self.row(f, "engines crashed by a request", |s| {
-            s.poisoned.to_string()
+            s.poison_crashes.to_string()
         })?;
-        self.row(f, "promises broken", |s| s.promises.broken().to_string())?;
-        self.row(f, "loss Smučarski Vosek", |s| percent(s.vosek))?;
-        self.row(f, "loss Corchos", |s| percent(s.corchos))
+        self.row(f, "promises broken", |s| s.violations.total().to_string())?;
+        self.row(f, "loss Smučarski Vosek", |s| percent(s.vosek_loss))?;
+        self.row(f, "loss Corchos", |s| percent(s.corchos_loss))
     }
 }
 
--- a/azureway-dev/src/replay/tally.rs
+++ b/azureway-dev/src/replay/tally.rs
@@ -4,27 +4,27 @@
 
 use azureway_core::prelude::RequestKind;
 
-use super::{Promises, RequestLog};
+use super::{RequestLog, Violations};
 
 /// What a replay counts.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     /// What became of each request, by its sequence number.
-    pub stories: BTreeMap<u64, RequestLog>,
+    pub logs: BTreeMap<u64, RequestLog>,
     /// The promises that were broken.
-    pub promises: Promises,
+    pub violations: Violations,
     /// The prompt tokens of the tries that began.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// The prompt tokens of these that were found in a cache.
-    pub cached: u64,
+    pub cached_tokens: u64,
     /// The prompt tokens that were computed while another engine held them.
-    pub wasted: u64,
+    pub recomputed: u64,
     /// The bytes that went to and came from another region.
-    pub crossed: u64,
+    pub region_bytes: u64,
     /// The engines that crashed by a request.
-    pub poisoned: u64,
+    pub poison_crashes: u64,
     /// The news that was lost on its way.
-    pub lost: u64,
+    pub lost_updates: u64,
 }
 
 impl Tally {
@@ -34,47 +34,44 @@
     }
 
     /// Counts a try of a request.
-    pub fn count_try(&mut self, sequence: u64) {
-        if let Some(story) = self.story(sequence) {
-            story.tries += 1;
+    pub fn count_attempt(&mut self, sequence: u64) {
+        if let Some(log) = self.log_mut(sequence) {
+            log.attempts += 1;
         }
     }
 
     /// Counts a run of a request at an engine.
     pub fn count_run(&mut self, sequence: u64) {
-        if let Some(story) = self.stories.get_mut(&sequence) {
-            story.runs += 1;
-            let once = story.kind.calls() == RequestKind::AtMostOnce;
-            self.promises.doubled += u64::from(once && story.runs > 1);
+        if let Some(log) = self.logs.get_mut(&sequence) {
+            log.runs += 1;
+            let at_most_once = log.kind.request_kind() == RequestKind::AtMostOnce;
+            self.violations.duplicate_runs += u64::from(at_most_once && log.runs > 1);
         }
     }
 
     /// Counts the requests that got neither an answer nor a refusal, at the end.
-    pub fn close(&mut self) {
-        let stories = self.stories.values();
-        self.promises.unanswered += stories.filter(|s| !s.is_answered()).count() as u64;
+    pub fn count_unanswered(&mut self) {
+        let logs = self.logs.values();
+        self.violations.unanswered += logs.filter(|s| !s.is_answered()).count() as u64;
     }
 
     /// Adds the counts of another replay.
     pub fn merge(&mut self, other: Self) {
-        let first = self
-            .stories
-            .last_key_value()
-            .map_or(0, |(last, _)| last + 1);
-        let stories = other.stories.into_iter();
-        self.stories
-            .extend(stories.map(|(number, s)| (first + number, s)));
-        self.promises.merge(&other.promises);
-        self.prompt += other.prompt;
-        self.cached += other.cached;
-        self.wasted += other.wasted;
-        self.crossed += other.crossed;
-        self.poisoned += other.poisoned;
-        self.lost += other.lost;
+        let first = self.logs.last_key_value().map_or(0, |(last, _)| last + 1);
+        let logs = other.logs.into_iter();
+        self.logs
+            .extend(logs.map(|(number, s)| (first + number, s)));
+        self.violations.merge(&other.violations);
+        self.prompt_tokens += other.prompt_tokens;
+        self.cached_tokens += other.cached_tokens;
+        self.recomputed += other.recomputed;
+        self.region_bytes += other.region_bytes;
+        self.poison_crashes += other.poison_crashes;
+        self.lost_updates += other.lost_updates;
     }
 
     /// Returns what became of a request.
-    pub fn story(&mut self, sequence: u64) -> Option<&mut RequestLog> {
-        self.stories.get_mut(&sequence)
+    pub fn log_mut(&mut self, sequence: u64) -> Option<&mut RequestLog> {
+        self.logs.get_mut(&sequence)
     }
 }
--- a/azureway-dev/src/trace/header.rs
+++ b/azureway-dev/src/trace/header.rs
@@ -25,9 +25,9 @@
     /// The client accounts.
     pub accounts: Vec<String>,
     /// The blocks that an engine's cache holds.
-    pub blocks: usize,
+    pub cache_blocks: usize,
     /// The microseconds one way over a link to another zone.
-    pub link: u64,
+    pub link_latency: u64,
 }
 
 /// The pool of the engines.
@@ -35,7 +35,7 @@
 /// The requests that an engine runs at once.
 const SLOTS: u32 = 16;
 /// The prefill rate of an engine that the configuration names, in tokens a second.
-const PREFILL: TokenRate = TokenRate::new(8_000);
+const PREFILL_RATE: TokenRate = TokenRate::new(8_000);
 /// The port of the first engine.
 const FIRST_PORT: u16 = 9_000;
 
@@ -47,7 +47,7 @@
 
     /// Returns the name of the service that work of a kind asks for.
     pub fn service(kind: WorkKind) -> ServiceId {
-        match kind.calls() {
+        match kind.request_kind() {
             RequestKind::Repeatable => ServiceId::new("advice"),
             RequestKind::AtMostOnce => ServiceId::new("orders"),
         }
@@ -67,10 +67,10 @@
     }
 
     /// Returns the bounds of the entry, which stands in the first zone.
-    pub fn router(&self) -> RouterConfig {
+    pub fn router_config(&self) -> RouterConfig {
         let zone = self.zones.first().map_or("", String::as_str);
         let mut config = RouterConfig::new(ZoneId::new(zone));
-        let link = Duration::from_micros(self.link);
+        let link = Duration::from_micros(self.link_latency);
         if self.is_one_region() {
             config.zone_latency = link;
         } else {
@@ -98,7 +98,7 @@
             let service = ModelService::new(Self::service(kind), pool.clone());
             let service = service
                 .with_weights(weights)
-                .with_request_kind(kind.calls());
+                .with_request_kind(kind.request_kind());
             fleet.with_service(service)
         });
         let accounts = self.accounts.iter().fold(services, |fleet, name| {
@@ -109,7 +109,7 @@
         servers.fold(accounts, |fleet, ((id, zone), port)| {
             let address = ([127, 0, 0, 1], port).into();
             let server = BackendServer::new(id, pool.clone(), zone, address);
-            fleet.with_server(server.with_slots(SLOTS).with_prefill(PREFILL))
+            fleet.with_server(server.with_slots(SLOTS).with_prefill(PREFILL_RATE))
         })
     }
 }
@@ -121,7 +121,7 @@
         writeln!(f, "regions {}", self.regions.join(" "))?;
         writeln!(f, "engines {}", self.engines)?;
         writeln!(f, "accounts {}", self.accounts.join(" "))?;
-        writeln!(f, "blocks {}", self.blocks)?;
-        writeln!(f, "link {}", self.link)
+        writeln!(f, "blocks {}", self.cache_blocks)?;
+        writeln!(f, "link {}", self.link_latency)
     }
 }
--- a/azureway-dev/src/trace/mod.rs
+++ b/azureway-dev/src/trace/mod.rs
@@ -1,20 +1,20 @@
 //! Recorded traces: what reaches one entry instance, as a small text table.
 
-mod ask;
 mod header;
 mod incident;
-mod levels;
-mod other;
 mod parse;
+mod peer_request;
+mod prompt_levels;
 mod record;
 mod recorded;
+mod trace_request;
 mod work_kind;
 
-pub use ask::Ask;
 pub use header::Header;
 pub use incident::Incident;
-pub use levels::Levels;
-pub use other::Other;
+pub use peer_request::PeerRequest;
+pub use prompt_levels::PromptLevels;
 pub use record::Record;
 pub use recorded::Trace;
+pub use trace_request::TraceRequest;
 pub use work_kind::WorkKind;
--- a/azureway-dev/src/trace/parse.rs
+++ b/azureway-dev/src/trace/parse.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Error, Result, bail};
 
-use super::{Ask, Incident, Other, Record, Trace, WorkKind};
+use super::{Incident, PeerRequest, Record, Trace, TraceRequest, WorkKind};
 
 impl FromStr for Trace {
     type Err = Error;
@@ -29,8 +29,8 @@
         ["regions", regions @ ..] => header.regions = owned(regions),
         ["engines", engines] => header.engines = engines.parse()?,
         ["accounts", accounts @ ..] => header.accounts = owned(accounts),
-        ["blocks", blocks] => header.blocks = blocks.parse()?,
-        ["link", link] => header.link = link.parse()?,
+        ["blocks", blocks] => header.cache_blocks = blocks.parse()?,
+        ["link", link] => header.link_latency = link.parse()?,
         ["level", name, tokens] => trace.levels.insert(name, tokens.parse()?),
         [at, rest @ ..] => {
             let record = read_record(trace, rest)?;
@@ -50,10 +50,10 @@
 
 fn read_record(trace: &Trace, words: &[&str]) -> Result<Record> {
     match words {
-        ["ask", ask @ ..] => Ok(Record::Ask(read_ask(trace, ask)?)),
-        ["other", server, ask @ ..] => Ok(Record::Other(Other {
+        ["ask", request @ ..] => Ok(Record::Request(read_request(trace, request)?)),
+        ["other", server, request @ ..] => Ok(Record::PeerRequest(PeerRequest {
             server: (*server).to_owned(),
-            ask: read_ask(trace, ask)?,
+            request: read_request(trace, request)?,
         })),
         _ => {
             let incident = Incident::parse(words).context("no such record")?;
@@ -62,15 +62,15 @@
     }
 }
 
-fn read_ask(trace: &Trace, words: &[&str]) -> Result<Ask> {
+fn read_request(trace: &Trace, words: &[&str]) -> Result<TraceRequest> {
     let &[
         account,
         kind,
         worth,
-        patience,
+        ttft_limit,
         output,
         levels,
-        question,
+        unique_tokens,
         ref flags @ ..,
     ] = words
     else {
@@ -80,14 +80,14 @@
     if let Some(level) = levels.iter().find(|l| !trace.levels.contains(l)) {
         bail!("the level {level:?} is not defined");
     }
-    Ok(Ask {
+    Ok(TraceRequest {
         account: account.to_owned(),
         kind: WorkKind::parse(kind).context("no such kind")?,
         worth: worth.parse()?,
-        patience: patience.parse()?,
+        ttft_limit: ttft_limit.parse()?,
         output: output.parse()?,
         levels,
-        question: question.parse()?,
+        unique_tokens: unique_tokens.parse()?,
         poison: flags.contains(&"poison"),
     })
 }
--- a/azureway-dev/src/trace/other.rs
+++ b/azureway-dev/src/trace/peer_request.rs
@@ -2,19 +2,19 @@
 
 use std::fmt;
 
-use super::Ask;
+use super::TraceRequest;
 
 /// A request that another entry sent to an engine of its own choice.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Other {
+pub struct PeerRequest {
     /// The name of the engine.
     pub server: String,
     /// The request.
-    pub ask: Ask,
+    pub request: TraceRequest,
 }
 
-impl fmt::Display for Other {
+impl fmt::Display for PeerRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {}", self.server, self.ask)
+        write!(f, "{} {}", self.server, self.request)
     }
 }
--- a/azureway-dev/src/trace/levels.rs
+++ b/azureway-dev/src/trace/prompt_levels.rs
@@ -5,20 +5,20 @@
 
 use azureway_core::prelude::{Block, BlockChain, BlockKey, Salt, TokenCount};
 
-use super::Ask;
+use super::TraceRequest;
 
 /// The shared levels of the prompts of a trace, with their length in tokens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Levels {
+pub struct PromptLevels {
     tokens: BTreeMap<String, u64>,
 }
 
-/// The most tokens of a cache piece.
-const PIECE_TOKENS: u64 = 2_000;
+/// The most tokens of a cache block.
+const MAX_BLOCK_TOKENS: u64 = 2_000;
 /// The levels that place a prompt: the house instructions and the shop's context.
-const PLACING_LEVELS: usize = 2;
+const PREFIX_LEVELS: usize = 2;
 
-impl Levels {
+impl PromptLevels {
     /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
@@ -40,19 +40,19 @@
     }
 
     /// Returns the chain of a request's prompt. `own` names what no other request shares.
-    pub fn chain(&self, ask: &Ask, salt: Salt, own: &str) -> BlockChain {
+    pub fn chain(&self, request: &TraceRequest, salt: Salt, unique: &str) -> BlockChain {
         let mut key = BlockKey::new(salt.number());
         let mut blocks = Vec::new();
-        let mut placing = 0;
-        for (depth, level) in ask.levels.iter().enumerate() {
+        let mut prefix_blocks = 0;
+        for (depth, level) in request.levels.iter().enumerate() {
             let tokens = self.tokens(level);
             key = push_level(&mut blocks, key, level, tokens);
-            if depth < PLACING_LEVELS {
-                placing = blocks.len();
+            if depth < PREFIX_LEVELS {
+                prefix_blocks = blocks.len();
             }
         }
-        push_level(&mut blocks, key, own, ask.question);
-        BlockChain::from_blocks(salt, blocks, placing)
+        push_level(&mut blocks, key, unique, request.unique_tokens);
+        BlockChain::from_blocks(salt, blocks, prefix_blocks)
     }
 }
 
@@ -61,18 +61,18 @@
     let mut key = last;
     let mut rest = tokens;
     while rest > 0 {
-        let piece = rest.min(PIECE_TOKENS);
+        let length = rest.min(MAX_BLOCK_TOKENS);
         key = key.then(level.as_bytes());
         blocks.push(Block {
             key,
-            tokens: TokenCount::new(piece),
+            tokens: TokenCount::new(length),
         });
-        rest -= piece;
+        rest -= length;
     }
     key
 }
 
-impl fmt::Display for Levels {
+impl fmt::Display for PromptLevels {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut levels = self.tokens.iter();
         levels.try_for_each(|(name, tokens)| writeln!(f, "level {name} {tokens}"))
--- a/azureway-dev/src/trace/record.rs
+++ b/azureway-dev/src/trace/record.rs
@@ -2,15 +2,15 @@
 
 use std::fmt;
 
-use super::{Ask, Incident, Other};
+use super::{Incident, PeerRequest, TraceRequest};
 
 /// A timed line of a trace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// A request arrives at this entry.
-    Ask(Ask),
+    Request(TraceRequest),
     /// A request arrives at an engine from another entry.
-    Other(Other),
+    PeerRequest(PeerRequest),
     /// Something happens to the system.
     Incident(Incident),
 }
@@ -18,8 +18,8 @@
 impl fmt::Display for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Ask(ask) => write!(f, "ask {ask}"),
-            Self::Other(other) => write!(f, "other {other}"),
+            Self::Request(request) => write!(f, "ask {request}"),
+            Self::PeerRequest(request) => write!(f, "other {request}"),
             Self::Incident(incident) => incident.fmt(f),
         }
     }
--- a/azureway-dev/src/trace/recorded.rs
+++ b/azureway-dev/src/trace/recorded.rs
@@ -4,7 +4,7 @@
 
 use azureway_core::prelude::Timestamp;
 
-use super::{Header, Levels, Record};
+use super::{Header, PromptLevels, Record};
 
 /// A whole trace: its header, its levels and its records in the order of their time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -12,7 +12,7 @@
     /// The header.
     pub header: Header,
     /// The shared levels of the prompts.
-    pub levels: Levels,
+    pub levels: PromptLevels,
     /// The records with their time in milliseconds.
     pub records: Vec<(u64, Record)>,
 }
--- a/azureway-dev/src/trace/work_kind.rs
+++ b/azureway-dev/src/trace/work_kind.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns whether this work may be repeated.
-    pub const fn calls(self) -> RequestKind {
+    pub const fn request_kind(self) -> RequestKind {
         match self {
             Self::Order => RequestKind::AtMostOnce,
             _ => RequestKind::Repeatable,
--- a/azureway-dev/tests/outcome.rs
+++ b/azureway-dev/tests/outcome.rs
@@ -1,14 +1,14 @@
 //! Stated outcomes and what falls short of them.
 
 use azureway_core::prelude::{LeastLoaded, Policy, PrefixHash, RoundRobin};
-use azureway_dev::outcome::{KnownRed, Outcomes};
-use azureway_dev::replay::{Promises, Summary, Tally};
+use azureway_dev::outcome::{KnownShortfalls, Outcomes};
+use azureway_dev::replay::{Summary, Tally, Violations};
 use googletest::prelude::*;
 
 /// A product that is better than one baseline and worse than another.
 fn summaries() -> Vec<Summary> {
-    let summary = |policy, hit, retries| Summary {
-        hit,
+    let summary = |policy, hit_rate, retries| Summary {
+        hit_rate,
         retries,
         ..Summary::new(policy, &Tally::new())
     };
@@ -71,40 +71,40 @@
     let listed = "replay crash: hit wasted\n  seen: hit 50\nreplay cut: retries\n";
     let outcomes: Outcomes = "hit >= 51\nretries < 3".parse().expect("bounds");
     let short = outcomes.check(&summaries());
-    let known = KnownRed::of("crash", listed);
+    let known = KnownShortfalls::for_trace("crash", listed);
     expect_that!(
-        short.iter().map(|s| known.holds(s)).collect::<Vec<_>>(),
+        short.iter().map(|s| known.contains(s)).collect::<Vec<_>>(),
         eq(&vec![true, false])
     );
-    let mended: Vec<String> = known
-        .mended(&short)
+    let resolved: Vec<String> = known
+        .resolved(&short)
         .iter()
         .map(ToString::to_string)
         .collect();
-    expect_that!(mended, eq(&vec!["wasted".to_owned()]));
+    expect_that!(resolved, eq(&vec!["wasted".to_owned()]));
 }
 
 #[gtest]
 fn every_broken_promise_counts() {
-    let mut all = Promises {
-        doubled: 1,
-        untrue: 1,
-        holes: 1,
+    let mut all = Violations {
+        duplicate_runs: 1,
+        false_refusals: 1,
+        wrong_lengths: 1,
         unanswered: 1,
-        mixed: 1,
-        leaving: 1,
+        salt_mismatches: 1,
+        late_dispatches: 1,
     };
-    expect_that!(all.broken(), eq(6));
+    expect_that!(all.total(), eq(6));
     all.merge(&all.clone());
-    expect_that!(all.broken(), eq(12));
+    expect_that!(all.total(), eq(12));
 }
 
 #[gtest]
 fn a_request_that_got_no_token_is_the_slowest() {
     let text = "seed 1\nzones a\nregions r\nengines 1\naccounts x\nblocks 4\nlink 1\nlevel h 100\n0 crash a-engine-1 900000\n1 ask x advice 1 1000 5 h 10\n";
     let trace = text.parse().expect("a trace");
-    let tally = azureway_dev::replay::play::<LeastLoaded>(&trace);
+    let tally = azureway_dev::replay::replay_trace::<LeastLoaded>(&trace);
     let summary = Summary::new("p", &tally);
-    expect_that!(summary.urgent, eq([None, None, None]));
+    expect_that!(summary.urgent_ttft, eq([None, None, None]));
     expect_that!(summary.refusals, eq(1));
 }
--- a/azureway-dev/tests/replay.rs
+++ b/azureway-dev/tests/replay.rs
@@ -60,10 +60,10 @@
 fn every_request_is_counted_once() {
     let trace: Trace = committed(Case::Restart).parse().expect("a trace");
     let asked = |(_, r): &&(u64, azureway_dev::trace::Record)| {
-        matches!(r, azureway_dev::trace::Record::Ask(_))
+        matches!(r, azureway_dev::trace::Record::Request(_))
     };
     let asks = trace.records.iter().filter(asked).count();
     let tally = ReplayDriver::<RoundRobin>::new(&trace).play(|_| {});
-    expect_that!(tally.stories.len(), eq(asks));
-    expect_that!(tally.promises.unanswered, eq(0));
+    expect_that!(tally.logs.len(), eq(asks));
+    expect_that!(tally.violations.unanswered, eq(0));
 }
