--- a/azureway-dev/src/trace/header.rs
+++ b/azureway-dev/src/trace/header.rs
@@ -1,4 +1,4 @@
-//! What a trace says before its first record.
+//! The header of a trace.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,41 +11,42 @@
 
 use super::WorkKind;
 
-/// What a trace says before its first record: the seed, the zones and the accounts.
+/// The lines before the first record of a trace: the seed, the zones, the engines and the
+/// accounts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Header {
-    /// The seed of everything that the replay draws.
+    /// The seed of the random choices of a replay.
     pub seed: u64,
-    /// The availability zones; the entry stands in the first.
+    /// The names of the availability zones; the entry runs in the first.
     pub zones: Vec<String>,
-    /// The regions that the zones stand in.
+    /// The region of each zone, in the order of `zones`.
     pub regions: Vec<String>,
-    /// The engines of a zone.
+    /// The number of engines in each zone.
     pub engines: usize,
-    /// The client accounts.
+    /// The names of the client accounts.
     pub accounts: Vec<String>,
-    /// The blocks that an engine's cache holds.
+    /// The capacity of an engine's prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// The microseconds one way over a link to another zone.
+    /// The one-way latency to another zone, in microseconds.
     pub link_latency: u64,
 }
 
-/// The pool of the engines.
+/// The name of the pool that all engines belong to.
 const POOL: &str = "engines";
-/// The requests that an engine runs at once.
+/// The number of requests that an engine runs at once.
 const SLOTS: u32 = 16;
-/// The prefill rate of an engine that the configuration names, in tokens a second.
+/// The prefill rate of an engine in the configuration, in tokens per second.
 const PREFILL_RATE: TokenRate = TokenRate::new(8_000);
-/// The port of the first engine.
+/// The port of the first engine; the others follow it.
 const FIRST_PORT: u16 = 9_000;
 
 impl Header {
-    /// Returns the name of an engine of a zone.
+    /// Returns the name of engine `number` of a zone, counted from 1.
     pub fn engine_name(zone: &str, number: usize) -> String {
         format!("{zone}-engine-{number}")
     }
 
-    /// Returns the name of the service that work of a kind asks for.
+    /// Returns the name of the service that requests of a kind call.
     pub fn service(kind: WorkKind) -> ServiceId {
         match kind.request_kind() {
             RequestKind::Repeatable => ServiceId::new("advice"),
@@ -53,20 +54,20 @@
         }
     }
 
-    /// Returns the engines with the zones that they stand in.
+    /// Returns all engines with their zones.
     pub fn servers(&self) -> Vec<(ServerId, ZoneId)> {
         let numbers = 1..=self.engines;
-        let of_zone = |zone: &String| {
+        let engines_in = |zone: &String| {
             let zone = zone.clone();
             numbers.clone().map(move |n| {
                 let id = ServerId::new(&Self::engine_name(&zone, n));
                 (id, ZoneId::new(&zone))
             })
         };
-        self.zones.iter().flat_map(of_zone).collect()
+        self.zones.iter().flat_map(engines_in).collect()
     }
 
-    /// Returns the bounds of the entry, which stands in the first zone.
+    /// Returns the configuration of the router of the entry, which runs in the first zone.
     pub fn router_config(&self) -> RouterConfig {
         let zone = self.zones.first().map_or("", String::as_str);
         let mut config = RouterConfig::new(ZoneId::new(zone));
@@ -79,22 +80,22 @@
         config
     }
 
-    /// Tells whether all zones stand in one region, so that traffic between them is not paid.
+    /// Returns whether all zones are in one region, so that traffic between them is free.
     pub fn is_one_region(&self) -> bool {
         self.regions.windows(2).all(|pair| pair[0] == pair[1])
     }
 
-    /// Returns the configuration that an entry of this fleet has in force.
+    /// Returns the fleet of the trace with a configuration version and a weights version.
     pub fn fleet(&self, version: u64, weights: WeightsVersion) -> Fleet {
         let pool = PoolId::new(POOL);
         let base = Fleet::new()
             .with_version(ConfigVersion::new(version))
             .with_pool(BackendServerPool::new(pool.clone()));
-        let places = self.zones.iter().zip(&self.regions);
-        let zoned = places.fold(base, |fleet, (zone, region)| {
+        let regions = self.zones.iter().zip(&self.regions);
+        let with_zones = regions.fold(base, |fleet, (zone, region)| {
             fleet.with_zone(AvailabilityZone::new(ZoneId::new(zone), region))
         });
-        let services = WorkKind::ALL.into_iter().fold(zoned, |fleet, kind| {
+        let services = WorkKind::ALL.into_iter().fold(with_zones, |fleet, kind| {
             let service = ModelService::new(Self::service(kind), pool.clone());
             let service = service
                 .with_weights(weights)
--- a/azureway-dev/src/trace/incident.rs
+++ b/azureway-dev/src/trace/incident.rs
@@ -1,32 +1,32 @@
-//! What happens to the system in a trace.
+//! Faults and operations of a trace.
 
 use std::fmt;
 
-/// What happens to the system in a trace.
+/// A fault or an operation that a trace applies to the system.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Incident {
-    /// An engine crashes and comes back empty after some milliseconds.
+    /// An engine crashes and restarts with an empty cache after a time in milliseconds.
     Crash(String, u64),
-    /// An engine is leaving.
+    /// An engine starts to drain: it reports that it is leaving.
     Leave(String),
-    /// An engine is told to load a version of the weights.
+    /// An engine starts to load a weights version.
     Load(String, u64),
-    /// The configuration names a version of the weights.
+    /// The configuration changes to a weights version.
     Weights(u64),
-    /// The entry restarts with no state.
+    /// The entry restarts and loses its state.
     Restart,
-    /// The entry's zone is cut off from another one.
+    /// The link between the zone of the entry and another zone fails.
     Cut(String),
-    /// The link to another zone is there again.
+    /// The link to another zone works again.
     Heal(String),
-    /// The platform stops answering.
+    /// The platform stops answering calls.
     PlatformDown,
-    /// The platform answers again.
+    /// The platform answers calls again.
     PlatformUp,
 }
 
 impl Incident {
-    /// Reads an incident from its words.
+    /// Parses an incident from the words of a record, or returns `None` if they name none.
     pub fn parse(words: &[&str]) -> Option<Self> {
         let incident = match *words {
             ["crash", server, millis] => Self::Crash(server.to_owned(), millis.parse().ok()?),
--- a/azureway-dev/src/trace/mod.rs
+++ b/azureway-dev/src/trace/mod.rs
@@ -1,4 +1,4 @@
-//! Recorded traces: what reaches one entry instance, as a small text table.
+//! Traces: the requests and incidents that one entry instance meets, in a text format.
 
 mod header;
 mod incident;
--- a/azureway-dev/src/trace/parse.rs
+++ b/azureway-dev/src/trace/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a trace from its text.
+//! Parses the text format of traces.
 
 use std::str::FromStr;
 
@@ -13,8 +13,8 @@
         let mut trace = Self::default();
         for (number, line) in (1..).zip(text.lines()) {
             let words: Vec<&str> = line.split_whitespace().collect();
-            let read = read_line(&mut trace, &words);
-            read.with_context(|| format!("line {number}: {line:?}"))?;
+            let result = read_line(&mut trace, &words);
+            result.with_context(|| format!("line {number}: {line:?}"))?;
         }
         Ok(trace)
     }
@@ -25,10 +25,10 @@
     match words {
         [] | ["#", ..] => {}
         ["seed", seed] => header.seed = seed.parse()?,
-        ["zones", zones @ ..] => header.zones = owned(zones),
-        ["regions", regions @ ..] => header.regions = owned(regions),
+        ["zones", zones @ ..] => header.zones = to_strings(zones),
+        ["regions", regions @ ..] => header.regions = to_strings(regions),
         ["engines", engines] => header.engines = engines.parse()?,
-        ["accounts", accounts @ ..] => header.accounts = owned(accounts),
+        ["accounts", accounts @ ..] => header.accounts = to_strings(accounts),
         ["blocks", blocks] => header.cache_blocks = blocks.parse()?,
         ["link", link] => header.link_latency = link.parse()?,
         ["level", name, tokens] => trace.levels.insert(name, tokens.parse()?),
@@ -42,7 +42,7 @@
 
 fn push_record(trace: &mut Trace, at: u64, record: Record) -> Result<()> {
     if trace.records.last().is_some_and(|(last, _)| *last > at) {
-        bail!("the time runs backwards");
+        bail!("the records are not in the order of time");
     }
     trace.records.push((at, record));
     Ok(())
@@ -56,7 +56,7 @@
             request: read_request(trace, request)?,
         })),
         _ => {
-            let incident = Incident::parse(words).context("no such record")?;
+            let incident = Incident::parse(words).context("unknown type of record")?;
             Ok(Record::Incident(incident))
         }
     }
@@ -74,15 +74,15 @@
         ref flags @ ..,
     ] = words
     else {
-        bail!("a request has seven words");
+        bail!("a request needs at least seven words");
     };
-    let levels = owned(&levels.split('/').collect::<Vec<_>>());
+    let levels = to_strings(&levels.split('/').collect::<Vec<_>>());
     if let Some(level) = levels.iter().find(|l| !trace.levels.contains(l)) {
-        bail!("the level {level:?} is not defined");
+        bail!("the prompt level {level:?} is not defined");
     }
     Ok(TraceRequest {
         account: account.to_owned(),
-        kind: WorkKind::parse(kind).context("no such kind")?,
+        kind: WorkKind::parse(kind).context("unknown kind of request")?,
         worth: worth.parse()?,
         ttft_limit: ttft_limit.parse()?,
         output: output.parse()?,
@@ -92,6 +92,6 @@
     })
 }
 
-fn owned(words: &[&str]) -> Vec<String> {
+fn to_strings(words: &[&str]) -> Vec<String> {
     words.iter().map(|w| (*w).to_owned()).collect()
 }
--- a/azureway-dev/src/trace/peer_request.rs
+++ b/azureway-dev/src/trace/peer_request.rs
@@ -1,10 +1,10 @@
-//! A request that another entry sent to an engine.
+//! A request that another entry sends to an engine.
 
 use std::fmt;
 
 use super::TraceRequest;
 
-/// A request that another entry sent to an engine of its own choice.
+/// A request that another entry sends to an engine that it has chosen itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerRequest {
     /// The name of the engine.
--- a/azureway-dev/src/trace/prompt_levels.rs
+++ b/azureway-dev/src/trace/prompt_levels.rs
@@ -1,4 +1,4 @@
-//! The shared levels of the prompts of a trace.
+//! The shared prompt levels of a trace.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,15 +7,18 @@
 
 use super::TraceRequest;
 
-/// The shared levels of the prompts of a trace, with their length in tokens.
+/// The levels that the prompts of a trace share, with their lengths in tokens.
+///
+/// A prompt is a sequence of shared levels, the most widely shared first, and a part of its own.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptLevels {
     tokens: BTreeMap<String, u64>,
 }
 
-/// The most tokens of a cache block.
+/// The maximum length of a cache block, in tokens.
 const MAX_BLOCK_TOKENS: u64 = 2_000;
-/// The levels that place a prompt: the house instructions and the shop's context.
+/// The number of levels in the shared prefix that a prompt is routed by: the instructions of
+/// the account and the context of the shop.
 const PREFIX_LEVELS: usize = 2;
 
 impl PromptLevels {
@@ -24,22 +27,22 @@
         Self::default()
     }
 
-    /// Adds a level.
+    /// Adds a level with its length in tokens.
     pub fn insert(&mut self, name: &str, tokens: u64) {
         self.tokens.insert(name.to_owned(), tokens);
     }
 
-    /// Tells whether a level is known.
+    /// Returns whether a level is defined.
     pub fn contains(&self, name: &str) -> bool {
         self.tokens.contains_key(name)
     }
 
-    /// Returns the tokens of a level, or zero if it is not known.
+    /// Returns the length of a level in tokens, or 0 if it is not defined.
     pub fn tokens(&self, name: &str) -> u64 {
         self.tokens.get(name).copied().unwrap_or(0)
     }
 
-    /// Returns the chain of a request's prompt. `own` names what no other request shares.
+    /// Returns the block chain of a prompt. `unique` names the part that no other request shares.
     pub fn chain(&self, request: &TraceRequest, salt: Salt, unique: &str) -> BlockChain {
         let mut key = BlockKey::new(salt.number());
         let mut blocks = Vec::new();
@@ -56,7 +59,7 @@
     }
 }
 
-/// Appends the pieces of a level and returns the key of the last one.
+/// Appends the blocks of a level and returns the key of the last one.
 fn push_level(blocks: &mut Vec<Block>, last: BlockKey, level: &str, tokens: u64) -> BlockKey {
     let mut key = last;
     let mut rest = tokens;
--- a/azureway-dev/src/trace/record.rs
+++ b/azureway-dev/src/trace/record.rs
@@ -1,17 +1,17 @@
-//! A timed line of a trace.
+//! A record of a trace.
 
 use std::fmt;
 
 use super::{Incident, PeerRequest, TraceRequest};
 
-/// A timed line of a trace.
+/// A record of a trace, which has a time of its own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// A request arrives at this entry.
+    /// A request arrives at the replayed entry.
     Request(TraceRequest),
-    /// A request arrives at an engine from another entry.
+    /// A request from another entry arrives at an engine.
     PeerRequest(PeerRequest),
-    /// Something happens to the system.
+    /// A fault or an operation.
     Incident(Incident),
 }
 
--- a/azureway-dev/src/trace/recorded.rs
+++ b/azureway-dev/src/trace/recorded.rs
@@ -1,4 +1,4 @@
-//! A whole trace.
+//! A complete trace.
 
 use std::fmt;
 
@@ -6,19 +6,19 @@
 
 use super::{Header, PromptLevels, Record};
 
-/// A whole trace: its header, its levels and its records in the order of their time.
+/// A complete trace: its header, its prompt levels and its records in the order of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Trace {
-    /// The header.
+    /// The seed and the description of the system.
     pub header: Header,
     /// The shared levels of the prompts.
     pub levels: PromptLevels,
-    /// The records with their time in milliseconds.
+    /// The records with their times in milliseconds.
     pub records: Vec<(u64, Record)>,
 }
 
 impl Trace {
-    /// Creates an empty trace.
+    /// Creates a trace without records.
     pub fn new(header: Header) -> Self {
         Self {
             header,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the time of the last record.
+    /// Returns the time of the last record, or zero if there is none.
     pub fn end(&self) -> Timestamp {
         let last = self.records.last();
         Timestamp::from_millis(last.map_or(0, |(at, _)| *at))
--- a/azureway-dev/src/trace/trace_request.rs
+++ b/azureway-dev/src/trace/trace_request.rs
@@ -4,24 +4,24 @@
 
 use super::WorkKind;
 
-/// A request of a trace, whether this entry or another one gets it.
+/// A request of a trace, received by the replayed entry or by another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TraceRequest {
-    /// The client account.
+    /// The name of the client account.
     pub account: String,
-    /// What it is for.
+    /// The kind of work.
     pub kind: WorkKind,
-    /// What an answer in time is worth.
+    /// The worth of an answer on time.
     pub worth: u64,
-    /// The time to first token that the caller allows, in milliseconds.
+    /// The longest time to first token that the caller accepts, in milliseconds.
     pub ttft_limit: u64,
-    /// The tokens of the answer.
+    /// The length of the answer, in tokens.
     pub output: u64,
-    /// The names of the shared levels of the prompt, the outermost first.
+    /// The names of the shared levels of the prompt, the most widely shared first.
     pub levels: Vec<String>,
-    /// The tokens of the prompt that are this request's own.
+    /// The length of the part of the prompt that no other request shares, in tokens.
     pub unique_tokens: u64,
-    /// Whether it crashes each engine that runs it; such requests are one and the same.
+    /// Whether it crashes every engine that runs it. All such requests of a trace are identical.
     pub poison: bool,
 }
 
--- a/azureway-dev/src/trace/work_kind.rs
+++ b/azureway-dev/src/trace/work_kind.rs
@@ -1,21 +1,21 @@
-//! What a request of a trace is for.
+//! The kind of work that a request asks for.
 
 use std::fmt;
 
 use azureway_core::prelude::{Rank, RequestKind};
 
-/// What a request of a trace is for.
+/// The kind of work that a request of a trace asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum WorkKind {
-    /// A question that somebody waits on.
+    /// Advice to a person who waits for it.
     Advice,
-    /// The reply to a quotation.
+    /// A reply to a request for a quotation.
     Quotation,
-    /// An order, which may not be repeated.
+    /// An order, which must run at most once.
     Order,
-    /// A draft of a message.
+    /// A draft of a message, for later use.
     Draft,
-    /// The classification of a product sheet.
+    /// The classification of a product data sheet.
     Classify,
 }
 
@@ -29,12 +29,12 @@
         Self::Classify,
     ];
 
-    /// Returns the kind that `text` names.
+    /// Returns the kind with the given name in a trace.
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|k| k.as_str() == text)
     }
 
-    /// Returns the name.
+    /// Returns the name in a trace.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Advice => "advice",
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the rank of this work.
+    /// Returns the rank of requests of this kind.
     pub const fn rank(self) -> Rank {
         match self {
             Self::Advice | Self::Quotation | Self::Order => Rank::Urgent,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns whether this work may be repeated.
+    /// Returns whether requests of this kind may be repeated.
     pub const fn request_kind(self) -> RequestKind {
         match self {
             Self::Order => RequestKind::AtMostOnce,
--- a/azureway-dev/tests/replay.rs
+++ b/azureway-dev/tests/replay.rs
@@ -37,9 +37,12 @@
     let cases = [
         ("seed x", "line 1"),
         ("level a 1\n5 ask acct advice 1 2 3 b 4", "not defined"),
-        ("5 leave e\n4 leave e", "runs backwards"),
-        ("5 vanish e", "no such record"),
-        ("level a 1\n5 ask acct singing 1 2 3 a 4", "no such kind"),
+        ("5 leave e\n4 leave e", "not in the order of time"),
+        ("5 vanish e", "unknown type of record"),
+        (
+            "level a 1\n5 ask acct singing 1 2 3 a 4",
+            "unknown kind of request",
+        ),
         ("5 ask acct advice", "seven words"),
     ];
     for (text, fault) in cases {
