--- a/azureway-dev/src/outcome/bound.rs
+++ b/azureway-dev/src/outcome/bound.rs
@@ -1,25 +1,25 @@
-//! One stated outcome.
+//! A bound on a measure.
 
 use super::{Limit, Measure, Relation, Shortfall};
 use crate::replay::Summary;
 
-/// One stated outcome: a measure and what it is held against.
+/// A bound on a measure, such as `hit >= baselines or 50`.
 ///
-/// A bound with a number after `or` holds as well if the measure keeps to the number.
+/// A bound with a number after `or` also holds if the measure meets that number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// The measure.
+    /// The measure that is bounded.
     pub measure: Measure,
-    /// The relation.
+    /// The relation of the measure to the limit.
     pub relation: Relation,
-    /// The limit.
+    /// The limit that the measure is compared with.
     pub limit: Limit,
-    /// The number that is enough as well.
+    /// A limit that suffices if `limit` is not met.
     pub alternative: Option<f64>,
 }
 
 impl Bound {
-    /// Reads a bound from its words.
+    /// Parses a bound from the words of a line, or returns `None` if they are not one.
     pub fn parse(words: &[&str]) -> Option<Self> {
         let (&[measure, relation, limit], rest) = words.split_first_chunk()?;
         let alternative = match rest {
@@ -35,7 +35,8 @@
         })
     }
 
-    /// Returns where the first of `summaries`, the product's, falls short of the bound.
+    /// Returns the shortfalls of the first of `summaries`, that of the product's policy. The others
+    /// are those of the baseline policies.
     pub fn check(&self, summaries: &[Summary]) -> Vec<Shortfall> {
         let Some((product, baselines)) = summaries.split_first() else {
             return Vec::new();
--- a/azureway-dev/src/outcome/known_shortfalls.rs
+++ b/azureway-dev/src/outcome/known_shortfalls.rs
@@ -1,32 +1,33 @@
-//! The shortfalls that KNOWN-RED.txt lists.
+//! The known shortfalls of a trace, as listed in KNOWN-RED.txt.
 
 use super::{Measure, Shortfall};
 
-/// The shortfalls of one trace that KNOWN-RED.txt lists.
+/// The shortfalls of a trace that KNOWN-RED.txt lists, which do not fail a replay.
 ///
-/// An entry starts with a line `replay NAME: MEASURE...`; what follows it is for readers.
+/// An entry starts with the line `replay NAME: MEASURE...`. Its other lines are for readers and
+/// are ignored.
 #[derive(Clone, Debug, Default)]
 pub struct KnownShortfalls {
     measures: Vec<Measure>,
 }
 
 impl KnownShortfalls {
-    /// Reads the entry of the trace `name`.
+    /// Returns the shortfalls that the list `text` has for the trace `name`.
     pub fn for_trace(name: &str, text: &str) -> Self {
-        let head = format!("replay {name}:");
-        let lines = text.lines().filter_map(|l| l.strip_prefix(&head));
+        let prefix = format!("replay {name}:");
+        let lines = text.lines().filter_map(|l| l.strip_prefix(&prefix));
         let words = lines.flat_map(str::split_whitespace);
         Self {
             measures: words.filter_map(Measure::parse).collect(),
         }
     }
 
-    /// Tells whether a shortfall is listed.
+    /// Returns whether the measure of a shortfall is listed.
     pub fn contains(&self, shortfall: &Shortfall) -> bool {
         self.measures.contains(&shortfall.measure)
     }
 
-    /// Returns the measures that are listed although the replay does not fall short of them.
+    /// Returns the listed measures that none of `shortfalls` concerns.
     pub fn resolved(&self, shortfalls: &[Shortfall]) -> Vec<Measure> {
         let missed = |m: &Measure| shortfalls.iter().any(|s| s.measure == *m);
         let measures = self.measures.iter().copied();
--- a/azureway-dev/src/outcome/limit.rs
+++ b/azureway-dev/src/outcome/limit.rs
@@ -1,20 +1,20 @@
-//! What a measure is held against.
+//! The limit of a bound.
 
 use super::Measure;
 
-/// What a measure is held against.
+/// The limit that a measure is compared with.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    /// A number.
+    /// A fixed number.
     Number(f64),
-    /// The same measure under every baseline policy.
+    /// The value of the same measure under each of the baseline policies.
     Baselines,
-    /// Another measure under the same policy.
+    /// The value of another measure under the same policy.
     Measure(Measure),
 }
 
 impl Limit {
-    /// Reads a limit.
+    /// Parses a limit: `baselines`, the name of a measure or a number.
     pub fn parse(text: &str) -> Option<Self> {
         if text == "baselines" {
             return Some(Self::Baselines);
--- a/azureway-dev/src/outcome/measure.rs
+++ b/azureway-dev/src/outcome/measure.rs
@@ -1,59 +1,59 @@
-//! A measure that a bound can be stated for.
+//! The measures of a replay.
 
 use std::fmt;
 
 use crate::replay::Summary;
 
-/// A measure that a bound can be stated for.
+/// A measure of a replay, for which a bound can be stated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Measure {
-    /// The share of prompt tokens that were found in a cache.
+    /// The percentage of prompt tokens that were found in a cache.
     Hit,
-    /// The prompt tokens that were computed while another engine held them.
+    /// The number of prompt tokens that were computed although another engine had them cached.
     Recomputed,
-    /// The median time to first token of urgent work.
+    /// The median time to first token of urgent requests, in milliseconds.
     UrgentP50,
-    /// The 95th percentile of the time to first token of urgent work.
+    /// The 95th percentile of the time to first token of urgent requests, in milliseconds.
     UrgentP95,
-    /// The 99th percentile of the time to first token of urgent work.
+    /// The 99th percentile of the time to first token of urgent requests, in milliseconds.
     UrgentP99,
-    /// The median time to first token of drafting.
+    /// The median time to first token of drafting requests, in milliseconds.
     DraftingP50,
-    /// The 95th percentile of the time to first token of drafting.
+    /// The 95th percentile of the time to first token of drafting requests, in milliseconds.
     DraftingP95,
-    /// The 99th percentile of the time to first token of drafting.
+    /// The 99th percentile of the time to first token of drafting requests, in milliseconds.
     DraftingP99,
-    /// The 95th percentile of the time between tokens.
+    /// The 95th percentile of the time between two tokens of an answer, in milliseconds.
     GapP95,
-    /// The share of urgent requests on time.
+    /// The percentage of urgent requests that were answered on time.
     UrgentOnTime,
-    /// The share of drafting requests on time.
+    /// The percentage of drafting requests that were answered on time.
     DraftingOnTime,
-    /// The share of the worth on time.
+    /// The percentage of the total worth that was answered on time.
     WorthOnTime,
-    /// The share of drafting in the tokens that were served.
+    /// The percentage of the served tokens that belong to drafting requests.
     DraftingShare,
-    /// The share on time of the account that asks for the most.
+    /// The percentage answered on time for the account with the most requested tokens.
     LargeOnTime,
-    /// The least share on time of a small account.
+    /// The lowest percentage answered on time among the small accounts.
     SmallOnTime,
-    /// The kilobytes across regions.
+    /// The traffic between regions, in kilobytes.
     RegionTraffic,
-    /// The retries.
+    /// The number of retries.
     Retries,
-    /// The refusals.
+    /// The number of refused requests.
     Refusals,
-    /// The engines that crashed by a request.
+    /// The number of engine crashes that a request caused.
     PoisonCrashes,
-    /// The promises that were broken.
+    /// The number of violated guarantees.
     Violations,
-    /// The weighted loss of Smučarski Vosek.
+    /// The weighted loss of the user Smučarski Vosek, from 0 to 100.
     VosekLoss,
-    /// The weighted loss of Corchos.
+    /// The weighted loss of the user Corchos, from 0 to 100.
     CorchosLoss,
 }
 
-/// A time that was never reached, in milliseconds.
+/// The time to first token of a request that got no token, in milliseconds.
 const NEVER: f64 = f64::INFINITY;
 
 impl Measure {
@@ -83,12 +83,12 @@
         Self::CorchosLoss,
     ];
 
-    /// Returns the measure that `text` names.
+    /// Returns the measure with the given name.
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|m| m.as_str() == text)
     }
 
-    /// Returns the name.
+    /// Returns the name in outcome files and reports.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Hit => "hit",
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Returns the value in a replay.
+    /// Returns the value of the measure in a summary.
     pub fn value(self, summary: &Summary) -> f64 {
         let time = |t: Option<u64>| t.map_or(NEVER, |t| t as f64);
         match self {
--- a/azureway-dev/src/outcome/mod.rs
+++ b/azureway-dev/src/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! Stated outcomes of a trace, and whether they hold.
+//! The bounds that a replay of a trace must meet, and the check of them.
 
 mod bound;
 mod known_shortfalls;
--- a/azureway-dev/src/outcome/outcomes.rs
+++ b/azureway-dev/src/outcome/outcomes.rs
@@ -1,4 +1,4 @@
-//! The stated outcomes of a trace.
+//! The bounds of a trace.
 
 use std::str::FromStr;
 
@@ -7,14 +7,14 @@
 use super::{Bound, Shortfall};
 use crate::replay::Summary;
 
-/// The stated outcomes of a trace.
+/// The bounds that a replay of a trace must meet, one on each line of an outcome file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcomes {
     bounds: Vec<Bound>,
 }
 
 impl Outcomes {
-    /// Returns where the first of `summaries`, the product's, falls short.
+    /// Returns the shortfalls of the first of `summaries`, that of the product's policy.
     pub fn check(&self, summaries: &[Summary]) -> Vec<Shortfall> {
         let bounds = self.bounds.iter();
         bounds.flat_map(|b| b.check(summaries)).collect()
@@ -25,7 +25,7 @@
         self.bounds.len()
     }
 
-    /// Tells whether no bound is stated.
+    /// Returns whether there are no bounds.
     pub fn is_empty(&self) -> bool {
         self.bounds.is_empty()
     }
@@ -37,12 +37,12 @@
     fn from_str(text: &str) -> Result<Self> {
         let mut bounds = Vec::new();
         for line in text.lines() {
-            // What follows "#" tells where the bound comes from.
-            let stated = line.split('#').next().unwrap_or_default();
-            let words: Vec<&str> = stated.split_whitespace().collect();
+            // The comment after "#" gives the origin of the bound.
+            let content = line.split('#').next().unwrap_or_default();
+            let words: Vec<&str> = content.split_whitespace().collect();
             if !words.is_empty() {
                 let bound = Bound::parse(&words);
-                bounds.push(bound.with_context(|| format!("no bound: {line:?}"))?);
+                bounds.push(bound.with_context(|| format!("invalid bound: {line:?}"))?);
             }
         }
         Ok(Self { bounds })
--- a/azureway-dev/src/outcome/relation.rs
+++ b/azureway-dev/src/outcome/relation.rs
@@ -1,20 +1,20 @@
-//! How a measure is held against its limit.
+//! The relation of a measure to its limit.
 
 use std::fmt;
 
-/// How a measure is held against its limit.
+/// The relation that a measure must have to its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Relation {
-    /// It is at most the limit.
+    /// The measure is at most the limit.
     AtMost,
-    /// It is at least the limit.
+    /// The measure is at least the limit.
     AtLeast,
-    /// It is below the limit.
+    /// The measure is below the limit.
     Below,
 }
 
 impl Relation {
-    /// Returns the relation that `text` names.
+    /// Returns the relation with the given operator.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "<=" => Some(Self::AtMost),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Tells whether `value` is as it should be.
+    /// Returns whether `value` has the relation to `limit`.
     pub fn holds(self, value: f64, limit: f64) -> bool {
         match self {
             Self::AtMost => value <= limit,
--- a/azureway-dev/src/outcome/shortfall.rs
+++ b/azureway-dev/src/outcome/shortfall.rs
@@ -1,21 +1,21 @@
-//! A stated outcome that a replay falls short of.
+//! A bound that a replay does not meet.
 
 use std::fmt;
 
 use super::{Measure, Relation};
 
-/// A stated outcome that a replay falls short of.
+/// A bound that a replay does not meet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shortfall {
-    /// The measure.
+    /// The measure that is bounded.
     pub measure: Measure,
     /// The relation that does not hold.
     pub relation: Relation,
-    /// The value that was measured.
+    /// The value of the measure.
     pub value: f64,
-    /// The limit.
+    /// The value of the limit.
     pub limit: f64,
-    /// Where the limit comes from.
+    /// The origin of the limit: the bound itself, another measure or a baseline policy.
     pub source: &'static str,
 }
 
