--- a/azureway-dev/benches/decisions.rs
+++ b/azureway-dev/benches/decisions.rs
@@ -5,7 +5,7 @@
     Block, BlockKey, CacheOp, CacheUpdate, ConfigVersion, Event, Incarnation, InstanceId,
     Timestamp, TokenCount, TokenRate,
 };
-use azureway_dev::bench::{Size, World};
+use azureway_dev::bench::{FleetSize, RouterFixture};
 use azureway_dev::slopes::{BlockProbe, MemberProbe};
 use azureway_wire::engine::{CacheEvent, EngineNews};
 use azureway_wire::peer::Heartbeat;
@@ -24,34 +24,36 @@
 /// Routes and finishes a request among the replicas of one zone and pool.
 #[divan::bench(args = [9, 100, 1_600])]
 fn route(bencher: Bencher<'_, '_>, replicas: usize) {
-    let mut world = World::new(Size::new(replicas), SLOTS);
+    let mut fixture = RouterFixture::new(FleetSize::new(replicas), SLOTS);
     bencher.bench_local(|| {
-        let order = world.arrive().expect("a free slot");
-        world.finish(&order)
+        let dispatch = fixture.submit().expect("a free slot");
+        fixture.finish(&dispatch)
     });
 }
 
 /// Routes and finishes a request in the fleet that is designed for.
 #[divan::bench]
 fn route_at_design_size(bencher: Bencher<'_, '_>) {
-    let mut world = World::new(Size::DESIGN, SLOTS);
+    let mut fixture = RouterFixture::new(FleetSize::DESIGN, SLOTS);
     bencher.bench_local(|| {
-        let order = world.arrive().expect("a free slot");
-        world.finish(&order)
+        let dispatch = fixture.submit().expect("a free slot");
+        fixture.finish(&dispatch)
     });
 }
 
 /// Admits a request and takes the next one while 1,000 of 350 accounts wait.
 #[divan::bench]
 fn admit(bencher: Bencher<'_, '_>) {
-    let mut world = World::new(Size::new(1).with_accounts(350), 1);
-    let mut running = world.arrive();
+    let mut fixture = RouterFixture::new(FleetSize::new(1).with_accounts(350), 1);
+    let mut running = fixture.submit();
     for _ in 0..1_000 {
-        world.arrive();
+        fixture.submit();
     }
     bencher.bench_local(|| {
-        running = running.take().and_then(|order| world.finish(&order));
-        world.arrive()
+        running = running
+            .take()
+            .and_then(|dispatch| fixture.finish(&dispatch));
+        fixture.submit()
     });
 }
 
@@ -59,7 +61,7 @@
 #[divan::bench(args = [10_000, 100_000, 1_000_000])]
 fn index_update(bencher: Bencher<'_, '_>, blocks: u64) {
     let mut index = BlockProbe::index(blocks);
-    let server = World::server(0);
+    let server = RouterFixture::server_id(0);
     let mut first = blocks;
     bencher.bench_local(|| {
         let keys = (first..first + RUN).map(|n| BlockKey::new(u128::from(n)));
@@ -80,7 +82,7 @@
 #[divan::bench(args = [10_000, 100_000, 1_000_000])]
 fn index_lookup(bencher: Bencher<'_, '_>, blocks: u64) {
     let mut index = BlockProbe::index(blocks);
-    let server = World::server(0);
+    let server = RouterFixture::server_id(0);
     let mut first = 0;
     bencher.bench_local(|| {
         first = (first + 7_919) % blocks;
@@ -95,25 +97,25 @@
 /// Parses the document of the fleet that is designed for.
 #[divan::bench]
 fn document_parse(bencher: Bencher<'_, '_>) {
-    let text = Size::DESIGN.document();
+    let text = FleetSize::DESIGN.document();
     bencher.bench_local(|| azureway_config::document::parse(&text, ConfigVersion::new(2)).is_ok());
 }
 
 /// Adopts the fleet that is designed for.
 #[divan::bench]
 fn document_adopt(bencher: Bencher<'_, '_>) {
-    let mut world = World::new(Size::DESIGN, SLOTS);
+    let mut fixture = RouterFixture::new(FleetSize::DESIGN, SLOTS);
     let mut version = 1;
     bencher.bench_local(|| {
         version += 1;
-        world.tell(Event::Configured(&Size::DESIGN.fleet(version, SLOTS)))
+        fixture.handle(Event::Configured(&FleetSize::DESIGN.fleet(version, SLOTS)))
     });
 }
 
 /// Takes in what a peer tells of 350 accounts.
 #[divan::bench]
 fn peer_demand(bencher: Bencher<'_, '_>) {
-    let accounts = (0..350).map(World::account);
+    let accounts = (0..350).map(RouterFixture::account_id);
     let demand = Demand {
         instance: InstanceId::new("entry-1"),
         rates: accounts.map(|a| (a, TokenRate::new(1_000))).collect(),
--- a/azureway-dev/src/bench/size.rs
+++ b/azureway-dev/src/bench/fleet_size.rs
@@ -6,7 +6,7 @@
 
 /// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct FleetSize {
     /// The replicas.
     pub replicas: usize,
     /// The availability zones.
@@ -17,7 +17,7 @@
     pub models: usize,
 }
 
-impl Size {
+impl FleetSize {
     /// The size that is designed for.
     pub const DESIGN: Self = Self {
         replicas: 1_600,
@@ -54,16 +54,16 @@
     pub fn fleet(&self, version: u64, slots: u32) -> Fleet {
         let mut fleet = Fleet::new().with_version(ConfigVersion::new(version));
         for number in 0..self.models {
-            let pool = pool(number);
+            let pool = pool_id(number);
             fleet = fleet
                 .with_pool(BackendServerPool::new(pool.clone()))
-                .with_service(ModelService::new(service(number), pool));
+                .with_service(ModelService::new(service_id(number), pool));
         }
         for number in 0..self.accounts {
-            fleet = fleet.with_account(ClientAccount::new(account(number)));
+            fleet = fleet.with_account(ClientAccount::new(account_id(number)));
         }
         for number in 0..self.replicas {
-            fleet = fleet.with_server(self.server(number).with_slots(slots));
+            fleet = fleet.with_server(self.backend_server(number).with_slots(slots));
         }
         fleet
     }
@@ -72,17 +72,17 @@
     pub fn document(&self) -> String {
         let mut text = String::new();
         for number in 0..self.models {
-            let (pool, service) = (pool(number), service(number));
+            let (pool, service) = (pool_id(number), service_id(number));
             // Writing to a string does not fail.
             let _ = write!(text, "[pool {pool}]\n[service {service}]\npool = {pool}\n");
         }
         for number in 0..self.accounts {
-            let name = account(number);
+            let name = account_id(number);
             let key = KeyHash::of(name.as_str());
             let _ = write!(text, "[account {name}]\nkeys = {key}\n");
         }
         for number in 0..self.replicas {
-            let server = self.server(number);
+            let server = self.backend_server(number);
             let (id, pool, zone, address) = (server.id, server.pool, server.zone, server.address);
             let _ = writeln!(text, "[server {id}]\npool = {pool}");
             let _ = writeln!(text, "zone = {zone}\naddress = {address}");
@@ -90,32 +90,32 @@
         text
     }
 
-    fn server(&self, number: usize) -> BackendServer {
+    fn backend_server(&self, number: usize) -> BackendServer {
         let zone = ZoneId::new(&format!("zone-{}", number % self.zones));
-        let id = server(number);
+        let id = server_id(number);
         let [high, low] = u16::try_from(number).unwrap_or(u16::MAX).to_be_bytes();
         let address = ([10, 0, high, low], 8_000).into();
         // Zones and pools are drawn apart, so that each pool has replicas in each zone.
-        let pool = pool(number / self.zones % self.models);
+        let pool = pool_id(number / self.zones % self.models);
         BackendServer::new(id, pool, zone, address)
     }
 }
 
 /// Returns the name of a server.
-pub(super) fn server(number: usize) -> ServerId {
+pub(super) fn server_id(number: usize) -> ServerId {
     ServerId::new(&format!("engine-{number:04}"))
 }
 
 /// Returns the name of an account.
-pub(super) fn account(number: usize) -> AccountId {
+pub(super) fn account_id(number: usize) -> AccountId {
     AccountId::new(&format!("account-{number:03}"))
 }
 
 /// Returns the name of a service.
-pub(super) fn service(number: usize) -> ServiceId {
+pub(super) fn service_id(number: usize) -> ServiceId {
     ServiceId::new(&format!("model-{number:02}"))
 }
 
-fn pool(number: usize) -> PoolId {
+fn pool_id(number: usize) -> PoolId {
     PoolId::new(&format!("pool-{number:02}"))
 }
--- a/azureway-dev/src/bench/mod.rs
+++ b/azureway-dev/src/bench/mod.rs
@@ -1,7 +1,7 @@
 //! What benches and slopes share: fleets and requests of any size.
 
-mod size;
-mod world;
+mod fleet_size;
+mod router_fixture;
 
-pub use size::Size;
-pub use world::World;
+pub use fleet_size::FleetSize;
+pub use router_fixture::RouterFixture;
--- a/azureway-dev/src/slopes/account_probe.rs
+++ b/azureway-dev/src/slopes/account_probe.rs
@@ -2,7 +2,7 @@
 
 use super::probe::{Probe, time_of};
 use super::{Heap, Sample};
-use crate::bench::{Size, World};
+use crate::bench::{FleetSize, RouterFixture};
 
 /// Growth by client accounts: what an entry keeps of each once it has asked.
 #[derive(Clone, Copy, Debug)]
@@ -19,12 +19,12 @@
     fn measure(size: u64) -> Sample {
         let heap = Heap::now();
         let accounts = usize::try_from(size).unwrap_or(0);
-        let mut world = World::new(Size::new(9).with_accounts(accounts), 16);
+        let mut fixture = RouterFixture::new(FleetSize::new(9).with_accounts(accounts), 16);
         for _ in 0..accounts {
-            world.turn();
+            fixture.run_request();
         }
         let memory = heap.grown();
-        let time = time_of(REQUESTS, |_| world.turn());
+        let time = time_of(REQUESTS, |_| fixture.run_request());
         Sample {
             size,
             memory,
--- a/azureway-dev/src/slopes/block_probe.rs
+++ b/azureway-dev/src/slopes/block_probe.rs
@@ -4,7 +4,7 @@
 
 use super::probe::{Probe, time_of};
 use super::{Heap, Sample};
-use crate::bench::World;
+use crate::bench::RouterFixture;
 
 /// Growth by cached blocks: what the index keeps, and taking in an event.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
     pub fn index(size: u64) -> CacheIndex {
         let bound = usize::try_from(size).unwrap_or(usize::MAX);
         let mut index = CacheIndex::new().with_bound(bound);
-        let server = World::server(0);
+        let server = RouterFixture::server_id(0);
         for first in (0..size).step_by(RUN as usize) {
             tell(&mut index, &server, first);
         }
@@ -37,7 +37,7 @@
         let heap = Heap::now();
         let mut index = Self::index(size);
         let memory = heap.grown();
-        let server = World::server(0);
+        let server = RouterFixture::server_id(0);
         let runs = EVENTS / RUN as u32;
         let time = time_of(runs, |run| {
             tell(&mut index, &server, size + u64::from(run) * RUN);
--- a/azureway-dev/src/slopes/change_probe.rs
+++ b/azureway-dev/src/slopes/change_probe.rs
@@ -4,7 +4,7 @@
 
 use super::probe::{Probe, time_of};
 use super::{Heap, Sample};
-use crate::bench::{Size, World};
+use crate::bench::{FleetSize, RouterFixture};
 
 /// Growth by replicas in the operators' document, beside 350 accounts and 23 models: its
 /// text, the fleet that it defines, and reading and adopting a change of it.
@@ -21,20 +21,20 @@
 
     fn measure(size: u64) -> Sample {
         let replicas = usize::try_from(size).unwrap_or(0);
-        let size_of = Size {
+        let size_of = FleetSize {
             replicas,
-            ..Size::DESIGN
+            ..FleetSize::DESIGN
         };
         let text = size_of.document();
         let heap = Heap::now();
         let parsed = azureway_config::document::parse(&text, ConfigVersion::new(2)).ok();
         let memory = heap.grown();
         drop(parsed);
-        let mut world = World::new(size_of, 16);
+        let mut fixture = RouterFixture::new(size_of, 16);
         let time = time_of(CHANGES, |n| {
             let version = ConfigVersion::new(u64::from(n) + 2);
             if let Ok(fleet) = azureway_config::document::parse(&text, version) {
-                world.tell(Event::Configured(&fleet));
+                fixture.handle(Event::Configured(&fleet));
             }
         });
         Sample {
--- a/azureway-dev/src/slopes/flight_probe.rs
+++ b/azureway-dev/src/slopes/flight_probe.rs
@@ -2,7 +2,7 @@
 
 use super::probe::{Probe, time_of};
 use super::{Heap, Sample};
-use crate::bench::{Size, World};
+use crate::bench::{FleetSize, RouterFixture};
 
 /// Growth by requests in flight.
 #[derive(Clone, Copy, Debug)]
@@ -19,13 +19,13 @@
     const SIZES: [u64; 3] = [100, 1_000, 10_000];
 
     fn measure(size: u64) -> Sample {
-        let mut world = World::new(Size::new(9), SLOTS);
+        let mut fixture = RouterFixture::new(FleetSize::new(9), SLOTS);
         let heap = Heap::now();
         for _ in 0..size {
-            world.arrive();
+            fixture.submit();
         }
         let memory = heap.grown();
-        let time = time_of(REQUESTS, |_| world.turn());
+        let time = time_of(REQUESTS, |_| fixture.run_request());
         Sample {
             size,
             memory,
--- a/azureway-dev/src/slopes/lookup_probe.rs
+++ b/azureway-dev/src/slopes/lookup_probe.rs
@@ -6,7 +6,7 @@
 
 use super::probe::{Probe, time_of};
 use super::{BlockProbe, Sample};
-use crate::bench::World;
+use crate::bench::RouterFixture;
 
 /// The time of a look-up of a prompt's blocks by the blocks of the index.
 #[derive(Clone, Copy, Debug)]
@@ -26,7 +26,7 @@
 
     fn measure(size: u64) -> Sample {
         let mut index = BlockProbe::index(size);
-        let server = World::server(0);
+        let server = RouterFixture::server_id(0);
         let time = time_of(LOOKUPS, |number| {
             let first = u64::from(number) * STRIDE % size;
             let blocks: [Block; PROMPT_BLOCKS as usize] = std::array::from_fn(|n| Block {
--- a/azureway-dev/src/slopes/member_probe.rs
+++ b/azureway-dev/src/slopes/member_probe.rs
@@ -28,7 +28,8 @@
     /// Returns the heartbeat of a peer that tells of `members` others and of 12 accounts.
     pub fn heartbeat(number: u64, members: u64) -> Heartbeat {
         let alive = |n| GossipUpdate::Member(MemberUpdate::new(Self::peer(n), Liveness::Alive));
-        let accounts = (0..MembershipConfig::new().max_accounts).map(crate::bench::World::account);
+        let accounts =
+            (0..MembershipConfig::new().max_accounts).map(crate::bench::RouterFixture::account_id);
         Heartbeat {
             from: Self::peer(number),
             version: ConfigVersion::new(1),
--- a/azureway-dev/src/slopes/peer_probe.rs
+++ b/azureway-dev/src/slopes/peer_probe.rs
@@ -5,7 +5,7 @@
 
 use super::probe::{Probe, time_of};
 use super::{Heap, Sample};
-use crate::bench::World;
+use crate::bench::RouterFixture;
 
 /// Growth by peers that each tell what 350 client accounts ask for.
 #[derive(Clone, Copy, Debug)]
@@ -42,7 +42,7 @@
 }
 
 fn demand(peer: u64) -> Demand {
-    let accounts = (0..ACCOUNTS).map(World::account);
+    let accounts = (0..ACCOUNTS).map(RouterFixture::account_id);
     Demand {
         instance: InstanceId::new(&format!("entry-{peer:03}")),
         rates: accounts.map(|a| (a, TokenRate::new(1_000))).collect(),
--- a/azureway-dev/src/slopes/replica_probe.rs
+++ b/azureway-dev/src/slopes/replica_probe.rs
@@ -2,7 +2,7 @@
 
 use super::probe::{Probe, time_of};
 use super::{Heap, Sample};
-use crate::bench::{Size, World};
+use crate::bench::{FleetSize, RouterFixture};
 
 /// Growth by replicas: what an entry keeps of each, and a decision among all of them.
 #[derive(Clone, Copy, Debug)]
@@ -20,9 +20,10 @@
 
     fn measure(size: u64) -> Sample {
         let heap = Heap::now();
-        let mut world = World::new(Size::new(usize::try_from(size).unwrap_or(0)), SLOTS);
+        let mut fixture =
+            RouterFixture::new(FleetSize::new(usize::try_from(size).unwrap_or(0)), SLOTS);
         let memory = heap.grown();
-        let time = time_of(REQUESTS, |_| world.turn());
+        let time = time_of(REQUESTS, |_| fixture.run_request());
         Sample {
             size,
             memory,
--- a/azureway-dev/src/slopes/wait_probe.rs
+++ b/azureway-dev/src/slopes/wait_probe.rs
@@ -2,7 +2,7 @@
 
 use super::probe::{Probe, time_of};
 use super::{Heap, Sample};
-use crate::bench::{Size, World};
+use crate::bench::{FleetSize, RouterFixture};
 
 /// Growth by requests that wait: what the queue keeps, and taking the next one.
 #[derive(Clone, Copy, Debug)]
@@ -19,16 +19,18 @@
     const SIZES: [u64; 3] = [400, 1_000, 2_000];
 
     fn measure(size: u64) -> Sample {
-        let mut world = World::new(Size::new(1).with_accounts(ACCOUNTS), 1);
-        let mut running = world.arrive();
+        let mut fixture = RouterFixture::new(FleetSize::new(1).with_accounts(ACCOUNTS), 1);
+        let mut running = fixture.submit();
         let heap = Heap::now();
         for _ in 0..size {
-            world.arrive();
+            fixture.submit();
         }
         let memory = heap.grown();
         let time = time_of(TAKEN, |_| {
-            running = running.take().and_then(|order| world.finish(&order));
-            world.arrive();
+            running = running
+                .take()
+                .and_then(|dispatch| fixture.finish(&dispatch));
+            fixture.submit();
         });
         Sample {
             size,
--- a/azureway-dev/tests/slopes.rs
+++ b/azureway-dev/tests/slopes.rs
@@ -1,7 +1,7 @@
 //! Slopes and the fleets that they are measured on.
 
 use azureway_core::prelude::{ConfigVersion, Event, Fleet};
-use azureway_dev::bench::{Size, World};
+use azureway_dev::bench::{FleetSize, RouterFixture};
 use azureway_dev::slopes::{BeatProbe, EventProbe, Probe, Sample, Slope};
 use googletest::prelude::*;
 
@@ -21,7 +21,7 @@
 
 #[gtest]
 fn the_document_of_a_size_defines_its_fleet() {
-    let size = Size {
+    let size = FleetSize {
         replicas: 70,
         zones: 7,
         accounts: 35,
@@ -36,13 +36,13 @@
 
 #[gtest]
 fn every_request_of_a_world_is_routed_while_there_are_slots() {
-    let mut world = World::new(Size::DESIGN, 16);
+    let mut world = RouterFixture::new(FleetSize::DESIGN, 16);
     for _ in 0..100 {
-        let order = world.arrive().expect("a free slot");
+        let order = world.submit().expect("a free slot");
         world.finish(&order);
     }
     expect_that!(world.router.active(), eq(0));
-    expect_that!(world.tell(Event::Tick), none());
+    expect_that!(world.handle(Event::Tick), none());
 }
 
 #[gtest]
