--- a/azureway-dev/benches/decisions.rs
+++ b/azureway-dev/benches/decisions.rs
@@ -6,7 +6,7 @@
     Timestamp, TokenCount, TokenRate,
 };
 use azureway_dev::bench::{FleetSize, RouterFixture};
-use azureway_dev::slopes::{BlockProbe, MemberProbe};
+use azureway_dev::slopes::{BlockProbe, MembershipProbe};
 use azureway_wire::engine::{CacheEvent, EngineNews};
 use azureway_wire::peer::Heartbeat;
 use divan::{Bencher, black_box};
@@ -15,7 +15,7 @@
 /// The slots of a replica.
 const SLOTS: u32 = 16;
 /// The events of a run.
-const RUN: u64 = 100;
+const BATCH: u64 = 100;
 
 fn main() {
     divan::main();
@@ -64,7 +64,7 @@
     let server = RouterFixture::server_id(0);
     let mut first = blocks;
     bencher.bench_local(|| {
-        let keys = (first..first + RUN).map(|n| BlockKey::new(u128::from(n)));
+        let keys = (first..first + BATCH).map(|n| BlockKey::new(u128::from(n)));
         let ops: Vec<CacheOp> = keys.map(CacheOp::Stored).collect();
         let update = CacheUpdate {
             server: &server,
@@ -73,7 +73,7 @@
             snapshot: false,
             ops: &ops,
         };
-        first += RUN;
+        first += BATCH;
         index.update(&update)
     });
 }
@@ -127,39 +127,39 @@
 /// Writes a heartbeat that tells of 8 members and 12 accounts.
 #[divan::bench]
 fn peer_encode(bencher: Bencher<'_, '_>) {
-    let beat = MemberProbe::heartbeat(0, 8);
-    bencher.bench_local(|| Heartbeat::from(black_box(&beat)).encode_to_vec());
+    let heartbeat = MembershipProbe::heartbeat(0, 8);
+    bencher.bench_local(|| Heartbeat::from(black_box(&heartbeat)).encode_to_vec());
 }
 
 /// Reads a heartbeat that tells of 8 members and 12 accounts.
 #[divan::bench]
 fn peer_decode(bencher: Bencher<'_, '_>) {
-    let bytes = Heartbeat::from(&MemberProbe::heartbeat(0, 8)).encode_to_vec();
+    let bytes = Heartbeat::from(&MembershipProbe::heartbeat(0, 8)).encode_to_vec();
     bencher.bench_local(|| {
-        let beat = Heartbeat::decode(black_box(bytes.as_slice())).expect("a heartbeat");
-        azureway_core::prelude::Heartbeat::try_from(&beat)
+        let heartbeat = Heartbeat::decode(black_box(bytes.as_slice())).expect("a heartbeat");
+        azureway_core::prelude::Heartbeat::try_from(&heartbeat)
     });
 }
 
 /// Writes an engine's news of 100 events.
 #[divan::bench]
 fn news_encode(bencher: Bencher<'_, '_>) {
-    let news = news();
-    bencher.bench_local(|| serde_json::to_string(black_box(&news)));
+    let message = engine_message();
+    bencher.bench_local(|| serde_json::to_string(black_box(&message)));
 }
 
 /// Reads an engine's news of 100 events.
 #[divan::bench]
 fn news_decode(bencher: Bencher<'_, '_>) {
-    let text = serde_json::to_string(&news()).expect("news");
+    let text = serde_json::to_string(&engine_message()).expect("news");
     bencher.bench_local(|| {
-        let read: EngineNews = serde_json::from_str(black_box(&text)).expect("news");
-        read.cache_ops().map(|ops| ops.len())
+        let decoded: EngineNews = serde_json::from_str(black_box(&text)).expect("news");
+        decoded.cache_ops().map(|ops| ops.len())
     });
 }
 
-fn news() -> EngineNews {
-    let keys = (0..RUN).map(|n| BlockKey::new(u128::MAX - u128::from(n)));
+fn engine_message() -> EngineNews {
+    let keys = (0..BATCH).map(|n| BlockKey::new(u128::MAX - u128::from(n)));
     EngineNews {
         incarnation: 1,
         weights: 1,
--- a/azureway-dev/benches/document.rs
+++ b/azureway-dev/benches/document.rs
@@ -19,7 +19,7 @@
 }
 
 /// Returns the document of the plan.
-fn planned() -> String {
+fn document_text() -> String {
     let mut text = String::from("[ranks]\nfloor = 10\n\n[pool engines]\nloads = 2\n");
     for number in 0..SERVICES {
         let _ = write!(text, "\n[service model-{number:02}]\npool = engines\n");
@@ -33,7 +33,7 @@
         );
     }
     for number in 0..ACCOUNTS {
-        let key = KeyHash::of(&key(number));
+        let key = KeyHash::of(&api_key(number));
         let _ = write!(
             text,
             "\n[account client-{number:03}]\nlimit = 20000\nkeys = {key}\n"
@@ -42,21 +42,21 @@
     text
 }
 
-fn key(number: u32) -> String {
+fn api_key(number: u32) -> String {
     format!("key of client {number}")
 }
 
 /// Reads and checks the document, as each entry does with each change.
 #[divan::bench]
 fn parse(bencher: Bencher<'_, '_>) {
-    let text = planned();
+    let text = document_text();
     bencher.bench_local(|| document::parse(black_box(&text), ConfigVersion::new(1)).is_ok());
 }
 
 /// Finds what one change did, as the command line does.
 #[divan::bench]
 fn difference(bencher: Bencher<'_, '_>) {
-    let old = planned();
+    let old = document_text();
     let new = old.replace(
         "[account client-007]\nlimit = 20000",
         "[account client-007]\nlimit = 9",
@@ -73,7 +73,7 @@
 /// Finds the client account of an API key, as each request does.
 #[divan::bench]
 fn account(bencher: Bencher<'_, '_>) {
-    let fleet = document::parse(&planned(), ConfigVersion::new(1)).expect("a good document");
-    let key = KeyHash::of(&key(17));
+    let fleet = document::parse(&document_text(), ConfigVersion::new(1)).expect("a good document");
+    let key = KeyHash::of(&api_key(17));
     bencher.bench_local(|| fleet.account_of(black_box(&key)).is_some());
 }
--- a/azureway-dev/src/bench_relay/caller.rs
+++ b/azureway-dev/src/bench_relay/caller.rs
@@ -16,9 +16,9 @@
 }
 
 /// A good API key of the stand-in system.
-const KEY: &str = "wax-desk-key";
+const API_KEY: &str = "wax-desk-key";
 /// The limit of a read.
-const READ_LIMIT: Duration = Duration::from_secs(60);
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Caller {
     /// Creates a caller of `address`.
@@ -37,9 +37,9 @@
         );
         let mut stream = TcpStream::connect(self.address)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(READ_LIMIT))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         let head = format!(
-            "POST /v1/chat/completions HTTP/1.1\r\nhost: {}\r\nauthorization: Bearer {KEY}\r\n\
+            "POST /v1/chat/completions HTTP/1.1\r\nhost: {}\r\nauthorization: Bearer {API_KEY}\r\n\
              {}: urgent\r\n{}: 1\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
             self.address,
             header::RANK,
@@ -58,7 +58,7 @@
     pub fn call(&self, tokens: u64) -> Result<Timing> {
         let start = Instant::now();
         let reader = BufReader::new(self.open(tokens)?);
-        let (mut timing, mut last, mut done) = (Timing::default(), None, false);
+        let (mut timing, mut last_event, mut done) = (Timing::default(), None, false);
         for line in reader.lines() {
             let line = line?;
             let Some(data) = line.strip_prefix("data:") else {
@@ -66,9 +66,9 @@
             };
             done |= data.trim() == "[DONE]";
             let now = Instant::now();
-            match last.replace(now) {
-                None => timing.first = now - start,
-                Some(before) => timing.gaps.push(now - before),
+            match last_event.replace(now) {
+                None => timing.ttft = now - start,
+                Some(previous) => timing.gaps.push(now - previous),
             }
             if done {
                 break;
--- a/azureway-dev/src/bench_relay/command.rs
+++ b/azureway-dev/src/bench_relay/command.rs
@@ -9,26 +9,26 @@
 use azureway_core::prelude::TokenRate;
 use clap::{ArgMatches, Command};
 
-use super::{Caller, Resident, Timing};
+use super::{Caller, ResidentMemory, Timing};
 use crate::engine::EngineConfig;
 use crate::serve::{Layout, System};
 
 /// The calls one after the other.
-const CALLS: usize = 200;
+const SERIAL_CALLS: usize = 200;
 /// The tokens of each.
-const TOKENS: u64 = 20;
+const CALL_TOKENS: u64 = 20;
 /// The time between two tokens of the engine.
-const INTERVAL: Duration = Duration::from_millis(5);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(5);
 /// The callers at once.
 const CALLERS: usize = 16;
 /// The calls of each of them.
-const EACH: usize = 100;
+const CALLER_CALLS: usize = 100;
 /// The streams that are held at once.
 const STREAMS: u32 = 500;
 /// The tokens of a stream that is held; it ends by itself.
-const HELD_TOKENS: u64 = 1_000;
+const STREAM_TOKENS: u64 = 1_000;
 /// The time in which all streams must be under way.
-const HOLD_LIMIT: Duration = Duration::from_secs(4);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(4);
 /// The slots of the engine.
 const SLOTS: u32 = 2_000;
 
@@ -47,7 +47,7 @@
     let layout = layout.with_entries(1).with_slots(SLOTS);
     let mut engine = EngineConfig::new()
         .with_slots(SLOTS)
-        .with_interval(INTERVAL);
+        .with_interval(TOKEN_INTERVAL);
     engine.prefill = TokenRate::new(u64::MAX);
     let mut bounds = Bounds::new();
     bounds.connections = SLOTS as usize;
@@ -64,51 +64,55 @@
 
 fn measure(system: &System, name: &str, address: SocketAddr) -> Result<()> {
     let caller = Caller::new(address);
-    let timings = (0..CALLS).map(|_| caller.call(TOKENS));
+    let timings = (0..SERIAL_CALLS).map(|_| caller.call(CALL_TOKENS));
     let timings: Vec<Timing> = timings.collect::<Result<_>>()?;
-    let firsts: Vec<Duration> = timings.iter().map(|t| t.first).collect();
+    let first_tokens: Vec<Duration> = timings.iter().map(|t| t.ttft).collect();
     let gaps: Vec<Duration> = timings.into_iter().flat_map(|t| t.gaps).collect();
     println!("{name}");
-    report("first token", firsts);
+    report("first token", first_tokens);
     report("between tokens", gaps);
     println!(
         "  requests a second, {CALLERS} callers: {:.0}",
-        rate(caller)?
+        request_rate(caller)?
     );
-    hold(system, caller)
+    hold_streams(system, caller)
 }
 
 fn report(name: &str, times: Vec<Duration>) {
-    let of = |percent| Timing::percentile(times.clone(), percent).as_micros();
-    println!("  {name}, us: p50 {}, p95 {}", of(50), of(95));
+    let percentile = |percent| Timing::percentile(times.clone(), percent).as_micros();
+    println!(
+        "  {name}, us: p50 {}, p95 {}",
+        percentile(50),
+        percentile(95)
+    );
 }
 
 /// Returns the requests a second of callers that call at once.
-fn rate(caller: Caller) -> Result<f64> {
+fn request_rate(caller: Caller) -> Result<f64> {
     let start = Instant::now();
-    let each = || (0..EACH).try_for_each(|_| caller.call(1).map(drop));
+    let run_calls = || (0..CALLER_CALLS).try_for_each(|_| caller.call(1).map(drop));
     thread::scope(|scope| {
-        let threads: Vec<_> = (0..CALLERS).map(|_| scope.spawn(each)).collect();
-        let mut ends = threads.into_iter().map(|t| t.join());
-        ends.try_for_each(|end| end.map_err(|_| anyhow!("a caller panicked"))?)
+        let threads: Vec<_> = (0..CALLERS).map(|_| scope.spawn(run_calls)).collect();
+        let mut results = threads.into_iter().map(|t| t.join());
+        results.try_for_each(|result| result.map_err(|_| anyhow!("a caller panicked"))?)
     })?;
-    Ok((CALLERS * EACH) as f64 / start.elapsed().as_secs_f64())
+    Ok((CALLERS * CALLER_CALLS) as f64 / start.elapsed().as_secs_f64())
 }
 
 /// Holds streams open and prints the memory of each, the engine's and the caller's ends
 /// included.
-fn hold(system: &System, caller: Caller) -> Result<()> {
+fn hold_streams(system: &System, caller: Caller) -> Result<()> {
     let engine = system.engines.first().context("no engine")?;
-    engine.wait(HOLD_LIMIT, |s| s.running > 0);
-    let before = Resident::now()?;
-    let streams = (0..STREAMS).map(|_| caller.open(HELD_TOKENS));
+    engine.wait(WAIT_TIMEOUT, |s| s.running > 0);
+    let before = ResidentMemory::now()?;
+    let streams = (0..STREAMS).map(|_| caller.open(STREAM_TOKENS));
     let streams: Vec<TcpStream> = streams.collect::<Result<_>>()?;
-    engine.wait(HOLD_LIMIT, |s| s.running < STREAMS);
-    let (held, after) = (engine.running(), Resident::now()?);
+    engine.wait(WAIT_TIMEOUT, |s| s.running < STREAMS);
+    let (held, after) = (engine.running(), ResidentMemory::now()?);
     drop(streams);
-    engine.wait(HOLD_LIMIT, |s| s.running > 0);
-    let grown = after.bytes.saturating_sub(before.bytes);
-    let each = grown / u64::from(held.max(1));
-    println!("  streams held at once: {held} of {STREAMS}, {each} bytes each");
+    engine.wait(WAIT_TIMEOUT, |s| s.running > 0);
+    let growth = after.bytes.saturating_sub(before.bytes);
+    let stream_bytes = growth / u64::from(held.max(1));
+    println!("  streams held at once: {held} of {STREAMS}, {stream_bytes} bytes each");
     Ok(())
 }
--- a/azureway-dev/src/bench_relay/mod.rs
+++ b/azureway-dev/src/bench_relay/mod.rs
@@ -2,10 +2,10 @@
 
 mod caller;
 mod command;
-mod resident;
+mod resident_memory;
 mod timing;
 
 pub use caller::Caller;
 pub use command::{command, run};
-pub use resident::Resident;
+pub use resident_memory::ResidentMemory;
 pub use timing::Timing;
--- a/azureway-dev/src/bench_relay/resident.rs
+++ b/azureway-dev/src/bench_relay/resident_memory.rs
@@ -6,7 +6,7 @@
 
 /// The resident memory of this process at some time.
 #[derive(Clone, Copy, Debug)]
-pub struct Resident {
+pub struct ResidentMemory {
     /// The bytes.
     pub bytes: u64,
 }
@@ -14,7 +14,7 @@
 /// The bytes of a kilobyte as the system counts.
 const KILOBYTE: u64 = 1_024;
 
-impl Resident {
+impl ResidentMemory {
     /// Reads it.
     ///
     /// # Errors
--- a/azureway-dev/src/bench_relay/timing.rs
+++ b/azureway-dev/src/bench_relay/timing.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Timing {
     /// The time to the first event.
-    pub first: Duration,
+    pub ttft: Duration,
     /// The times between two events.
     pub gaps: Vec<Duration>,
 }
@@ -15,7 +15,7 @@
     /// Returns a percentile of `times`, or zero of none.
     pub fn percentile(mut times: Vec<Duration>, percent: usize) -> Duration {
         times.sort_unstable();
-        let place = (times.len() * percent).div_ceil(100).saturating_sub(1);
-        times.get(place).copied().unwrap_or_default()
+        let index = (times.len() * percent).div_ceil(100).saturating_sub(1);
+        times.get(index).copied().unwrap_or_default()
     }
 }
--- a/azureway-dev/src/slopes/account_probe.rs
+++ b/azureway-dev/src/slopes/account_probe.rs
@@ -1,6 +1,6 @@
 //! Growth by client accounts.
 
-use super::probe::{Probe, time_of};
+use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
@@ -23,8 +23,8 @@
         for _ in 0..accounts {
             fixture.run_request();
         }
-        let memory = heap.grown();
-        let time = time_of(REQUESTS, |_| fixture.run_request());
+        let memory = heap.growth();
+        let time = mean_nanos(REQUESTS, |_| fixture.run_request());
         Sample {
             size,
             memory,
--- a/azureway-dev/src/slopes/block_probe.rs
+++ b/azureway-dev/src/slopes/block_probe.rs
@@ -2,7 +2,7 @@
 
 use azureway_core::prelude::*;
 
-use super::probe::{Probe, time_of};
+use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::RouterFixture;
 
@@ -13,7 +13,7 @@
 /// The events that are timed.
 const EVENTS: u32 = 10_000;
 /// The events of a run.
-const RUN: u64 = 100;
+const BATCH: u64 = 100;
 
 impl BlockProbe {
     /// Creates an index of `size` blocks, of which each server holds an even part.
@@ -21,8 +21,8 @@
         let bound = usize::try_from(size).unwrap_or(usize::MAX);
         let mut index = CacheIndex::new().with_bound(bound);
         let server = RouterFixture::server_id(0);
-        for first in (0..size).step_by(RUN as usize) {
-            tell(&mut index, &server, first);
+        for first in (0..size).step_by(BATCH as usize) {
+            add_batch(&mut index, &server, first);
         }
         index
     }
@@ -36,24 +36,24 @@
     fn measure(size: u64) -> Sample {
         let heap = Heap::now();
         let mut index = Self::index(size);
-        let memory = heap.grown();
+        let memory = heap.growth();
         let server = RouterFixture::server_id(0);
-        let runs = EVENTS / RUN as u32;
-        let time = time_of(runs, |run| {
-            tell(&mut index, &server, size + u64::from(run) * RUN);
+        let batches = EVENTS / BATCH as u32;
+        let time = mean_nanos(batches, |batch| {
+            add_batch(&mut index, &server, size + u64::from(batch) * BATCH);
         });
         Sample {
             size,
             memory,
             message: 0,
-            time: time / RUN as f64,
+            time: time / BATCH as f64,
         }
     }
 }
 
 /// Tells of a run of stored blocks from number `first` on.
-fn tell(index: &mut CacheIndex, server: &ServerId, first: u64) {
-    let keys = (first..first + RUN).map(|n| BlockKey::new(u128::from(n)));
+fn add_batch(index: &mut CacheIndex, server: &ServerId, first: u64) {
+    let keys = (first..first + BATCH).map(|n| BlockKey::new(u128::from(n)));
     let ops: Vec<CacheOp> = keys.map(CacheOp::Stored).collect();
     index.update(&CacheUpdate {
         server,
--- a/azureway-dev/src/slopes/event_probe.rs
+++ b/azureway-dev/src/slopes/cache_event_probe.rs
@@ -4,16 +4,16 @@
 use azureway_wire::engine::{CacheEvent, EngineNews};
 
 use super::Sample;
-use super::probe::{Probe, time_of};
+use super::probe::{Probe, mean_nanos};
 
 /// Growth of an engine's news by the cache events in it: its bytes, and reading it.
 #[derive(Clone, Copy, Debug)]
-pub struct EventProbe;
+pub struct CacheEventProbe;
 
 /// The messages whose reading is timed.
 const MESSAGES: u32 = 100;
 
-impl Probe for EventProbe {
+impl Probe for CacheEventProbe {
     const UNIT: &'static str = "cache event in a message";
     const OPERATION: &'static str = "decode the message";
     const SIZES: [u64; 3] = [1, 10, 100];
@@ -22,17 +22,17 @@
         // A key is a digest: its digits are all in use.
         let keys = (0..size).map(|n| BlockKey::new(u128::MAX - u128::from(n)));
         let events = keys.map(|k| CacheEvent::from(CacheOp::Stored(k)));
-        let news = EngineNews {
+        let message = EngineNews {
             incarnation: 1,
             weights: 1,
             first: 1_000_000,
             events: events.collect(),
             ..EngineNews::default()
         };
-        let text = serde_json::to_string(&news).unwrap_or_default();
-        let time = time_of(MESSAGES, |_| {
-            let read: Option<EngineNews> = serde_json::from_str(&text).ok();
-            drop(std::hint::black_box(read.map(|n| n.cache_ops())));
+        let text = serde_json::to_string(&message).unwrap_or_default();
+        let time = mean_nanos(MESSAGES, |_| {
+            let decoded: Option<EngineNews> = serde_json::from_str(&text).ok();
+            drop(std::hint::black_box(decoded.map(|n| n.cache_ops())));
         });
         Sample {
             size,
--- a/azureway-dev/src/slopes/command.rs
+++ b/azureway-dev/src/slopes/command.rs
@@ -3,12 +3,12 @@
 use clap::{ArgMatches, Command};
 
 use super::{
-    AccountProbe, BeatProbe, BlockProbe, ChangeProbe, EventProbe, InFlightProbe, LookupProbe,
-    MemberProbe, PeerProbe, Probe, ReplicaProbe, Slope, WaitProbe,
+    AccountProbe, BlockProbe, CacheEventProbe, DemandProbe, DocumentProbe, HeartbeatProbe,
+    InFlightProbe, LookupProbe, MembershipProbe, Probe, QueueProbe, ReplicaProbe, Slope,
 };
 
 /// The nanoseconds of a microsecond.
-const MICRO: f64 = 1_000.0;
+const MICROSECOND: f64 = 1_000.0;
 
 /// Returns the subcommand's arguments.
 pub fn command() -> Command {
@@ -24,22 +24,24 @@
     println!("|---|---|---:|---:|---|---|");
     print::<ReplicaProbe>();
     print::<AccountProbe>();
-    print::<WaitProbe>();
+    print::<QueueProbe>();
     print::<InFlightProbe>();
     print::<BlockProbe>();
     print::<LookupProbe>();
-    print::<EventProbe>();
-    print::<PeerProbe>();
-    print::<MemberProbe>();
-    print::<BeatProbe>();
-    print::<ChangeProbe>();
+    print::<CacheEventProbe>();
+    print::<DemandProbe>();
+    print::<MembershipProbe>();
+    print::<HeartbeatProbe>();
+    print::<DocumentProbe>();
 }
 
 fn print<P: Probe>() {
     let samples = P::measure_all();
     let slope = Slope::new(&samples);
     let sizes = P::SIZES.map(|s| s.to_string()).join(", ");
-    let times = samples.map(|s| format!("{:.2}", s.time / MICRO)).join(", ");
+    let times = samples
+        .map(|s| format!("{:.2}", s.time / MICROSECOND))
+        .join(", ");
     println!(
         "| {} | {sizes} | {:.0} | {}, {:.0} | {} | {times} |",
         P::UNIT,
--- a/azureway-dev/src/slopes/peer_probe.rs
+++ b/azureway-dev/src/slopes/demand_probe.rs
@@ -3,34 +3,34 @@
 use azureway_core::admit::{Demand, LimitShare};
 use azureway_core::prelude::*;
 
-use super::probe::{Probe, time_of};
+use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::RouterFixture;
 
 /// Growth by peers that each tell what 350 client accounts ask for.
 #[derive(Clone, Copy, Debug)]
-pub struct PeerProbe;
+pub struct DemandProbe;
 
 /// The client accounts.
 const ACCOUNTS: usize = 350;
 /// The messages that are timed.
 const MESSAGES: u32 = 50;
 
-impl Probe for PeerProbe {
+impl Probe for DemandProbe {
     const UNIT: &'static str = "peer that tells of 350 accounts";
     const OPERATION: &'static str = "take in one peer's demand";
     const SIZES: [u64; 3] = [8, 60, 360];
 
     fn measure(size: u64) -> Sample {
-        let demands: Vec<Demand> = (0..size).map(demand).collect();
+        let demands: Vec<Demand> = (0..size).map(peer_demand).collect();
         let heap = Heap::now();
         let mut share = LimitShare::new();
         let now = Timestamp::from_millis(1);
         demands.iter().for_each(|d| share.record(d, now));
-        let memory = heap.grown();
-        let time = time_of(MESSAGES, |n| {
-            let place = n as usize % demands.len();
-            share.record(&demands[place], now);
+        let memory = heap.growth();
+        let time = mean_nanos(MESSAGES, |n| {
+            let index = n as usize % demands.len();
+            share.record(&demands[index], now);
         });
         Sample {
             size,
@@ -41,7 +41,7 @@
     }
 }
 
-fn demand(peer: u64) -> Demand {
+fn peer_demand(peer: u64) -> Demand {
     let accounts = (0..ACCOUNTS).map(RouterFixture::account_id);
     Demand {
         instance: InstanceId::new(&format!("entry-{peer:03}")),
--- a/azureway-dev/src/slopes/change_probe.rs
+++ b/azureway-dev/src/slopes/document_probe.rs
@@ -2,36 +2,36 @@
 
 use azureway_core::prelude::*;
 
-use super::probe::{Probe, time_of};
+use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
 /// Growth by replicas in the operators' document, beside 350 accounts and 23 models: its
 /// text, the fleet that it defines, and reading and adopting a change of it.
 #[derive(Clone, Copy, Debug)]
-pub struct ChangeProbe;
+pub struct DocumentProbe;
 
 /// The changes that are timed.
 const CHANGES: u32 = 10;
 
-impl Probe for ChangeProbe {
+impl Probe for DocumentProbe {
     const UNIT: &'static str = "replica in the document";
     const OPERATION: &'static str = "parse and adopt a changed document";
     const SIZES: [u64; 3] = [100, 400, 1_600];
 
     fn measure(size: u64) -> Sample {
         let replicas = usize::try_from(size).unwrap_or(0);
-        let size_of = FleetSize {
+        let fleet_size = FleetSize {
             replicas,
             ..FleetSize::DESIGN
         };
-        let text = size_of.document();
+        let text = fleet_size.document();
         let heap = Heap::now();
         let parsed = azureway_config::document::parse(&text, ConfigVersion::new(2)).ok();
-        let memory = heap.grown();
+        let memory = heap.growth();
         drop(parsed);
-        let mut fixture = RouterFixture::new(size_of, 16);
-        let time = time_of(CHANGES, |n| {
+        let mut fixture = RouterFixture::new(fleet_size, 16);
+        let time = mean_nanos(CHANGES, |n| {
             let version = ConfigVersion::new(u64::from(n) + 2);
             if let Ok(fleet) = azureway_config::document::parse(&text, version) {
                 fixture.handle(Event::Configured(&fleet));
--- a/azureway-dev/src/slopes/heap.rs
+++ b/azureway-dev/src/slopes/heap.rs
@@ -23,7 +23,7 @@
     }
 
     /// Returns the bytes that were allocated since and are still held.
-    pub fn grown(self) -> u64 {
+    pub fn growth(self) -> u64 {
         ALLOCATOR.allocated().saturating_sub(self.bytes) as u64
     }
 }
--- a/azureway-dev/src/slopes/lookup_probe.rs
+++ b/azureway-dev/src/slopes/lookup_probe.rs
@@ -4,7 +4,7 @@
 
 use azureway_core::prelude::*;
 
-use super::probe::{Probe, time_of};
+use super::probe::{Probe, mean_nanos};
 use super::{BlockProbe, Sample};
 use crate::bench::RouterFixture;
 
@@ -27,7 +27,7 @@
     fn measure(size: u64) -> Sample {
         let mut index = BlockProbe::index(size);
         let server = RouterFixture::server_id(0);
-        let time = time_of(LOOKUPS, |number| {
+        let time = mean_nanos(LOOKUPS, |number| {
             let first = u64::from(number) * STRIDE % size;
             let blocks: [Block; PROMPT_BLOCKS as usize] = std::array::from_fn(|n| Block {
                 key: BlockKey::new(u128::from(first + n as u64)),
--- a/azureway-dev/src/slopes/member_probe.rs
+++ b/azureway-dev/src/slopes/membership_probe.rs
@@ -2,20 +2,20 @@
 
 use azureway_core::prelude::*;
 
-use super::probe::{Probe, time_of};
+use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 
 /// Growth of the membership by the peers that an instance knows of: its state, and taking in
 /// a heartbeat.
 #[derive(Clone, Copy, Debug)]
-pub struct MemberProbe;
+pub struct MembershipProbe;
 
 /// The heartbeats that are timed.
-const BEATS: u32 = 200;
+const HEARTBEATS: u32 = 200;
 /// The zones that the peers stand in.
 const ZONES: u64 = 7;
 
-impl MemberProbe {
+impl MembershipProbe {
     /// Returns the peer of a number.
     pub fn peer(number: u64) -> Instance {
         let id = InstanceId::new(&format!("zone-{}-entry-{number:03}", number % ZONES));
@@ -41,27 +41,27 @@
     }
 }
 
-impl Probe for MemberProbe {
+impl Probe for MembershipProbe {
     const UNIT: &'static str = "peer in the membership";
     const OPERATION: &'static str = "take in a heartbeat and answer it";
     const SIZES: [u64; 3] = [8, 60, 360];
 
     fn measure(size: u64) -> Sample {
         let peers: Vec<Instance> = (1..=size).map(Self::peer).collect();
-        let beats: Vec<Heartbeat> = (1..=size).map(|n| Self::heartbeat(n, 0)).collect();
+        let heartbeats: Vec<Heartbeat> = (1..=size).map(|n| Self::heartbeat(n, 0)).collect();
         let heap = Heap::now();
         let now = Timestamp::from_millis(1);
         let mut membership =
             Membership::new(MembershipConfig::new(), Self::peer(0), &peers, 1, now);
         let mut out = Vec::new();
-        for beat in &beats {
-            membership.handle(PeerEvent::Heartbeat(beat), now, &mut out);
+        for heartbeat in &heartbeats {
+            membership.handle(PeerEvent::Heartbeat(heartbeat), now, &mut out);
             out.clear();
         }
-        let memory = heap.grown();
-        let time = time_of(BEATS, |n| {
-            let place = n as usize % beats.len();
-            membership.handle(PeerEvent::Heartbeat(&beats[place]), now, &mut out);
+        let memory = heap.growth();
+        let time = mean_nanos(HEARTBEATS, |n| {
+            let index = n as usize % heartbeats.len();
+            membership.handle(PeerEvent::Heartbeat(&heartbeats[index]), now, &mut out);
             out.clear();
         });
         Sample {
--- a/azureway-dev/src/slopes/probe.rs
+++ b/azureway-dev/src/slopes/probe.rs
@@ -23,7 +23,7 @@
 }
 
 /// Returns the mean nanoseconds of `count` operations.
-pub(super) fn time_of(count: u32, mut operation: impl FnMut(u32)) -> f64 {
+pub(super) fn mean_nanos(count: u32, mut operation: impl FnMut(u32)) -> f64 {
     let start = Instant::now();
     (0..count).for_each(&mut operation);
     start.elapsed().as_nanos() as f64 / f64::from(count.max(1))
--- a/azureway-dev/src/slopes/wait_probe.rs
+++ b/azureway-dev/src/slopes/queue_probe.rs
@@ -1,19 +1,19 @@
 //! Growth by requests that wait.
 
-use super::probe::{Probe, time_of};
+use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
 /// Growth by requests that wait: what the queue keeps, and taking the next one.
 #[derive(Clone, Copy, Debug)]
-pub struct WaitProbe;
+pub struct QueueProbe;
 
 /// The requests that are taken from the queue.
-const TAKEN: u32 = 200;
+const REQUESTS: u32 = 200;
 /// The client accounts.
 const ACCOUNTS: usize = 350;
 
-impl Probe for WaitProbe {
+impl Probe for QueueProbe {
     const UNIT: &'static str = "request that waits";
     const OPERATION: &'static str = "admit one and take the next";
     const SIZES: [u64; 3] = [400, 1_000, 2_000];
@@ -25,8 +25,8 @@
         for _ in 0..size {
             fixture.submit();
         }
-        let memory = heap.grown();
-        let time = time_of(TAKEN, |_| {
+        let memory = heap.growth();
+        let time = mean_nanos(REQUESTS, |_| {
             running = running
                 .take()
                 .and_then(|dispatch| fixture.finish(&dispatch));
--- a/azureway-dev/src/slopes/replica_probe.rs
+++ b/azureway-dev/src/slopes/replica_probe.rs
@@ -1,6 +1,6 @@
 //! Growth by replicas.
 
-use super::probe::{Probe, time_of};
+use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
@@ -22,8 +22,8 @@
         let heap = Heap::now();
         let mut fixture =
             RouterFixture::new(FleetSize::new(usize::try_from(size).unwrap_or(0)), SLOTS);
-        let memory = heap.grown();
-        let time = time_of(REQUESTS, |_| fixture.run_request());
+        let memory = heap.growth();
+        let time = mean_nanos(REQUESTS, |_| fixture.run_request());
         Sample {
             size,
             memory,
--- a/azureway-dev/src/slopes/slope.rs
+++ b/azureway-dev/src/slopes/slope.rs
@@ -26,11 +26,14 @@
 
 fn fit(samples: &[Sample], value: impl Fn(&Sample) -> f64) -> f64 {
     let count = samples.len() as f64;
-    let size = samples.iter().map(|s| s.size as f64).sum::<f64>() / count;
-    let level = samples.iter().map(&value).sum::<f64>() / count;
-    let spread: f64 = samples.iter().map(|s| (s.size as f64 - size).powi(2)).sum();
-    let common = samples
+    let mean_size = samples.iter().map(|s| s.size as f64).sum::<f64>() / count;
+    let mean_value = samples.iter().map(&value).sum::<f64>() / count;
+    let variance: f64 = samples
         .iter()
-        .map(|s| (s.size as f64 - size) * (value(s) - level));
-    common.sum::<f64>() / spread
+        .map(|s| (s.size as f64 - mean_size).powi(2))
+        .sum();
+    let covariance = samples
+        .iter()
+        .map(|s| (s.size as f64 - mean_size) * (value(s) - mean_value));
+    covariance.sum::<f64>() / variance
 }
--- a/azureway-dev/tests/slopes.rs
+++ b/azureway-dev/tests/slopes.rs
@@ -2,7 +2,7 @@
 
 use azureway_core::prelude::{ConfigVersion, Event, Fleet};
 use azureway_dev::bench::{FleetSize, RouterFixture};
-use azureway_dev::slopes::{BeatProbe, EventProbe, Probe, Sample, Slope};
+use azureway_dev::slopes::{CacheEventProbe, HeartbeatProbe, Probe, Sample, Slope};
 use googletest::prelude::*;
 
 #[gtest]
@@ -48,9 +48,9 @@
 #[gtest]
 fn messages_have_the_same_size_each_time() {
     expect_that!(
-        EventProbe::measure(10).message,
-        eq(EventProbe::measure(10).message)
+        CacheEventProbe::measure(10).message,
+        eq(CacheEventProbe::measure(10).message)
     );
-    let (none, some) = (BeatProbe::measure(0), BeatProbe::measure(8));
+    let (none, some) = (HeartbeatProbe::measure(0), HeartbeatProbe::measure(8));
     expect_that!(some.message, gt(none.message));
 }
