--- a/azureway-cli/src/account/mod.rs
+++ b/azureway-cli/src/account/mod.rs
@@ -37,8 +37,8 @@
     edit
 }
 
-/// Applies `edit_section` to the section of the account that the command names and writes the result;
-/// `None` removes the section.
+/// Applies `edit_section` to the section of the account that the command names and writes the
+/// result; `None` removes the section.
 fn update<W: Write>(
     matches: &ArgMatches,
     printer: &mut Printer<W>,
--- a/azureway-cli/tests/commands.rs
+++ b/azureway-cli/tests/commands.rs
@@ -160,7 +160,7 @@
 
 /// The next change must archive the record of the previous one, so a record that is too large for a
 /// value would block every later change. JSON escapes each line end as two bytes, which makes the
-/// record larger than the document.
+/// record larger than the text.
 #[gtest]
 fn a_change_whose_record_is_too_large_to_archive_is_rejected() {
     let fixture = CliFixture::new();
