--- a/azureway-cli/tests/commands.rs
+++ b/azureway-cli/tests/commands.rs
@@ -99,7 +99,7 @@
     let fixture = CliFixture::new();
     for (number, lost) in [(1, 1), (2, 2)] {
         let faults = PlatformFaults {
-            lost,
+            lost_answers: lost,
             ..PlatformFaults::new()
         };
         fixture.platform.set_faults(faults);
--- a/azureway-cli/tests/entries.rs
+++ b/azureway-cli/tests/entries.rs
@@ -7,7 +7,7 @@
 use azureway_core::prelude::*;
 use azureway_dev::engine::EngineConfig;
 use azureway_dev::platform::PlatformFaults;
-use azureway_dev::serve::{EntrySlot, Layout, System};
+use azureway_dev::serve::{Layout, RunningEntry, System};
 use googletest::prelude::*;
 use program::{execute, split_words};
 
@@ -137,9 +137,9 @@
     let system = start_system();
     let (name, zone) = (InstanceId::new("keyed"), ZoneId::new("kranj-a"));
     let settings = EntrySettings::new(name, zone, system.platform_address());
-    let slot = EntrySlot::start(&settings.with_operator_key(KeyHash::of("sesame")));
-    let slot = slot.expect("the entry starts");
-    let admin = slot.admin_address().expect("an address");
+    let entry = RunningEntry::start(&settings.with_operator_key(KeyHash::of("sesame")));
+    let entry = entry.expect("the entry starts");
+    let admin = entry.admin_address().expect("an address");
     for (key, exit) in [
         ("", 1),
         ("--operator-key wrong", 1),
@@ -150,6 +150,6 @@
         expect_that!(ended as u8, eq(exit), "{line}\n{printed}");
         expect_that!(printed.contains("sesame"), eq(false));
     }
-    slot.drain();
+    entry.drain();
     system.drain();
 }
--- a/azureway-cli/tests/support/mod.rs
+++ b/azureway-cli/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use azureway_cli::Exit;
-use azureway_dev::http::StandIn;
+use azureway_dev::http::HttpServer;
 use azureway_dev::platform::Platform;
 
 use crate::program::{execute, split_words};
@@ -13,7 +13,7 @@
 /// A platform on a loopback port, and a way to run commands against it.
 pub(crate) struct CliFixture {
     pub(crate) platform: Arc<Platform>,
-    server: StandIn,
+    server: HttpServer,
 }
 
 /// The folder of the test data.
@@ -23,7 +23,7 @@
     /// Creates a fixture whose platform holds no document.
     pub(crate) fn empty() -> Self {
         let platform = Arc::new(Platform::new());
-        let server = StandIn::start(Arc::clone(&platform)).expect("a free port");
+        let server = HttpServer::start(Arc::clone(&platform)).expect("a free port");
         Self { platform, server }
     }
 
--- a/azureway-dev/src/bench_relay/command.rs
+++ b/azureway-dev/src/bench_relay/command.rs
@@ -47,8 +47,8 @@
     let layout = layout.with_entries(1).with_slots(SLOTS);
     let mut engine = EngineConfig::new()
         .with_slots(SLOTS)
-        .with_interval(TOKEN_INTERVAL);
-    engine.prefill = TokenRate::new(u64::MAX);
+        .with_token_interval(TOKEN_INTERVAL);
+    engine.prefill_rate = TokenRate::new(u64::MAX);
     let mut bounds = Bounds::new();
     bounds.connections = SLOTS as usize;
     let system = System::start(&layout, &engine, &bounds)?;
@@ -103,14 +103,14 @@
 /// included.
 fn hold_streams(system: &System, caller: Caller) -> Result<()> {
     let engine = system.engines.first().context("no engine")?;
-    engine.wait(WAIT_TIMEOUT, |s| s.running > 0);
+    engine.wait_timeout(WAIT_TIMEOUT, |s| s.running > 0);
     let before = ResidentMemory::now()?;
     let streams = (0..STREAMS).map(|_| caller.open(STREAM_TOKENS));
     let streams: Vec<TcpStream> = streams.collect::<Result<_>>()?;
-    engine.wait(WAIT_TIMEOUT, |s| s.running < STREAMS);
+    engine.wait_timeout(WAIT_TIMEOUT, |s| s.running < STREAMS);
     let (held, after) = (engine.running(), ResidentMemory::now()?);
     drop(streams);
-    engine.wait(WAIT_TIMEOUT, |s| s.running > 0);
+    engine.wait_timeout(WAIT_TIMEOUT, |s| s.running > 0);
     let growth = after.bytes.saturating_sub(before.bytes);
     let stream_bytes = growth / u64::from(held.max(1));
     println!("  streams held at once: {held} of {STREAMS}, {stream_bytes} bytes each");
--- a/azureway-dev/src/engine/ticket.rs
+++ b/azureway-dev/src/engine/accepted_request.rs
@@ -4,11 +4,11 @@
 
 /// A request's place in an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Ticket {
+pub struct AcceptedRequest {
     /// The incarnation in which the request was taken.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The number of the connection.
-    pub opened: u64,
+    pub number: u64,
     /// The rank.
     pub rank: Rank,
     /// The prompt tokens that were cached.
--- a/azureway-dev/src/engine/block_cache.rs
+++ b/azureway-dev/src/engine/block_cache.rs
@@ -8,15 +8,15 @@
 pub struct BlockCache {
     /// The keys, the least recently used first.
     keys: Vec<BlockKey>,
-    bound: usize,
+    capacity: usize,
 }
 
 impl BlockCache {
-    /// Creates an empty cache of `bound` blocks.
-    pub const fn new(bound: usize) -> Self {
+    /// Creates an empty cache of `capacity` blocks.
+    pub const fn new(capacity: usize) -> Self {
         Self {
             keys: Vec::new(),
-            bound,
+            capacity,
         }
     }
 
@@ -26,7 +26,7 @@
     }
 
     /// Returns the tokens at the head of `blocks` that are held.
-    pub fn held(&self, blocks: &[Block]) -> TokenCount {
+    pub fn cached_tokens(&self, blocks: &[Block]) -> TokenCount {
         blocks
             .iter()
             .take_while(|b| self.keys.contains(&b.key))
@@ -40,12 +40,12 @@
         // The last block is touched first, so that a chain is evicted from its end.
         for block in blocks.iter().rev() {
             match self.keys.iter().position(|k| *k == block.key) {
-                Some(place) => drop(self.keys.remove(place)),
+                Some(index) => drop(self.keys.remove(index)),
                 None => ops.push(CacheOp::Stored(block.key)),
             }
             self.keys.push(block.key);
         }
-        let surplus = self.keys.len().saturating_sub(self.bound);
+        let surplus = self.keys.len().saturating_sub(self.capacity);
         ops.extend(self.keys.drain(..surplus).map(CacheOp::Evicted));
         ops
     }
--- a/azureway-dev/src/engine/chat_run.rs
+++ b/azureway-dev/src/engine/chat_handler.rs
@@ -6,65 +6,69 @@
 use azureway_core::prelude::{BlockChain, TokenCount};
 use azureway_wire::chat::{Usage, UsageDetails};
 
-use super::{ChatEvent, Engine, EngineState, Generation, Terms, Ticket};
+use super::{AcceptedRequest, ChatEvent, Engine, EngineState, Generation, RequestTerms};
 use crate::http::EventWriter;
 
 /// One chat request in an engine: it waits for a slot, computes its prompt and streams.
-pub struct ChatRun<'a> {
+pub struct ChatHandler<'a> {
     engine: &'a Engine,
     writer: EventWriter,
-    terms: &'a Terms,
+    terms: &'a RequestTerms,
     chain: &'a BlockChain,
-    ticket: Ticket,
-    owed: TokenCount,
+    accepted: AcceptedRequest,
+    pending: TokenCount,
 }
 
 /// The time after which a comment tells the other side that the request is still at work.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
-impl<'a> ChatRun<'a> {
+impl<'a> ChatHandler<'a> {
     /// Creates the run of a request that the engine has taken.
     pub const fn new(
         engine: &'a Engine,
         writer: EventWriter,
-        terms: &'a Terms,
+        terms: &'a RequestTerms,
         chain: &'a BlockChain,
-        ticket: Ticket,
+        accepted: AcceptedRequest,
     ) -> Self {
         Self {
             engine,
             writer,
             terms,
             chain,
-            ticket,
-            owed: ticket.uncached,
+            accepted,
+            pending: accepted.uncached,
         }
     }
 
     /// Runs to the end of the answer, or until the engine restarts or the caller is gone.
-    pub fn run(mut self, model: &str, bound: Option<u64>) {
+    pub fn run(mut self, model: &str, max_tokens: Option<u64>) {
         if self.wait_slot().is_some() {
-            let _ = self.answer(model, bound);
+            let _ = self.answer(model, max_tokens);
         }
-        self.engine.change(|s| s.leave(&self.ticket, self.owed));
+        self.engine
+            .update(|s| s.remove(&self.accepted, self.pending));
     }
 
-    fn answer(&mut self, model: &str, bound: Option<u64>) -> Option<()> {
+    fn answer(&mut self, model: &str, max_tokens: Option<u64>) -> Option<()> {
         self.compute()?;
-        self.engine.change(|s| s.store(&self.ticket, self.chain));
-        self.owed = TokenCount::ZERO;
-        let generation = Generation::new(self.chain, bound);
-        let id = self.terms.id.clone();
+        self.engine
+            .update(|s| s.finish_prefill(&self.accepted, self.chain));
+        self.pending = TokenCount::ZERO;
+        let generation = Generation::new(self.chain, max_tokens);
+        let id = self.terms.attempt_id.clone();
         self.stream(ChatEvent { id: &id, model }, generation)
     }
 
     fn wait_slot(&mut self) -> Option<()> {
         loop {
-            let ticket = self.ticket;
-            let waits = |s: &mut EngineState| s.incarnation == ticket.life && !s.is_next(&ticket);
-            self.engine.wait(KEEP_ALIVE, waits);
-            self.still_heard()?;
-            if self.engine.change(|s| s.take_slot(&ticket)) {
+            let accepted = self.accepted;
+            let waits = |s: &mut EngineState| {
+                s.incarnation == accepted.incarnation && !s.is_next(&accepted)
+            };
+            self.engine.wait_timeout(KEEP_ALIVE, waits);
+            self.check_running()?;
+            if self.engine.update(|s| s.take_slot(&accepted)) {
                 return Some(());
             }
             self.writer.comment().ok()?;
@@ -72,21 +76,25 @@
     }
 
     fn compute(&mut self) -> Option<()> {
-        let mut rest = self.engine.config().prefill.time_for(self.ticket.uncached);
-        while rest > KEEP_ALIVE {
+        let mut remaining = self
+            .engine
+            .config()
+            .prefill_rate
+            .time_for(self.accepted.uncached);
+        while remaining > KEEP_ALIVE {
             self.work(KEEP_ALIVE)?;
             self.writer.comment().ok()?;
-            rest -= KEEP_ALIVE;
+            remaining -= KEEP_ALIVE;
         }
-        self.work(rest)
+        self.work(remaining)
     }
 
     fn stream(&mut self, event: ChatEvent<'_>, generation: Generation) -> Option<()> {
-        let mut position = self.terms.resume;
+        let mut position = self.terms.resume_position;
         while let Some(token) = generation.token(position) {
             self.write(position, &event.token(&token)).ok()?;
             position += 1;
-            self.work(self.engine.config().interval)?;
+            self.work(self.engine.config().token_interval)?;
         }
         let length = generation.length().get();
         if position <= length {
@@ -103,17 +111,22 @@
 
     /// Works for `time`, and returns `None` if the engine restarts meanwhile.
     fn work(&self, time: Duration) -> Option<()> {
-        let life = self.ticket.life;
-        self.engine.wait(time, |s| s.incarnation == life);
-        self.still_heard()
+        let incarnation = self.accepted.incarnation;
+        self.engine
+            .wait_timeout(time, |s| s.incarnation == incarnation);
+        self.check_running()
     }
 
     /// Returns `None` once the engine has restarted. A silent connection waits for that.
-    fn still_heard(&self) -> Option<()> {
-        let Ticket { life, opened, .. } = self.ticket;
+    fn check_running(&self) -> Option<()> {
+        let AcceptedRequest {
+            incarnation,
+            number,
+            ..
+        } = self.accepted;
         self.engine
-            .wait_while(|s| s.incarnation == life && opened <= s.silent);
-        (self.engine.incarnation() == life).then_some(())
+            .wait_while(|s| s.incarnation == incarnation && number <= s.stalled);
+        (self.engine.incarnation() == incarnation).then_some(())
     }
 
     fn usage(&self, generation: Generation) -> Usage {
@@ -121,7 +134,7 @@
             prompt_tokens: self.chain.tokens().get(),
             completion_tokens: generation.length().get(),
             prompt_details: UsageDetails {
-                cached_tokens: self.ticket.cached.get(),
+                cached_tokens: self.accepted.cached.get(),
             },
         }
     }
--- a/azureway-dev/src/engine/engine_config.rs
+++ b/azureway-dev/src/engine/engine_config.rs
@@ -12,15 +12,15 @@
     /// The requests that it runs at once.
     pub slots: u32,
     /// The speed at which it computes prompt tokens.
-    pub prefill: TokenRate,
+    pub prefill_rate: TokenRate,
     /// The time between two tokens of an answer.
-    pub interval: Duration,
+    pub token_interval: Duration,
     /// The time by which its reports and cache events are late.
-    pub lag: Duration,
+    pub report_delay: Duration,
     /// The blocks that its cache holds.
-    pub blocks: usize,
+    pub cache_blocks: usize,
     /// The time that weights take to load.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Whether it refuses an order with an old fencing number.
     pub fenced: bool,
 }
@@ -32,11 +32,11 @@
         Self {
             weights: WeightsVersion::new(1),
             slots: 8,
-            prefill: TokenRate::new(8_000),
-            interval: Duration::from_millis(20),
-            lag: Duration::from_millis(20),
-            blocks: 64,
-            load: Duration::from_millis(600),
+            prefill_rate: TokenRate::new(8_000),
+            token_interval: Duration::from_millis(20),
+            report_delay: Duration::from_millis(20),
+            cache_blocks: 64,
+            load_time: Duration::from_millis(600),
             fenced: false,
         }
     }
@@ -50,8 +50,8 @@
 
     /// Sets the time that weights take to load.
     #[must_use]
-    pub const fn with_load(mut self, load: Duration) -> Self {
-        self.load = load;
+    pub const fn with_load_time(mut self, time: Duration) -> Self {
+        self.load_time = time;
         self
     }
 
@@ -64,8 +64,8 @@
 
     /// Sets the time between two tokens.
     #[must_use]
-    pub const fn with_interval(mut self, interval: Duration) -> Self {
-        self.interval = interval;
+    pub const fn with_token_interval(mut self, interval: Duration) -> Self {
+        self.token_interval = interval;
         self
     }
 }
--- a/azureway-dev/src/engine/engine_service.rs
+++ b/azureway-dev/src/engine/engine_service.rs
@@ -9,8 +9,8 @@
 use azureway_wire::engine::KvBlocks;
 use tiny_http::{Method, Request};
 
-use super::{ChatRun, EngineConfig, EngineState, LoadRun, Terms, Ticket};
-use crate::http::{EventWriter, Query, Reply, Service};
+use super::{AcceptedRequest, ChatHandler, EngineConfig, EngineState, OrderHandler, RequestTerms};
+use crate::http::{EventWriter, Query, Reply, RequestHandler};
 
 /// A stand-in for a model engine.
 #[derive(Debug)]
@@ -41,27 +41,27 @@
 
     /// Crashes and comes back with an empty cache. Streams break.
     pub fn crash(&self) {
-        self.change(EngineState::restart);
+        self.update(EngineState::restart);
     }
 
     /// Lets every open connection go silent for good. New ones work.
-    pub fn silence(&self) {
-        self.change(|s| s.silent = s.opened);
+    pub fn stall_connections(&self) {
+        self.update(|s| s.stalled = s.accepted_count);
     }
 
     /// Loses the oldest cache events that nobody has fetched yet.
-    pub fn lose_events(&self, count: usize) {
-        self.change(|s| s.log.lose(count));
+    pub fn drop_events(&self, count: usize) {
+        self.update(|s| s.log.drop_oldest(count));
     }
 
     /// Refuses new requests with an error, or takes them again.
-    pub fn close(&self, closed: bool) {
-        self.change(|s| s.closed = closed);
+    pub fn set_rejecting(&self, rejecting: bool) {
+        self.update(|s| s.rejecting = rejecting);
     }
 
     /// Begins to leave.
-    pub fn leave(&self) {
-        self.change(|s| s.leaving = true);
+    pub fn start_draining(&self) {
+        self.update(|s| s.leaving = true);
     }
 
     /// Waits until no request runs.
@@ -80,25 +80,28 @@
     }
 
     /// Returns the number of requests that were ever taken.
-    pub fn opened(&self) -> u64 {
-        self.lock().opened
+    pub fn accepted_count(&self) -> u64 {
+        self.lock().accepted_count
     }
 
     /// Changes the state and tells whoever waits for it.
-    pub fn change<T>(&self, change: impl FnOnce(&mut EngineState) -> T) -> T {
+    pub fn update<T>(&self, change: impl FnOnce(&mut EngineState) -> T) -> T {
         let result = change(&mut self.lock());
         self.changed.notify_all();
         result
     }
 
-    /// Waits while `holds`, and for `time` at most.
-    pub fn wait(&self, time: Duration, holds: impl FnMut(&mut EngineState) -> bool) {
-        drop(self.changed.wait_timeout_while(self.lock(), time, holds));
+    /// Waits while `condition`, and for `time` at most.
+    pub fn wait_timeout(&self, time: Duration, condition: impl FnMut(&mut EngineState) -> bool) {
+        drop(
+            self.changed
+                .wait_timeout_while(self.lock(), time, condition),
+        );
     }
 
-    /// Waits while `holds`.
-    pub fn wait_while(&self, holds: impl FnMut(&mut EngineState) -> bool) {
-        drop(self.changed.wait_while(self.lock(), holds));
+    /// Waits while `condition`.
+    pub fn wait_while(&self, condition: impl FnMut(&mut EngineState) -> bool) {
+        drop(self.changed.wait_while(self.lock(), condition));
     }
 
     fn lock(&self) -> MutexGuard<'_, EngineState> {
@@ -107,17 +110,17 @@
     }
 
     /// Answers with the load and the cache events, both as late as the engine reports them.
-    fn news(&self, request: Request, query: &Query<'_>) {
-        let (after, whole) = (query.number("after"), query.get("whole") == Some("true"));
+    fn handle_poll(&self, request: Request, query: &Query<'_>) {
+        let (after, snapshot) = (query.number("after"), query.get("whole") == Some("true"));
         let wait = Duration::from_millis(query.number("wait_ms"));
-        self.wait(wait, |s| !whole && s.log.next() <= after);
-        let news = self.lock().news(after, whole);
-        let life = self.incarnation();
-        self.wait(self.config.lag, |s| s.incarnation == life);
-        Reply::json(request, 200, &news);
+        self.wait_timeout(wait, |s| !snapshot && s.log.next() <= after);
+        let report = self.lock().report(after, snapshot);
+        let incarnation = self.incarnation();
+        self.wait_timeout(self.config.report_delay, |s| s.incarnation == incarnation);
+        Reply::json(request, 200, &report);
     }
 
-    fn chat(&self, mut request: Request) {
+    fn handle_chat(&self, mut request: Request) {
         let mut body = Vec::new();
         if request.as_reader().read_to_end(&mut body).is_err() {
             return Reply::text(request, 400, "the body cannot be read");
@@ -125,43 +128,43 @@
         let Ok(chat) = serde_json::from_slice::<ChatRequest<'_>>(&body) else {
             return Reply::text(request, 400, "the body is no chat-completions request");
         };
-        let terms = Terms::new(&request);
+        let terms = RequestTerms::new(&request);
         let chain = chat.chain(terms.salt);
-        if self.lock().closed {
+        if self.lock().rejecting {
             return Reply::text(request, 500, "the engine is closed");
         }
-        if let Some(from) = terms.import {
-            self.import(from, &chain, &terms);
+        if let Some(from) = terms.import_from {
+            self.import_blocks(from, &chain, &terms);
         }
-        let Some(ticket) = self.begin(&terms, &chain) else {
+        let Some(accepted) = self.accept(&terms, &chain) else {
             return Reply::text(request, 409, "the incarnation or the weights are others");
         };
-        match EventWriter::new(request, &terms.id) {
+        match EventWriter::new(request, &terms.attempt_id) {
             Ok(writer) => {
-                let run = ChatRun::new(self, writer, &terms, &chain, ticket);
+                let run = ChatHandler::new(self, writer, &terms, &chain, accepted);
                 run.run(&chat.model, chat.max_tokens);
             }
-            Err(_) => self.change(|s| s.leave(&ticket, ticket.uncached)),
+            Err(_) => self.update(|s| s.remove(&accepted, accepted.uncached)),
         }
     }
 
     /// Takes a request in if the engine is what the entry expects.
-    fn begin(&self, terms: &Terms, chain: &BlockChain) -> Option<Ticket> {
-        self.change(|s| s.fits(terms).then(|| s.enter(terms, chain)))
+    fn accept(&self, terms: &RequestTerms, chain: &BlockChain) -> Option<AcceptedRequest> {
+        self.update(|s| s.matches(terms).then(|| s.enqueue(terms, chain)))
     }
 
     /// Answers with the blocks that are asked for and held.
-    fn export(&self, mut request: Request) {
-        let Ok(wanted) = serde_json::from_reader::<_, KvBlocks>(request.as_reader()) else {
+    fn handle_export(&self, mut request: Request) {
+        let Ok(requested) = serde_json::from_reader::<_, KvBlocks>(request.as_reader()) else {
             return Reply::text(request, 400, "the body is no list of blocks");
         };
-        Reply::json(request, 200, &self.lock().export(&wanted));
+        Reply::json(request, 200, &self.lock().export(&requested));
     }
 
     /// Fetches blocks from another engine. Without them the prompt is computed.
-    fn import(&self, from: SocketAddr, chain: &BlockChain, terms: &Terms) {
-        let wanted = KvBlocks::new(terms.weights, chain.blocks());
-        let Ok(body) = serde_json::to_string(&wanted) else {
+    fn import_blocks(&self, from: SocketAddr, chain: &BlockChain, terms: &RequestTerms) {
+        let requested = KvBlocks::new(terms.weights, chain.blocks());
+        let Ok(body) = serde_json::to_string(&requested) else {
             return;
         };
         let url = format!("http://{from}/v1/kv/export");
@@ -173,20 +176,20 @@
             .ok()
             .and_then(|a| serde_json::from_slice(a.as_bytes()).ok());
         if let Some(blocks) = blocks {
-            self.change(|s| s.import(&blocks, chain));
+            self.update(|s| s.import(&blocks, chain));
         }
     }
 }
 
-impl Service for Engine {
-    fn answer(&self, request: Request) {
+impl RequestHandler for Engine {
+    fn handle(&self, request: Request) {
         let url = request.url().to_owned();
         let query = Query::new(&url);
         match (request.method().clone(), query.path) {
-            (Method::Get, "/v1/news") => self.news(request, &query),
-            (Method::Post, "/v1/chat/completions") => self.chat(request),
-            (Method::Post, "/v1/kv/export") => self.export(request),
-            (Method::Post, "/v1/orders") => LoadRun::new(self).run(request),
+            (Method::Get, "/v1/news") => self.handle_poll(request, &query),
+            (Method::Post, "/v1/chat/completions") => self.handle_chat(request),
+            (Method::Post, "/v1/kv/export") => self.handle_export(request),
+            (Method::Post, "/v1/orders") => OrderHandler::new(self).run(request),
             _ => Reply::text(request, 404, "no such path"),
         }
     }
--- a/azureway-dev/src/engine/engine_state.rs
+++ b/azureway-dev/src/engine/engine_state.rs
@@ -5,7 +5,7 @@
 use azureway_core::prelude::*;
 use azureway_wire::engine::{CacheEvent, EngineNews, KvBlocks};
 
-use super::{BlockCache, EngineConfig, EventLog, OrderBook, Terms, Ticket};
+use super::{AcceptedRequest, BlockCache, EngineConfig, EventLog, OrderState, RequestTerms};
 
 /// What an engine is doing.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     /// The weights version that is loaded.
     pub weights: WeightsVersion,
     /// The orders that it took.
-    pub orders: OrderBook,
+    pub orders: OrderState,
     /// The cache.
     pub cache: BlockCache,
     /// The events of the cache.
@@ -31,11 +31,11 @@
     /// Whether the engine is leaving.
     pub leaving: bool,
     /// Whether new requests fail.
-    pub closed: bool,
-    /// The connections opened before this number have gone silent.
-    pub silent: u64,
-    /// The connections opened so far.
-    pub opened: u64,
+    pub rejecting: bool,
+    /// The connections number before this number have gone silent.
+    pub stalled: u64,
+    /// The connections number so far.
+    pub accepted_count: u64,
 }
 
 impl EngineState {
@@ -44,29 +44,29 @@
         Self {
             incarnation: Incarnation::new(1),
             weights: config.weights,
-            orders: OrderBook::new(config.fenced),
-            cache: BlockCache::new(config.blocks),
+            orders: OrderState::new(config.fenced),
+            cache: BlockCache::new(config.cache_blocks),
             log: EventLog::new(),
             slots: config.slots,
             running: 0,
             waiting: BTreeSet::new(),
             pending: TokenCount::ZERO,
             leaving: false,
-            closed: false,
-            silent: 0,
-            opened: 0,
+            rejecting: false,
+            stalled: 0,
+            accepted_count: 0,
         }
     }
 
     /// Returns the news after event `after`, or the whole content of the cache.
-    pub fn news(&self, after: u64, whole: bool) -> EngineNews {
+    pub fn report(&self, after: u64, snapshot: bool) -> EngineNews {
         let stored: Vec<CacheOp> = self
             .cache
             .keys()
             .iter()
             .map(|k| CacheOp::Stored(*k))
             .collect();
-        let (first, ops) = if whole {
+        let (first, ops) = if snapshot {
             (self.log.next(), &stored[..])
         } else {
             self.log.since(after)
@@ -79,7 +79,7 @@
             pending: self.pending.get(),
             leaving: self.leaving,
             first,
-            whole,
+            whole: snapshot,
             events: ops.iter().map(|op| CacheEvent::from(*op)).collect(),
         }
     }
@@ -87,7 +87,7 @@
     /// Starts anew with an empty cache, as after a crash.
     pub fn restart(&mut self) {
         self.incarnation = self.incarnation.next();
-        self.weights = self.orders.had(self.weights);
+        self.weights = self.orders.abort_load(self.weights);
         self.cache.clear();
         self.log.clear();
         self.running = 0;
@@ -96,8 +96,8 @@
     }
 
     /// Begins to load weights. Nothing is served meanwhile, and the old blocks are gone.
-    pub fn unload(&mut self) {
-        self.orders.begin(self.weights);
+    pub fn start_load(&mut self) {
+        self.orders.start_load(self.weights);
         self.weights = WeightsVersion::ZERO;
         let evicted = self.cache.keys().iter().map(|k| CacheOp::Evicted(*k));
         let evicted = evicted.collect();
@@ -106,28 +106,28 @@
     }
 
     /// Has the weights that were loaded.
-    pub fn load(&mut self, weights: WeightsVersion) {
-        self.orders.end();
+    pub fn finish_load(&mut self, weights: WeightsVersion) {
+        self.orders.finish_load();
         self.weights = weights;
     }
 
     /// Tells whether the engine is what a request expects.
-    pub fn fits(&self, terms: &Terms) -> bool {
-        let life = terms.incarnation.is_none_or(|i| i == self.incarnation);
-        life && terms.weights == self.weights
+    pub fn matches(&self, terms: &RequestTerms) -> bool {
+        let same_incarnation = terms.incarnation.is_none_or(|i| i == self.incarnation);
+        same_incarnation && terms.weights == self.weights
     }
 
     /// Takes a request in, which then waits for a slot.
-    pub fn enter(&mut self, terms: &Terms, chain: &BlockChain) -> Ticket {
-        let cached = self.cache.held(chain.blocks());
+    pub fn enqueue(&mut self, terms: &RequestTerms, chain: &BlockChain) -> AcceptedRequest {
+        let cached = self.cache.cached_tokens(chain.blocks());
         let uncached = chain.tokens().saturating_sub(cached);
-        self.opened += 1;
+        self.accepted_count += 1;
         self.pending += uncached;
-        let (life, opened, rank) = (self.incarnation, self.opened, terms.rank);
-        self.waiting.insert((rank, opened));
-        Ticket {
-            life,
-            opened,
+        let (incarnation, number, rank) = (self.incarnation, self.accepted_count, terms.rank);
+        self.waiting.insert((rank, number));
+        AcceptedRequest {
+            incarnation,
+            number,
             rank,
             cached,
             uncached,
@@ -135,14 +135,14 @@
     }
 
     /// Tells whether a request gets the next slot and there is one.
-    pub fn is_next(&self, ticket: &Ticket) -> bool {
-        let next = self.waiting.first() == Some(&(ticket.rank, ticket.opened));
+    pub fn is_next(&self, accepted: &AcceptedRequest) -> bool {
+        let next = self.waiting.first() == Some(&(accepted.rank, accepted.number));
         next && self.running < self.slots
     }
 
     /// Gives a request its slot if it is next. Returns whether it is.
-    pub fn take_slot(&mut self, ticket: &Ticket) -> bool {
-        let is_next = self.incarnation == ticket.life && self.is_next(ticket);
+    pub fn take_slot(&mut self, accepted: &AcceptedRequest) -> bool {
+        let is_next = self.incarnation == accepted.incarnation && self.is_next(accepted);
         if is_next {
             self.waiting.pop_first();
             self.running += 1;
@@ -151,33 +151,33 @@
     }
 
     /// Stores the blocks of a request whose prompt is computed.
-    pub fn store(&mut self, ticket: &Ticket, chain: &BlockChain) {
-        if self.incarnation == ticket.life {
-            self.pending = self.pending.saturating_sub(ticket.uncached);
+    pub fn finish_prefill(&mut self, accepted: &AcceptedRequest, chain: &BlockChain) {
+        if self.incarnation == accepted.incarnation {
+            self.pending = self.pending.saturating_sub(accepted.uncached);
             let ops = self.cache.store(chain.blocks());
             self.log.extend(ops);
         }
     }
 
     /// Lets a request go, whether it waits or runs, with the prompt tokens it still owes.
-    pub fn leave(&mut self, ticket: &Ticket, owed: TokenCount) {
-        // After a restart the counts are those of another life.
-        if self.incarnation != ticket.life {
+    pub fn remove(&mut self, accepted: &AcceptedRequest, pending: TokenCount) {
+        // After a restart the counts are those of another incarnation.
+        if self.incarnation != accepted.incarnation {
             return;
         }
-        self.pending = self.pending.saturating_sub(owed);
-        if !self.waiting.remove(&(ticket.rank, ticket.opened)) {
+        self.pending = self.pending.saturating_sub(pending);
+        if !self.waiting.remove(&(accepted.rank, accepted.number)) {
             self.running = self.running.saturating_sub(1);
         }
     }
 
     /// Returns the blocks of a list that are held for the same weights.
-    pub fn export(&self, wanted: &KvBlocks) -> KvBlocks {
+    pub fn export(&self, requested: &KvBlocks) -> KvBlocks {
         let weights = self.weights.get();
-        let held = wanted
+        let held = requested
             .block_keys()
             .filter(|k| self.cache.keys().contains(k));
-        let held = held.filter(|_| wanted.weights == weights);
+        let held = held.filter(|_| requested.weights == weights);
         KvBlocks {
             weights,
             keys: held.map(|k| format!("{:x}", k.get())).collect(),
@@ -189,13 +189,13 @@
         if blocks.weights != self.weights.get() {
             return;
         }
-        let had: Vec<BlockKey> = blocks.block_keys().collect();
-        let head = chain
+        let exported: Vec<BlockKey> = blocks.block_keys().collect();
+        let prefix = chain
             .blocks()
             .iter()
-            .take_while(|b| had.contains(&b.key))
+            .take_while(|b| exported.contains(&b.key))
             .count();
-        let ops = self.cache.store(&chain.blocks()[..head]);
+        let ops = self.cache.store(&chain.blocks()[..prefix]);
         self.log.extend(ops);
     }
 }
--- a/azureway-dev/src/engine/event_log.rs
+++ b/azureway-dev/src/engine/event_log.rs
@@ -10,7 +10,7 @@
 }
 
 /// The events that are kept.
-const KEPT: usize = 4_096;
+const MAX_EVENTS: usize = 4_096;
 
 impl EventLog {
     /// Creates an empty log.
@@ -26,12 +26,12 @@
     /// Adds events.
     pub fn extend(&mut self, ops: Vec<CacheOp>) {
         self.ops.extend(ops);
-        let surplus = self.ops.len().saturating_sub(KEPT);
-        self.lose(surplus);
+        let surplus = self.ops.len().saturating_sub(MAX_EVENTS);
+        self.drop_oldest(surplus);
     }
 
     /// Loses the `count` oldest events that are kept.
-    pub fn lose(&mut self, count: usize) {
+    pub fn drop_oldest(&mut self, count: usize) {
         let count = count.min(self.ops.len());
         self.ops.drain(..count);
         self.first += count as u64;
--- a/azureway-dev/src/engine/generation.rs
+++ b/azureway-dev/src/engine/generation.rs
@@ -10,16 +10,16 @@
     length: u64,
 }
 
-/// The tokens of an answer where the caller sets no bound.
+/// The tokens of an answer where the caller sets no max_tokens.
 const DEFAULT_LENGTH: u64 = 16;
 
 impl Generation {
     /// Creates the answer to a prompt.
-    pub fn new(chain: &BlockChain, bound: Option<u64>) -> Self {
+    pub fn new(chain: &BlockChain, max_tokens: Option<u64>) -> Self {
         let last = chain.blocks().last().map_or(BlockKey::new(0), |b| b.key);
         Self {
             key: last.get(),
-            length: bound.unwrap_or(DEFAULT_LENGTH),
+            length: max_tokens.unwrap_or(DEFAULT_LENGTH),
         }
     }
 
--- a/azureway-dev/src/engine/mod.rs
+++ b/azureway-dev/src/engine/mod.rs
@@ -1,27 +1,27 @@
 //! A stand-in for a model engine.
 
+mod accepted_request;
 mod block_cache;
 mod chat_event;
-mod chat_run;
+mod chat_handler;
 mod engine_config;
 mod engine_service;
 mod engine_state;
 mod event_log;
 mod generation;
-mod load_run;
-mod order_book;
-mod terms;
-mod ticket;
+mod order_handler;
+mod order_state;
+mod request_terms;
 
+pub use accepted_request::AcceptedRequest;
 pub use block_cache::BlockCache;
 pub use chat_event::ChatEvent;
-pub use chat_run::ChatRun;
+pub use chat_handler::ChatHandler;
 pub use engine_config::EngineConfig;
 pub use engine_service::Engine;
 pub use engine_state::EngineState;
 pub use event_log::EventLog;
 pub use generation::Generation;
-pub use load_run::LoadRun;
-pub use order_book::OrderBook;
-pub use terms::Terms;
-pub use ticket::Ticket;
+pub use order_handler::OrderHandler;
+pub use order_state::OrderState;
+pub use request_terms::RequestTerms;
--- a/azureway-dev/src/engine/load_run.rs
+++ b/azureway-dev/src/engine/order_handler.rs
@@ -9,11 +9,11 @@
 
 /// One order at an engine: answers at once, then loads.
 #[derive(Debug)]
-pub struct LoadRun<'a> {
+pub struct OrderHandler<'a> {
     engine: &'a Engine,
 }
 
-impl<'a> LoadRun<'a> {
+impl<'a> OrderHandler<'a> {
     /// Creates the run of an order.
     pub const fn new(engine: &'a Engine) -> Self {
         Self { engine }
@@ -26,33 +26,34 @@
         };
         let weights = WeightsVersion::new(order.weights);
         let number = FencingNumber::new(order.fencing);
-        if !self.engine.change(|s| s.orders.take(weights, number)) {
+        if !self.engine.update(|s| s.orders.accept(weights, number)) {
             return Reply::text(
                 request,
                 409,
                 "an order with a higher fencing number came before",
             );
         }
-        let begins = self.engine.change(|s| {
-            let begins = s.weights != weights && !s.orders.is_loading();
-            if begins {
-                s.unload();
+        let starts = self.engine.update(|s| {
+            let starts = s.weights != weights && !s.orders.is_loading();
+            if starts {
+                s.start_load();
             }
-            begins
+            starts
         });
         Reply::text(request, 202, "taken");
-        if begins {
+        if starts {
             self.load(weights);
         }
     }
 
     fn load(&self, weights: WeightsVersion) {
-        let life = self.engine.incarnation();
-        let time = self.engine.config().load;
-        self.engine.wait(time, |s| s.incarnation == life);
-        self.engine.change(|s| {
-            if s.incarnation == life {
-                s.load(weights);
+        let incarnation = self.engine.incarnation();
+        let time = self.engine.config().load_time;
+        self.engine
+            .wait_timeout(time, |s| s.incarnation == incarnation);
+        self.engine.update(|s| {
+            if s.incarnation == incarnation {
+                s.finish_load(weights);
             }
         });
     }
--- a/azureway-dev/src/http/server.rs
+++ b/azureway-dev/src/http/http_server.rs
@@ -7,31 +7,31 @@
 use anyhow::{Result, anyhow};
 use tiny_http::Server;
 
-use super::Service;
+use super::RequestHandler;
 
 /// The server of a stand-in, on a loopback port. Dropping it stops it.
-pub struct StandIn {
+pub struct HttpServer {
     server: Arc<Server>,
     address: SocketAddr,
     thread: Option<JoinHandle<()>>,
 }
 
-impl StandIn {
-    /// Starts a server for `service` on any free port.
+impl HttpServer {
+    /// Starts a server for `handler` on any free port.
     ///
     /// # Errors
     ///
     /// Returns an error if no port can be bound.
-    pub fn start(service: Arc<impl Service>) -> Result<Self> {
-        Self::start_at((Ipv4Addr::LOCALHOST, 0).into(), service)
+    pub fn start(handler: Arc<impl RequestHandler>) -> Result<Self> {
+        Self::start_at((Ipv4Addr::LOCALHOST, 0).into(), handler)
     }
 
-    /// Starts a server for `service` at `address`.
+    /// Starts a server for `handler` at `address`.
     ///
     /// # Errors
     ///
     /// Returns an error if the address cannot be bound.
-    pub fn start_at(address: SocketAddr, service: Arc<impl Service>) -> Result<Self> {
+    pub fn start_at(address: SocketAddr, handler: Arc<impl RequestHandler>) -> Result<Self> {
         let server = Server::http(address).map_err(|e| anyhow!("listen at {address}: {e}"))?;
         let address = server
             .server_addr()
@@ -41,8 +41,8 @@
         let requests = Arc::clone(&server);
         let thread = thread::spawn(move || {
             while let Ok(request) = requests.recv() {
-                let service = Arc::clone(&service);
-                thread::spawn(move || service.answer(request));
+                let handler = Arc::clone(&handler);
+                thread::spawn(move || handler.handle(request));
             }
         });
         Ok(Self {
@@ -58,7 +58,7 @@
     }
 }
 
-impl Drop for StandIn {
+impl Drop for HttpServer {
     fn drop(&mut self) {
         self.server.unblock();
         if let Some(thread) = self.thread.take() {
--- a/azureway-dev/src/http/mod.rs
+++ b/azureway-dev/src/http/mod.rs
@@ -1,13 +1,13 @@
 //! A small HTTP server for the stand-ins.
 
 mod event_writer;
+mod http_server;
 mod query;
 mod reply;
-mod server;
-mod service;
+mod request_handler;
 
 pub use event_writer::EventWriter;
+pub use http_server::HttpServer;
 pub use query::Query;
 pub use reply::Reply;
-pub use server::StandIn;
-pub use service::Service;
+pub use request_handler::RequestHandler;
--- a/azureway-dev/src/http/service.rs
+++ b/azureway-dev/src/http/request_handler.rs
@@ -3,7 +3,7 @@
 use tiny_http::Request;
 
 /// What a stand-in does with a request.
-pub trait Service: Send + Sync + 'static {
+pub trait RequestHandler: Send + Sync + 'static {
     /// Answers the request. Runs on a thread of its own.
-    fn answer(&self, request: Request);
+    fn handle(&self, request: Request);
 }
--- a/azureway-dev/src/plain/plain_service.rs
+++ b/azureway-dev/src/plain/plain_service.rs
@@ -7,13 +7,13 @@
 use tiny_http::Request;
 
 use super::RunCounts;
-use crate::http::{Reply, Service};
+use crate::http::{Reply, RequestHandler};
 
 /// A stand-in for a plain service: it runs whatever it is sent and counts, unless it checks keys.
 #[derive(Debug, Default)]
 pub struct PlainService {
     state: Arc<Mutex<(RunCounts, u32)>>,
-    keyed: bool,
+    deduplicates: bool,
 }
 
 impl PlainService {
@@ -23,9 +23,9 @@
     }
 
     /// Creates a service that refuses a key of an account which has run before.
-    pub fn keyed() -> Self {
+    pub fn deduplicating() -> Self {
         Self {
-            keyed: true,
+            deduplicates: true,
             ..Self::default()
         }
     }
@@ -35,17 +35,17 @@
     pub fn replica(&self) -> Self {
         Self {
             state: Arc::clone(&self.state),
-            keyed: self.keyed,
+            deduplicates: self.deduplicates,
         }
     }
 
     /// Returns how often each call ran.
-    pub fn ledger(&self) -> RunCounts {
+    pub fn run_counts(&self) -> RunCounts {
         self.lock().0.clone()
     }
 
     /// Loses the answers of the next `count` calls after they have run.
-    pub fn lose(&self, count: u32) {
+    pub fn lose_answers(&self, count: u32) {
         self.lock().1 = count;
     }
 
@@ -56,8 +56,8 @@
     }
 }
 
-impl Service for PlainService {
-    fn answer(&self, mut request: Request) {
+impl RequestHandler for PlainService {
+    fn handle(&self, mut request: Request) {
         let mut body = String::new();
         if request.as_reader().read_to_string(&mut body).is_err() {
             return Reply::text(request, 400, "the body is no text");
@@ -67,11 +67,11 @@
         let account = Reply::header(&request, header::ACCOUNT).unwrap_or("");
         let scoped = format!("{account} {key}");
         let mut state = self.lock();
-        if self.keyed && state.0.run(&scoped) > 1 {
+        if self.deduplicates && state.0.record_run(&scoped) > 1 {
             drop(state);
             return Reply::text(request, 409, "the key has run before");
         }
-        let runs = state.0.run(&key);
+        let runs = state.0.record_run(&key);
         let lost = state.1 > 0;
         state.1 -= u32::from(lost);
         drop(state);
--- a/azureway-dev/src/plain/run_counts.rs
+++ b/azureway-dev/src/plain/run_counts.rs
@@ -15,7 +15,7 @@
     }
 
     /// Notes a run and returns how often the call has run now.
-    pub fn run(&mut self, call: &str) -> u32 {
+    pub fn record_run(&mut self, call: &str) -> u32 {
         let runs = self.runs.entry(call.to_owned()).or_default();
         *runs += 1;
         *runs
@@ -27,7 +27,7 @@
     }
 
     /// Returns the most runs of any call.
-    pub fn most(&self) -> u32 {
+    pub fn max_runs(&self) -> u32 {
         self.runs.values().copied().max().unwrap_or(0)
     }
 }
--- a/azureway-dev/src/platform/faults.rs
+++ b/azureway-dev/src/platform/faults.rs
@@ -6,7 +6,7 @@
     /// Whether every call fails.
     pub outage: bool,
     /// How many answers of writes are still to be lost after the write took effect.
-    pub lost: u32,
+    pub lost_answers: u32,
     /// The calls that are allowed before every further one is limited.
     pub quota: Option<u32>,
 }
@@ -18,7 +18,7 @@
     }
 
     /// Counts a call and returns the status that it fails with, if it fails.
-    pub fn charge(&mut self) -> Option<u16> {
+    pub fn count_call(&mut self) -> Option<u16> {
         if self.outage {
             return Some(503);
         }
@@ -33,9 +33,9 @@
     }
 
     /// Returns whether the answer of a write is to be lost.
-    pub fn lose(&mut self) -> bool {
-        let lost = self.lost > 0;
-        self.lost -= u32::from(lost);
+    pub fn take_lost(&mut self) -> bool {
+        let lost = self.lost_answers > 0;
+        self.lost_answers -= u32::from(lost);
         lost
     }
 }
--- a/azureway-dev/src/platform/platform_service.rs
+++ b/azureway-dev/src/platform/platform_service.rs
@@ -8,7 +8,7 @@
 use tiny_http::{Method, Request};
 
 use super::{PlatformFaults, Store};
-use crate::http::{Query, Reply, Service};
+use crate::http::{Query, Reply, RequestHandler};
 
 /// A stand-in for the platform's object API.
 #[derive(Debug, Default)]
@@ -58,10 +58,10 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn charge(&self) -> Option<u16> {
+    fn count_call(&self) -> Option<u16> {
         let mut state = self.lock();
         state.2 += 1;
-        state.1.charge()
+        state.1.count_call()
     }
 
     fn get(&self, request: Request, kind: &str, name: &str) {
@@ -81,7 +81,7 @@
         }
         let mut state = self.lock();
         let written = state.0.put(kind, name, value, expected);
-        let lost = written.is_some() && state.1.lose();
+        let lost = written.is_some() && state.1.take_lost();
         drop(state);
         self.finish_write(request, written, lost);
     }
@@ -89,7 +89,7 @@
     fn delete(&self, request: Request, kind: &str, name: &str, expected: u64) {
         let mut state = self.lock();
         let written = state.0.delete(kind, name, expected);
-        let lost = written.is_some() && state.1.lose();
+        let lost = written.is_some() && state.1.take_lost();
         drop(state);
         self.finish_write(request, written, lost);
     }
@@ -125,9 +125,9 @@
     }
 }
 
-impl Service for Platform {
-    fn answer(&self, request: Request) {
-        if let Some(status) = self.charge() {
+impl RequestHandler for Platform {
+    fn handle(&self, request: Request) {
+        if let Some(status) = self.count_call() {
             return Reply::text(request, status, "the call failed");
         }
         let url = request.url().to_owned();
--- a/azureway-dev/src/serve/layout.rs
+++ b/azureway-dev/src/serve/layout.rs
@@ -14,7 +14,7 @@
     /// The client accounts with their API keys.
     pub accounts: Vec<(&'static str, &'static str)>,
     /// Whether the plain services check keys themselves.
-    pub keyed: bool,
+    pub deduplicates: bool,
     /// The slots that the document gives a server, if it names any.
     pub slots: Option<u32>,
 }
@@ -30,7 +30,7 @@
                 ("wax-desk", "wax-desk-key"),
                 ("shop-drafts", "shop-drafts-key"),
             ],
-            keyed: false,
+            deduplicates: false,
             slots: None,
         }
     }
@@ -58,8 +58,8 @@
 
     /// Lets the plain services check keys themselves.
     #[must_use]
-    pub const fn with_keyed(mut self) -> Self {
-        self.keyed = true;
+    pub const fn with_deduplication(mut self) -> Self {
+        self.deduplicates = true;
         self
     }
 
--- a/azureway-dev/src/serve/mod.rs
+++ b/azureway-dev/src/serve/mod.rs
@@ -1,9 +1,9 @@
 //! A whole system on loopback, in one process.
 
-mod entry_slot;
 mod layout;
+mod running_entry;
 mod system;
 
-pub use entry_slot::EntrySlot;
 pub use layout::Layout;
+pub use running_entry::RunningEntry;
 pub use system::System;
--- a/azureway-dev/src/serve/entry_slot.rs
+++ b/azureway-dev/src/serve/running_entry.rs
@@ -10,7 +10,7 @@
 use azureway_entry::daemon::Entry;
 
 /// An entry daemon that an operator can shut down while the rest of the system runs.
-pub struct EntrySlot {
+pub struct RunningEntry {
     address: SocketAddr,
     admin: Option<SocketAddr>,
     state: Arc<(Mutex<Slot>, Condvar)>,
@@ -19,7 +19,7 @@
 /// The daemon, until somebody takes it to drain it.
 type Slot = (Option<Entry>, bool);
 
-impl EntrySlot {
+impl RunningEntry {
     /// Starts the daemon.
     ///
     /// # Errors
--- a/azureway-dev/src/serve/system.rs
+++ b/azureway-dev/src/serve/system.rs
@@ -8,9 +8,9 @@
 use azureway_config::settings::{Bounds, EntrySettings};
 use azureway_core::prelude::{ConfigVersion, Instance, InstanceId, ZoneId};
 
-use super::{EntrySlot, Layout};
+use super::{Layout, RunningEntry};
 use crate::engine::{Engine, EngineConfig};
-use crate::http::StandIn;
+use crate::http::HttpServer;
 use crate::plain::PlainService;
 use crate::platform::Platform;
 
@@ -21,12 +21,12 @@
     /// The engines, by zone and number.
     pub engines: Vec<Arc<Engine>>,
     /// The plain services, one a zone.
-    pub plains: Vec<Arc<PlainService>>,
+    pub plain_services: Vec<Arc<PlainService>>,
     /// The document that the system was started with.
     pub document: String,
-    platform_server: StandIn,
-    servers: Vec<StandIn>,
-    entries: Vec<EntrySlot>,
+    platform_server: HttpServer,
+    servers: Vec<HttpServer>,
+    entries: Vec<RunningEntry>,
     settings: Vec<EntrySettings>,
 }
 
@@ -38,12 +38,12 @@
     /// Returns an error if a port cannot be bound or a thread cannot be started.
     pub fn start(layout: &Layout, engine: &EngineConfig, bounds: &Bounds) -> Result<Self> {
         let platform = Arc::new(Platform::new());
-        let platform_server = StandIn::start(Arc::clone(&platform))?;
+        let platform_server = HttpServer::start(Arc::clone(&platform))?;
         let document = layout.document_head();
         let mut system = Self {
             platform,
             engines: Vec::new(),
-            plains: Vec::new(),
+            plain_services: Vec::new(),
             document,
             platform_server,
             servers: Vec::new(),
@@ -60,23 +60,23 @@
 
     /// Returns the addresses that callers reach.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.entries.iter().map(EntrySlot::address).collect()
+        self.entries.iter().map(RunningEntry::address).collect()
     }
 
     /// Returns the addresses that operators reach.
     pub fn admin_addresses(&self) -> Vec<SocketAddr> {
         let entries = self.entries.iter();
-        entries.filter_map(EntrySlot::admin_address).collect()
+        entries.filter_map(RunningEntry::admin_address).collect()
     }
 
     /// Returns the addresses of the engines and plain services, in the order of their start.
     pub fn server_addresses(&self) -> Vec<SocketAddr> {
-        self.servers.iter().map(StandIn::address).collect()
+        self.servers.iter().map(HttpServer::address).collect()
     }
 
     /// Waits until every entry daemon has a configuration in force.
     pub fn wait_ready(&self) {
-        self.entries.iter().for_each(EntrySlot::wait_ready);
+        self.entries.iter().for_each(RunningEntry::wait_ready);
     }
 
     /// Waits until every entry daemon has a version of the configuration in force.
@@ -98,42 +98,47 @@
         self.entries[place].drain();
         let settings = &self.settings[place];
         let listener = TcpListener::bind(settings.peer).context("bind the peers' port again")?;
-        self.entries[place] = EntrySlot::start_on(settings, listener)?;
+        self.entries[place] = RunningEntry::start_on(settings, listener)?;
         Ok(())
     }
 
     /// Drains every entry daemon, then stops the stand-ins.
     pub fn drain(self) {
-        self.entries.iter().for_each(EntrySlot::drain);
+        self.entries.iter().for_each(RunningEntry::drain);
     }
 
     fn add_zone(&mut self, zone: &str, layout: &Layout, config: &EngineConfig) -> Result<()> {
         for number in 1..=layout.engines {
             let engine = Arc::new(Engine::new(config.clone()));
             let name = format!("{zone}-engine-{number}");
-            self.add_server(&name, "engines", zone, StandIn::start(Arc::clone(&engine))?);
+            self.add_server(
+                &name,
+                "engines",
+                zone,
+                HttpServer::start(Arc::clone(&engine))?,
+            );
             if let Some(slots) = layout.slots {
                 // Writing to a string does not fail.
                 let _ = writeln!(self.document, "slots = {slots}");
             }
             self.engines.push(engine);
         }
-        let plain = match (layout.keyed, self.plains.first()) {
+        let plain = match (layout.deduplicates, self.plain_services.first()) {
             (true, Some(first)) => first.replica(),
-            (true, None) => PlainService::keyed(),
+            (true, None) => PlainService::deduplicating(),
             (false, _) => PlainService::new(),
         };
         let plain = Arc::new(plain);
         let name = format!("{zone}-till");
-        self.add_server(&name, "tills", zone, StandIn::start(Arc::clone(&plain))?);
-        if layout.keyed {
+        self.add_server(&name, "tills", zone, HttpServer::start(Arc::clone(&plain))?);
+        if layout.deduplicates {
             self.document.push_str("keyed = yes\n");
         }
-        self.plains.push(plain);
+        self.plain_services.push(plain);
         Ok(())
     }
 
-    fn add_server(&mut self, name: &str, pool: &str, zone: &str, server: StandIn) {
+    fn add_server(&mut self, name: &str, pool: &str, zone: &str, server: HttpServer) {
         let address = server.address();
         // Writing to a string does not fail.
         let _ = write!(
@@ -162,7 +167,8 @@
             let mut settings = base.with_bounds(bounds.clone());
             settings.peer = me.address;
             settings.peers = peers.iter().filter(|p| p.id != me.id).cloned().collect();
-            self.entries.push(EntrySlot::start_on(&settings, listener)?);
+            self.entries
+                .push(RunningEntry::start_on(&settings, listener)?);
             self.settings.push(settings);
         }
         Ok(())
--- a/azureway-dev/tests/bad_backend.rs
+++ b/azureway-dev/tests/bad_backend.rs
@@ -10,7 +10,7 @@
 use azureway_config::ini::{self, Section};
 use azureway_config::settings::EntrySettings;
 use azureway_core::prelude::*;
-use azureway_dev::http::StandIn;
+use azureway_dev::http::HttpServer;
 use azureway_dev::platform::Platform;
 use azureway_entry::daemon::Entry;
 use googletest::prelude::*;
@@ -67,7 +67,7 @@
         .replace("\\r", "\r")
         .replace("\\n", "\n");
     let platform = Arc::new(Platform::new());
-    let server = StandIn::start(Arc::clone(&platform)).expect("a port");
+    let server = HttpServer::start(Arc::clone(&platform)).expect("a port");
     platform.seed("config", "document", &document(answer.as_bytes()));
     let (instance, zone) = (InstanceId::new("entry-1"), ZoneId::new("a"));
     let settings = EntrySettings::new(instance, zone, server.address());
--- a/azureway-dev/tests/bad_input.rs
+++ b/azureway-dev/tests/bad_input.rs
@@ -63,7 +63,7 @@
         );
         expect_true!(serves(&system));
     }
-    expect_that!(system.plains[0].ledger().most(), eq(0));
+    expect_that!(system.plain_services[0].run_counts().max_runs(), eq(0));
     system.drain();
 }
 
--- a/azureway-dev/tests/engine.rs
+++ b/azureway-dev/tests/engine.rs
@@ -5,7 +5,7 @@
 
 use azureway_core::prelude::*;
 use azureway_dev::engine::{Engine, EngineConfig};
-use azureway_dev::http::StandIn;
+use azureway_dev::http::HttpServer;
 use azureway_wire::engine::{EngineNews, KvBlocks};
 use azureway_wire::header;
 use googletest::prelude::*;
@@ -13,13 +13,13 @@
 const BODY: &str =
     r#"{"model":"advice","max_tokens":3,"messages":[{"role":"system","content":"House rules"}]}"#;
 
-fn start(config: EngineConfig) -> (Arc<Engine>, StandIn) {
-    let engine = Arc::new(Engine::new(config.with_interval(Duration::ZERO)));
-    let server = StandIn::start(Arc::clone(&engine)).expect("a port");
+fn start(config: EngineConfig) -> (Arc<Engine>, HttpServer) {
+    let engine = Arc::new(Engine::new(config.with_token_interval(Duration::ZERO)));
+    let server = HttpServer::start(Arc::clone(&engine)).expect("a port");
     (engine, server)
 }
 
-fn ask(server: &StandIn, headers: &[(&str, &str)]) -> minreq::Response {
+fn ask(server: &HttpServer, headers: &[(&str, &str)]) -> minreq::Response {
     let url = format!("http://{}/v1/chat/completions", server.address());
     let defaults = [(header::WEIGHTS, "1"), (header::SALT, "7")];
     let missing = defaults
@@ -34,7 +34,7 @@
         .expect("an answer")
 }
 
-fn news(server: &StandIn, query: &str) -> EngineNews {
+fn news(server: &HttpServer, query: &str) -> EngineNews {
     let url = format!("http://{}/v1/news?{query}", server.address());
     let answer = minreq::get(url).with_timeout(60).send().expect("an answer");
     serde_json::from_slice(answer.as_bytes()).expect("news")
@@ -58,7 +58,7 @@
         ask(&server, &[(header::INCARNATION, "9")]).status_code,
         eq(409)
     );
-    expect_that!(engine.opened(), eq(0));
+    expect_that!(engine.accepted_count(), eq(0));
     expect_that!(
         ask(&server, &[(header::INCARNATION, "1")]).status_code,
         eq(200)
@@ -124,7 +124,7 @@
         eq((0, 1, 1))
     );
     ask(&server, &[(header::SALT, "8")]);
-    engine.lose_events(2);
+    engine.drop_events(2);
     ask(&server, &[(header::SALT, "9")]);
     expect_that!(news(&server, "after=1&wait_ms=0").first, eq(2));
     let whole = news(&server, "after=1&wait_ms=0&whole=true");
@@ -140,20 +140,20 @@
     let mut state = azureway_dev::engine::EngineState::new(&config.with_slots(1));
     let salt = Salt::from_number(7);
     let chain = BlockChain::new(salt, [b"house".as_slice()]);
-    let terms = |rank| azureway_dev::engine::Terms {
-        id: String::new(),
+    let terms = |rank| azureway_dev::engine::RequestTerms {
+        attempt_id: String::new(),
         salt,
         weights: WeightsVersion::new(1),
         incarnation: None,
-        resume: 0,
+        resume_position: 0,
         rank,
-        import: None,
+        import_from: None,
     };
-    let drafting = state.enter(&terms(Rank::Drafting), &chain);
-    let waiting = state.enter(&terms(Rank::Drafting), &chain);
+    let drafting = state.enqueue(&terms(Rank::Drafting), &chain);
+    let waiting = state.enqueue(&terms(Rank::Drafting), &chain);
     expect_true!(state.take_slot(&drafting));
-    let urgent = state.enter(&terms(Rank::Urgent), &chain);
-    state.leave(&drafting, drafting.uncached);
+    let urgent = state.enqueue(&terms(Rank::Urgent), &chain);
+    state.remove(&drafting, drafting.uncached);
     expect_false!(state.take_slot(&waiting));
     expect_true!(state.take_slot(&urgent));
     expect_that!(state.pending, eq(waiting.uncached + urgent.uncached));
--- a/azureway-dev/tests/listed.rs
+++ b/azureway-dev/tests/listed.rs
@@ -31,7 +31,7 @@
     let answer = request.send().expect("an answer");
     let refusal: ErrorBody = serde_json::from_slice(answer.as_bytes()).expect("a refusal");
     expect_that!(refusal.error.not_run, eq(true));
-    expect_that!(system.plains[0].ledger().most(), eq(0));
+    expect_that!(system.plain_services[0].run_counts().max_runs(), eq(0));
     entry.drain();
     system.drain();
 }
--- a/azureway-dev/tests/once.rs
+++ b/azureway-dev/tests/once.rs
@@ -66,7 +66,11 @@
 }
 
 fn runs(system: &System, key: &str) -> u32 {
-    system.plains.iter().map(|p| p.ledger().runs(key)).sum()
+    system
+        .plain_services
+        .iter()
+        .map(|p| p.run_counts().runs(key))
+        .sum()
 }
 
 #[gtest]
@@ -85,7 +89,7 @@
 #[gtest]
 fn an_order_whose_answer_was_lost_is_not_run_again_elsewhere() {
     let system = system(&layout());
-    system.plains[0].lose(1);
+    system.plain_services[0].lose_answers(1);
     let first = order(system.addresses()[0], "key-2");
     expect_that!(error(&first).not_run, eq(false));
     let again = order(system.addresses()[1], "key-2");
@@ -141,7 +145,7 @@
 fn a_claim_whose_answer_is_lost_is_known_again() {
     let system = system(&layout());
     system.platform.set_faults(PlatformFaults {
-        lost: 1,
+        lost_answers: 1,
         ..PlatformFaults::new()
     });
     let answer = order(system.addresses()[0], "key-4");
@@ -169,7 +173,7 @@
 
 #[gtest]
 fn a_service_that_checks_keys_itself_is_served_without_the_platform() {
-    let system = system(&layout().with_keyed());
+    let system = system(&layout().with_deduplication());
     system.platform.set_faults(PlatformFaults {
         outage: true,
         ..PlatformFaults::new()
@@ -178,7 +182,7 @@
     expect_that!(answer.status_code, eq(200));
     let again = order(system.addresses()[1], "key-6");
     expect_that!(again.status_code, eq(409));
-    expect_that!(system.plains[0].ledger().runs("key-6"), eq(1));
+    expect_that!(system.plain_services[0].run_counts().runs("key-6"), eq(1));
     system.platform.set_faults(PlatformFaults::new());
     system.drain();
 }
--- a/azureway-dev/tests/orders.rs
+++ b/azureway-dev/tests/orders.rs
@@ -7,12 +7,12 @@
 use azureway_config::settings::Bounds;
 use azureway_core::prelude::WeightsVersion;
 use azureway_dev::engine::{Engine, EngineConfig};
-use azureway_dev::http::StandIn;
+use azureway_dev::http::HttpServer;
 use azureway_dev::serve::{Layout, System};
 use googletest::prelude::*;
 use support::{GUARD, chat, post};
 
-fn order(engine: &StandIn, weights: u64, fencing: u64) -> u16 {
+fn order(engine: &HttpServer, weights: u64, fencing: u64) -> u16 {
     let url = format!("http://{}/v1/orders", engine.address());
     let body = format!(r#"{{"weights":{weights},"fencing":{fencing},"config":1}}"#);
     let request = minreq::post(url).with_timeout(GUARD.as_secs());
@@ -28,7 +28,7 @@
     let layout = Layout::new()
         .with_zones(&["kranj-a", "koper-a"])
         .with_engines(2);
-    let config = EngineConfig::new().with_load(std::time::Duration::from_millis(100));
+    let config = EngineConfig::new().with_load_time(std::time::Duration::from_millis(100));
     let system = System::start(&layout, &config, &Bounds::new()).expect("a system");
     system.wait_ready();
     let old = "[service advice]\npool = engines\n";
@@ -38,8 +38,8 @@
         .seed("config", "document", &system.document.replace(old, &new));
     let (wanted, mut numbers) = (WeightsVersion::new(2), Vec::new());
     for engine in &system.engines {
-        engine.wait(GUARD, |s| s.weights != wanted);
-        numbers.extend(engine.change(|s| s.orders.taken().to_vec()));
+        engine.wait_timeout(GUARD, |s| s.weights != wanted);
+        numbers.extend(engine.update(|s| s.orders.accepted().to_vec()));
     }
     expect_that!(numbers.iter().all(|(w, _)| *w == wanted), eq(true));
     expect_that!(numbers.iter().all(|(_, n)| *n == numbers[0].1), eq(true));
@@ -55,9 +55,9 @@
         (EngineConfig::new(), 202),
     ] {
         let engine = Arc::new(Engine::new(config));
-        let server = StandIn::start(Arc::clone(&engine)).expect("a server");
+        let server = HttpServer::start(Arc::clone(&engine)).expect("a server");
         expect_that!(order(&server, 2, 7), eq(202));
-        engine.wait(GUARD, |s| s.weights != WeightsVersion::new(2));
+        engine.wait_timeout(GUARD, |s| s.weights != WeightsVersion::new(2));
         expect_that!(order(&server, 1, 6), eq(expected));
     }
 }
--- a/azureway-dev/tests/path.rs
+++ b/azureway-dev/tests/path.rs
@@ -41,11 +41,14 @@
 #[gtest]
 fn an_order_whose_answer_is_lost_runs_once_and_is_reported_so() {
     let system = system();
-    system.plains[0].lose(1);
+    system.plain_services[0].lose_answers(1);
     let answer = post(&system, "/services/orders/new", "order 17");
     expect_that!(answer.status_code, eq(502));
     let body: ErrorBody = serde_json::from_slice(answer.as_bytes()).expect("an error");
     expect_that!(body.error.not_run, eq(false));
-    expect_that!(system.plains[0].ledger().runs("order 17"), eq(1));
+    expect_that!(
+        system.plain_services[0].run_counts().runs("order 17"),
+        eq(1)
+    );
     system.drain();
 }
--- a/azureway-dev/tests/platform.rs
+++ b/azureway-dev/tests/platform.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use azureway_core::prelude::Error;
-use azureway_dev::http::{Reply, Service, StandIn};
+use azureway_dev::http::{HttpServer, Reply, RequestHandler};
 use azureway_dev::platform::{Platform, PlatformFaults};
 use azureway_objects::{HttpObjects, ObjectApi, Put};
 use azureway_wire::object::ObjectBody;
@@ -64,7 +64,7 @@
 fn faults(word: &str) -> PlatformFaults {
     let mut faults = PlatformFaults::new();
     match word {
-        "lost" => faults.lost = 1,
+        "lost" => faults.lost_answers = 1,
         "outage" => faults.outage = true,
         "quota" => faults.quota = Some(1),
         _ => {}
@@ -75,7 +75,7 @@
 #[gtest]
 fn calls_end_as_the_table_says() {
     let platform = Arc::new(Platform::new());
-    let server = StandIn::start(Arc::clone(&platform)).expect("a free port");
+    let server = HttpServer::start(Arc::clone(&platform)).expect("a free port");
     let api = HttpObjects::new(server.address());
     for line in include_str!("../testdata/platform.txt").lines() {
         if let Some(word) = line.strip_prefix("fault ") {
@@ -93,8 +93,8 @@
 /// A platform that answers every call with the same status and text.
 struct Stubborn(u16, &'static str);
 
-impl Service for Stubborn {
-    fn answer(&self, request: Request) {
+impl RequestHandler for Stubborn {
+    fn handle(&self, request: Request) {
         Reply::text(request, self.0, self.1);
     }
 }
@@ -113,7 +113,7 @@
         (429, "", "Limited"),
     ];
     for (status, text, kind) in cases {
-        let server = StandIn::start(Arc::new(Stubborn(status, text))).expect("a free port");
+        let server = HttpServer::start(Arc::new(Stubborn(status, text))).expect("a free port");
         let api = HttpObjects::new(server.address());
         let error = api.get("config", "document").expect_err("an error");
         expect_that!(format!("{:?}", error.kind()), eq(kind), "{status} {text}");
--- a/azureway-dev/tests/streams.rs
+++ b/azureway-dev/tests/streams.rs
@@ -68,7 +68,7 @@
     let system = system(1, INTERVAL, &bounds());
     let mut stream = open_chat(&system, TOKENS);
     let mut answer = read_until(&mut stream, "id: 5\n");
-    busy(&system).silence();
+    busy(&system).stall_connections();
     answer.push_str(&read_all(&mut stream));
     expect_whole(&answer);
     system.drain();
@@ -80,7 +80,7 @@
     let mut stream = open_chat(&system, TOKENS);
     let mut answer = read_until(&mut stream, "id: 5\n");
     let engine = std::sync::Arc::clone(&system.engines[0]);
-    engine.close(true);
+    engine.set_rejecting(true);
     engine.crash();
     answer.push_str(&read_all(&mut stream));
     expect_that!(answer, contains_substring("event: error"));
--- a/azureway-dev/tests/support/mod.rs
+++ b/azureway-dev/tests/support/mod.rs
@@ -21,7 +21,7 @@
         .with_zones(&["kranj-a"])
         .with_engines(engines)
         .with_entries(1);
-    let engine = EngineConfig::new().with_interval(interval);
+    let engine = EngineConfig::new().with_token_interval(interval);
     let system = System::start(&layout, &engine, bounds).expect("the system starts");
     system.wait_ready();
     system
--- a/azureway-entry/tests/process.rs
+++ b/azureway-entry/tests/process.rs
@@ -154,7 +154,7 @@
         .with_zones(&["kranj-a"])
         .with_engines(1)
         .with_entries(0);
-    let engine = EngineConfig::new().with_interval(Duration::from_millis(10));
+    let engine = EngineConfig::new().with_token_interval(Duration::from_millis(10));
     System::start(&layout, &engine, &Bounds::new()).expect("the system starts")
 }
 
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -12,7 +12,7 @@
 
 use azureway_config::settings::{EntrySettings, SiteSettings};
 use azureway_core::prelude::*;
-use azureway_dev::http::StandIn;
+use azureway_dev::http::HttpServer;
 use azureway_dev::platform::Platform;
 use azureway_entry::admit::UpstreamRequest;
 use azureway_entry::caller::Head;
@@ -229,7 +229,7 @@
 pub struct SiteFixture {
     gateway: Gateway,
     ready: SocketAddr,
-    _platform: StandIn,
+    _platform: HttpServer,
 }
 
 /// An entry that is draining.
@@ -264,9 +264,10 @@
     }
 
     fn start_with(platform: Arc<Platform>, listen: SocketAddr) -> Result<Self, String> {
-        let stand_in = StandIn::start(platform).map_err(|e| e.to_string())?;
+        let platform_server = HttpServer::start(platform).map_err(|e| e.to_string())?;
         let (instance, zone) = (InstanceId::new("entry"), ZoneId::new("a"));
-        let settings = EntrySettings::new(instance, zone, stand_in.address()).with_listen(listen);
+        let settings =
+            EntrySettings::new(instance, zone, platform_server.address()).with_listen(listen);
         let site = SiteSettings {
             ready: "127.0.0.1:0".parse().expect("an address"),
             zones: Vec::new(),
@@ -283,7 +284,7 @@
         Ok(Self {
             ready: gateway.ready_address().expect("an address"),
             gateway,
-            _platform: stand_in,
+            _platform: platform_server,
         })
     }
 
