--- a/azureway-dev/tests/listed.rs
+++ b/azureway-dev/tests/listed.rs
@@ -9,7 +9,7 @@
 use azureway_entry::daemon::Entry;
 use azureway_wire::error::ErrorBody;
 use googletest::prelude::*;
-use support::{GUARD, KEY, system};
+use support::{KEY, TEST_TIMEOUT, system};
 
 /// An entry that starts when the list names the only till as leaving sends it nothing.
 #[gtest]
@@ -24,7 +24,7 @@
     entry.wait_ready();
     let url = format!("http://{}/services/orders/new", entry.address());
     let request = minreq::post(url)
-        .with_timeout(GUARD.as_secs())
+        .with_timeout(TEST_TIMEOUT.as_secs())
         .with_body("order 17");
     let request = request.with_header("azureway-deadline-ms", "200");
     let request = request.with_header("authorization", format!("Bearer {KEY}"));
--- a/azureway-dev/tests/once.rs
+++ b/azureway-dev/tests/once.rs
@@ -12,7 +12,7 @@
 use googletest::prelude::*;
 
 /// A guard against a hang, in seconds; no test's verdict depends on it.
-const GUARD: u64 = 60;
+const TEST_TIMEOUT: u64 = 60;
 
 /// A guard against a hang, in sendings.
 const RESENDS: u32 = 10_000;
@@ -45,7 +45,7 @@
 }
 
 fn post(request: minreq::Request, key: &str, body: &str) -> minreq::Response {
-    let request = request.with_timeout(GUARD).with_body(body);
+    let request = request.with_timeout(TEST_TIMEOUT).with_body(body);
     request
         .with_header("authorization", "Bearer wax-desk-key")
         .with_header("idempotency-key", key)
--- a/azureway-dev/tests/orders.rs
+++ b/azureway-dev/tests/orders.rs
@@ -10,12 +10,12 @@
 use azureway_dev::http::HttpServer;
 use azureway_dev::serve::{Layout, System};
 use googletest::prelude::*;
-use support::{GUARD, chat, post};
+use support::{TEST_TIMEOUT, chat, post};
 
 fn order(engine: &HttpServer, weights: u64, fencing: u64) -> u16 {
     let url = format!("http://{}/v1/orders", engine.address());
     let body = format!(r#"{{"weights":{weights},"fencing":{fencing},"config":1}}"#);
-    let request = minreq::post(url).with_timeout(GUARD.as_secs());
+    let request = minreq::post(url).with_timeout(TEST_TIMEOUT.as_secs());
     request
         .with_body(body)
         .send()
@@ -38,7 +38,7 @@
         .seed("config", "document", &system.document.replace(old, &new));
     let (wanted, mut numbers) = (WeightsVersion::new(2), Vec::new());
     for engine in &system.engines {
-        engine.wait_timeout(GUARD, |s| s.weights != wanted);
+        engine.wait_timeout(TEST_TIMEOUT, |s| s.weights != wanted);
         numbers.extend(engine.update(|s| s.orders.accepted().to_vec()));
     }
     expect_that!(numbers.iter().all(|(w, _)| *w == wanted), eq(true));
@@ -57,7 +57,7 @@
         let engine = Arc::new(Engine::new(config));
         let server = HttpServer::start(Arc::clone(&engine)).expect("a server");
         expect_that!(order(&server, 2, 7), eq(202));
-        engine.wait_timeout(GUARD, |s| s.weights != WeightsVersion::new(2));
+        engine.wait_timeout(TEST_TIMEOUT, |s| s.weights != WeightsVersion::new(2));
         expect_that!(order(&server, 1, 6), eq(expected));
     }
 }
--- a/azureway-dev/tests/outage.rs
+++ b/azureway-dev/tests/outage.rs
@@ -21,7 +21,7 @@
 /// Asks an entry for an answer and returns its status and its text.
 fn ask(entry: &Entry) -> (u16, String) {
     let url = format!("http://{}/v1/chat/completions", entry.address());
-    let request = minreq::post(url).with_timeout(support::GUARD.as_secs());
+    let request = minreq::post(url).with_timeout(support::TEST_TIMEOUT.as_secs());
     let request = request.with_header("authorization", format!("Bearer {KEY}"));
     let answer = request.with_body(chat(false, 2)).send().expect("an answer");
     (
--- a/azureway-dev/tests/support/mod.rs
+++ b/azureway-dev/tests/support/mod.rs
@@ -10,8 +10,8 @@
 use azureway_dev::engine::EngineConfig;
 use azureway_dev::serve::{Layout, System};
 
-/// A guard against a hang; no test's verdict depends on it.
-pub const GUARD: Duration = Duration::from_secs(60);
+/// The bound on a wait, so that a failing test cannot hang. No passing test depends on its value.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 /// A good API key.
 pub const KEY: &str = "wax-desk-key";
 
@@ -31,7 +31,7 @@
 pub fn post(system: &System, path: &str, body: &str) -> minreq::Response {
     let url = format!("http://{}{path}", system.addresses()[0]);
     let request = minreq::post(url)
-        .with_timeout(GUARD.as_secs())
+        .with_timeout(TEST_TIMEOUT.as_secs())
         .with_body(body);
     request
         .with_header("authorization", format!("Bearer {KEY}"))
@@ -55,7 +55,9 @@
 /// Opens a connection to an address.
 pub fn open_at(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(GUARD)).expect("a guard");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a guard");
     stream
 }
 
@@ -120,7 +122,9 @@
 }
 
 fn raw_answer(mut stream: TcpStream, answer: &[u8]) {
-    stream.set_read_timeout(Some(GUARD)).expect("a guard");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a guard");
     let mut request = Vec::new();
     let mut buffer = [0; 4096];
     while !is_whole(&request) {
