--- a/azureway-dev/benches/decisions.rs
+++ b/azureway-dev/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! The hot decisions.
+//! Benchmarks of the routing decisions and of the messages that feed them.
 
 use azureway_core::admit::{Demand, LimitShare};
 use azureway_core::prelude::{
@@ -12,16 +12,16 @@
 use divan::{Bencher, black_box};
 use prost::Message;
 
-/// The slots of a replica.
+/// The number of slots per replica.
 const SLOTS: u32 = 16;
-/// The events of a run.
+/// The number of events in one cache update.
 const BATCH: u64 = 100;
 
 fn main() {
     divan::main();
 }
 
-/// Routes and finishes a request among the replicas of one zone and pool.
+/// Routes and finishes a request among the replicas of one pool in one zone.
 #[divan::bench(args = [9, 100, 1_600])]
 fn route(bencher: Bencher<'_, '_>, replicas: usize) {
     let mut fixture = RouterFixture::new(FleetSize::new(replicas), SLOTS);
@@ -31,7 +31,7 @@
     });
 }
 
-/// Routes and finishes a request in the fleet that is designed for.
+/// Routes and finishes a request in a fleet of the design size.
 #[divan::bench]
 fn route_at_design_size(bencher: Bencher<'_, '_>) {
     let mut fixture = RouterFixture::new(FleetSize::DESIGN, SLOTS);
@@ -41,7 +41,8 @@
     });
 }
 
-/// Admits a request and takes the next one while 1,000 of 350 accounts wait.
+/// Finishes a request, which dispatches the next one, and queues another, with 1,000 requests from
+/// 350 accounts in the queue.
 #[divan::bench]
 fn admit(bencher: Bencher<'_, '_>) {
     let mut fixture = RouterFixture::new(FleetSize::new(1).with_accounts(350), 1);
@@ -57,7 +58,7 @@
     });
 }
 
-/// Takes in a run of 100 cache events.
+/// Applies an update of 100 cache events to the cache index.
 #[divan::bench(args = [10_000, 100_000, 1_000_000])]
 fn index_update(bencher: Bencher<'_, '_>, blocks: u64) {
     let mut index = BlockProbe::index(blocks);
@@ -78,7 +79,7 @@
     });
 }
 
-/// Looks a prompt of 6 blocks up at one replica.
+/// Looks up a prompt of 6 blocks at one replica.
 #[divan::bench(args = [10_000, 100_000, 1_000_000])]
 fn index_lookup(bencher: Bencher<'_, '_>, blocks: u64) {
     let mut index = BlockProbe::index(blocks);
@@ -94,14 +95,14 @@
     });
 }
 
-/// Parses the document of the fleet that is designed for.
+/// Parses the configuration document of a fleet of the design size.
 #[divan::bench]
 fn document_parse(bencher: Bencher<'_, '_>) {
     let text = FleetSize::DESIGN.document();
     bencher.bench_local(|| azureway_config::document::parse(&text, ConfigVersion::new(2)).is_ok());
 }
 
-/// Adopts the fleet that is designed for.
+/// Creates and applies a new configuration version of a fleet of the design size.
 #[divan::bench]
 fn document_adopt(bencher: Bencher<'_, '_>) {
     let mut fixture = RouterFixture::new(FleetSize::DESIGN, SLOTS);
@@ -112,7 +113,7 @@
     });
 }
 
-/// Takes in what a peer tells of 350 accounts.
+/// Records a peer's demand report on 350 accounts.
 #[divan::bench]
 fn peer_demand(bencher: Bencher<'_, '_>) {
     let accounts = (0..350).map(RouterFixture::account_id);
@@ -124,36 +125,36 @@
     bencher.bench_local(|| share.record(&demand, Timestamp::from_millis(1)));
 }
 
-/// Writes a heartbeat that tells of 8 members and 12 accounts.
+/// Encodes a heartbeat with updates on 8 members and the demand of 12 accounts.
 #[divan::bench]
 fn peer_encode(bencher: Bencher<'_, '_>) {
     let heartbeat = MembershipProbe::heartbeat(0, 8);
     bencher.bench_local(|| Heartbeat::from(black_box(&heartbeat)).encode_to_vec());
 }
 
-/// Reads a heartbeat that tells of 8 members and 12 accounts.
+/// Decodes a heartbeat with updates on 8 members and the demand of 12 accounts.
 #[divan::bench]
 fn peer_decode(bencher: Bencher<'_, '_>) {
     let bytes = Heartbeat::from(&MembershipProbe::heartbeat(0, 8)).encode_to_vec();
     bencher.bench_local(|| {
-        let heartbeat = Heartbeat::decode(black_box(bytes.as_slice())).expect("a heartbeat");
+        let heartbeat = Heartbeat::decode(black_box(bytes.as_slice())).expect("a valid heartbeat");
         azureway_core::prelude::Heartbeat::try_from(&heartbeat)
     });
 }
 
-/// Writes an engine's news of 100 events.
+/// Encodes an engine's feed message with 100 cache events.
 #[divan::bench]
 fn news_encode(bencher: Bencher<'_, '_>) {
     let message = engine_message();
     bencher.bench_local(|| serde_json::to_string(black_box(&message)));
 }
 
-/// Reads an engine's news of 100 events.
+/// Decodes an engine's feed message with 100 cache events.
 #[divan::bench]
 fn news_decode(bencher: Bencher<'_, '_>) {
-    let text = serde_json::to_string(&engine_message()).expect("news");
+    let text = serde_json::to_string(&engine_message()).expect("a valid message");
     bencher.bench_local(|| {
-        let decoded: EngineNews = serde_json::from_str(black_box(&text)).expect("news");
+        let decoded: EngineNews = serde_json::from_str(black_box(&text)).expect("a valid message");
         decoded.cache_ops().map(|ops| ops.len())
     });
 }
--- a/azureway-dev/benches/document.rs
+++ b/azureway-dev/benches/document.rs
@@ -1,4 +1,4 @@
-//! What the document costs an entry and an operator, at the size of the plan.
+//! Benchmarks of the configuration document at the planned fleet size.
 
 use std::fmt::Write as _;
 
@@ -7,18 +7,18 @@
 use azureway_core::prelude::*;
 use divan::{Bencher, black_box};
 
-/// The client accounts of the plan.
+/// The number of client accounts.
 const ACCOUNTS: u32 = 350;
-/// The model services of the plan.
+/// The number of model services.
 const SERVICES: u32 = 23;
-/// The backend servers of the plan.
+/// The number of backend servers.
 const SERVERS: u32 = 1_600;
 
 fn main() {
     divan::main();
 }
 
-/// Returns the document of the plan.
+/// Returns a configuration document of the planned size.
 fn document_text() -> String {
     let mut text = String::from("[ranks]\nfloor = 10\n\n[pool engines]\nloads = 2\n");
     for number in 0..SERVICES {
@@ -46,14 +46,14 @@
     format!("key of client {number}")
 }
 
-/// Reads and checks the document, as each entry does with each change.
+/// Parses and validates the document, as each entry does on every change.
 #[divan::bench]
 fn parse(bencher: Bencher<'_, '_>) {
     let text = document_text();
     bencher.bench_local(|| document::parse(black_box(&text), ConfigVersion::new(1)).is_ok());
 }
 
-/// Finds what one change did, as the command line does.
+/// Computes the difference between two versions of the document, as the command line does.
 #[divan::bench]
 fn difference(bencher: Bencher<'_, '_>) {
     let old = document_text();
@@ -70,10 +70,10 @@
     });
 }
 
-/// Finds the client account of an API key, as each request does.
+/// Looks up the client account of an API key, as for every request.
 #[divan::bench]
 fn account(bencher: Bencher<'_, '_>) {
-    let fleet = document::parse(&document_text(), ConfigVersion::new(1)).expect("a good document");
+    let fleet = document::parse(&document_text(), ConfigVersion::new(1)).expect("a valid document");
     let key = KeyHash::of(&api_key(17));
     bencher.bench_local(|| fleet.account_of(black_box(&key)).is_some());
 }
--- a/azureway-dev/src/bench/fleet_size.rs
+++ b/azureway-dev/src/bench/fleet_size.rs
@@ -1,24 +1,24 @@
-//! The size of a fleet.
+//! The dimensions of a generated fleet.
 
 use std::fmt::Write as _;
 
 use azureway_core::prelude::*;
 
-/// The size of a fleet.
+/// The dimensions of a generated fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// The replicas.
+    /// The number of replicas over all pools.
     pub replicas: usize,
-    /// The availability zones.
+    /// The number of availability zones.
     pub zones: usize,
-    /// The client accounts.
+    /// The number of client accounts.
     pub accounts: usize,
-    /// The models, each with a pool of its own.
+    /// The number of model services, each with its own pool.
     pub models: usize,
 }
 
 impl FleetSize {
-    /// The size that is designed for.
+    /// The fleet size that the router is designed for.
     pub const DESIGN: Self = Self {
         replicas: 1_600,
         zones: 7,
@@ -26,7 +26,7 @@
         models: 23,
     };
 
-    /// Creates the size of one pool in one zone with eight accounts.
+    /// Creates the size of a fleet with one pool in one zone and eight client accounts.
     pub const fn new(replicas: usize) -> Self {
         Self {
             replicas,
@@ -36,21 +36,21 @@
         }
     }
 
-    /// Sets the zones.
+    /// Sets the number of availability zones.
     #[must_use]
     pub const fn with_zones(mut self, zones: usize) -> Self {
         self.zones = zones;
         self
     }
 
-    /// Sets the client accounts.
+    /// Sets the number of client accounts.
     #[must_use]
     pub const fn with_accounts(mut self, accounts: usize) -> Self {
         self.accounts = accounts;
         self
     }
 
-    /// Returns the fleet, each replica with `slots` slots.
+    /// Creates the fleet at a configuration version, each replica with `slots` slots.
     pub fn fleet(&self, version: u64, slots: u32) -> Fleet {
         let mut fleet = Fleet::new().with_version(ConfigVersion::new(version));
         for number in 0..self.models {
@@ -68,12 +68,12 @@
         fleet
     }
 
-    /// Returns the document that defines the fleet.
+    /// Returns the configuration document that defines the fleet.
     pub fn document(&self) -> String {
         let mut text = String::new();
         for number in 0..self.models {
             let (pool, service) = (pool_id(number), service_id(number));
-            // Writing to a string does not fail.
+            // Writing to a `String` cannot fail.
             let _ = write!(text, "[pool {pool}]\n[service {service}]\npool = {pool}\n");
         }
         for number in 0..self.accounts {
@@ -95,23 +95,23 @@
         let id = server_id(number);
         let [high, low] = u16::try_from(number).unwrap_or(u16::MAX).to_be_bytes();
         let address = ([10, 0, high, low], 8_000).into();
-        // Zones and pools are drawn apart, so that each pool has replicas in each zone.
+        // Dividing by the number of zones first gives each pool replicas in each zone.
         let pool = pool_id(number / self.zones % self.models);
         BackendServer::new(id, pool, zone, address)
     }
 }
 
-/// Returns the name of a server.
+/// Returns the ID of a backend server.
 pub(super) fn server_id(number: usize) -> ServerId {
     ServerId::new(&format!("engine-{number:04}"))
 }
 
-/// Returns the name of an account.
+/// Returns the ID of a client account.
 pub(super) fn account_id(number: usize) -> AccountId {
     AccountId::new(&format!("account-{number:03}"))
 }
 
-/// Returns the name of a service.
+/// Returns the ID of a model service.
 pub(super) fn service_id(number: usize) -> ServiceId {
     ServiceId::new(&format!("model-{number:02}"))
 }
--- a/azureway-dev/src/bench/mod.rs
+++ b/azureway-dev/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! What benches and slopes share: fleets and requests of any size.
+//! Fleets and requests of configurable size, for the benches and the slopes.
 
 mod fleet_size;
 mod router_fixture;
--- a/azureway-dev/src/bench/router_fixture.rs
+++ b/azureway-dev/src/bench/router_fixture.rs
@@ -1,4 +1,4 @@
-//! A router with its clock.
+//! A router with a simulated clock.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use super::FleetSize;
 use super::fleet_size::{account_id, server_id, service_id};
 
-/// A router of the first zone of a fleet, with its clock.
+/// A router in the first zone of a fleet, with a simulated clock.
 #[derive(Debug)]
 pub struct RouterFixture {
-    /// The router.
+    /// The router under measurement.
     pub router: Router<PrefixLoad>,
     size: FleetSize,
     now: Timestamp,
@@ -18,19 +18,19 @@
     actions: Vec<Action>,
 }
 
-/// The time between two events.
+/// The simulated time between two events.
 const TICK: Duration = Duration::from_millis(1);
-/// The time that callers allow.
+/// The time from the arrival of a request to its deadline.
 const TIMEOUT: Duration = Duration::from_secs(86_400);
-/// The prompt tokens of a block.
+/// The number of prompt tokens in a block.
 const BLOCK_TOKENS: u64 = 2_000;
-/// The blocks of a prompt.
+/// The number of blocks in a prompt.
 const PROMPT_BLOCKS: u64 = 3;
-/// The prefixes that requests draw from.
+/// The number of distinct prompts.
 const PREFIXES: u64 = 64;
 
 impl RouterFixture {
-    /// Creates a router that has the fleet of `size` in force.
+    /// Creates a router configured with the fleet of `size`, each replica with `slots` slots.
     pub fn new(size: FleetSize, slots: u32) -> Self {
         let config = RouterConfig::new(ZoneId::new("zone-0")).with_queue_limit(usize::MAX);
         let mut fixture = Self {
@@ -45,7 +45,7 @@
         fixture
     }
 
-    /// Tells the router an event and returns the first order among what it wants done.
+    /// Handles an event and returns the first dispatch among the router's actions, if any.
     pub fn handle(&mut self, event: Event<'_>) -> Option<Dispatch> {
         self.now = self.now + TICK;
         self.router.handle(event, self.now, &mut self.actions);
@@ -53,13 +53,13 @@
         dispatches.next()
     }
 
-    /// Lets the next request arrive and returns the order that follows from it.
+    /// Submits the next request and returns the resulting dispatch, or `None` if it is queued.
     pub fn submit(&mut self) -> Option<Dispatch> {
         let request = self.next_request();
         self.handle(Event::Arrived(&request))
     }
 
-    /// Ends a try well and returns the order that follows from it.
+    /// Completes an attempt with success and returns the dispatch of a queued request, if any.
     pub fn finish(&mut self, dispatch: &Dispatch) -> Option<Dispatch> {
         self.handle(Event::Started(dispatch.attempt));
         self.handle(Event::Finished(&Finish {
@@ -69,14 +69,14 @@
         }))
     }
 
-    /// Lets a request arrive and end well, if a slot is free.
+    /// Submits a request and completes it with success if it is dispatched at once.
     pub fn run_request(&mut self) {
         if let Some(dispatch) = self.submit() {
             self.finish(&dispatch);
         }
     }
 
-    /// Returns the next request, whose account and prefix follow from its number.
+    /// Creates the next request. Its sequence number determines its account and its prompt.
     pub fn next_request(&mut self) -> Request {
         self.sequence += 1;
         let number = usize::try_from(self.sequence).unwrap_or(usize::MAX);
@@ -103,18 +103,18 @@
         }
     }
 
-    /// Returns the name of a server.
+    /// Returns the ID of the backend server with this number.
     pub fn server_id(number: usize) -> ServerId {
         server_id(number)
     }
 
-    /// Returns the name of an account.
+    /// Returns the ID of the client account with this number.
     pub fn account_id(number: usize) -> AccountId {
         account_id(number)
     }
 }
 
-/// Returns the blocks of a prompt from number `first` on.
+/// Returns the blocks of a prompt, numbered from `first`.
 fn blocks(first: u64) -> impl Iterator<Item = Block> {
     (first..first + PROMPT_BLOCKS).map(|number| Block {
         key: BlockKey::new(u128::from(number)),
--- a/azureway-dev/src/bench_relay/caller.rs
+++ b/azureway-dev/src/bench_relay/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of an engine or an entry.
+//! A blocking HTTP client of an engine or an entry.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,28 +9,28 @@
 
 use super::Timing;
 
-/// A caller of an engine or an entry.
+/// A blocking HTTP client of an engine or an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller {
     address: SocketAddr,
 }
 
-/// A good API key of the stand-in system.
+/// A valid API key of an account in the default [`Layout`](crate::serve::Layout).
 const API_KEY: &str = "wax-desk-key";
-/// The limit of a read.
+/// The timeout of one read from the connection.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Caller {
-    /// Creates a caller of `address`.
+    /// Creates a client of the server at `address`.
     pub const fn new(address: SocketAddr) -> Self {
         Self { address }
     }
 
-    /// Sends a request for a stream of `tokens` tokens.
+    /// Sends a request for a stream of `tokens` tokens and returns its connection.
     ///
     /// # Errors
     ///
-    /// Returns an error if the connection fails.
+    /// Returns an error if the connection or the write fails.
     pub fn open(&self, tokens: u64) -> Result<TcpStream> {
         let body = format!(
             r#"{{"model":"advice","stream":true,"max_tokens":{tokens},"messages":[{{"role":"system","content":"House rules"}}]}}"#
@@ -50,11 +50,11 @@
         Ok(stream)
     }
 
-    /// Asks for a stream of `tokens` tokens and reads it to its end.
+    /// Requests a stream of `tokens` tokens, reads it to its end and returns its latencies.
     ///
     /// # Errors
     ///
-    /// Returns an error if the connection fails or the stream does not end well.
+    /// Returns an error if the connection fails or the stream ends without `[DONE]`.
     pub fn call(&self, tokens: u64) -> Result<Timing> {
         let start = Instant::now();
         let reader = BufReader::new(self.open(tokens)?);
@@ -74,7 +74,7 @@
                 break;
             }
         }
-        ensure!(done, "the stream did not end well");
+        ensure!(done, "the stream ended without [DONE]");
         Ok(timing)
     }
 }
--- a/azureway-dev/src/bench_relay/command.rs
+++ b/azureway-dev/src/bench_relay/command.rs
@@ -13,23 +13,24 @@
 use crate::engine::EngineConfig;
 use crate::serve::{Layout, System};
 
-/// The calls one after the other.
+/// The number of calls made one after the other.
 const SERIAL_CALLS: usize = 200;
-/// The tokens of each.
+/// The number of tokens that each of these calls requests.
 const CALL_TOKENS: u64 = 20;
-/// The time between two tokens of the engine.
+/// The time that the engine takes for each output token.
 const TOKEN_INTERVAL: Duration = Duration::from_millis(5);
-/// The callers at once.
+/// The number of concurrent callers.
 const CALLERS: usize = 16;
-/// The calls of each of them.
+/// The number of calls by each concurrent caller.
 const CALLER_CALLS: usize = 100;
-/// The streams that are held at once.
+/// The number of streams held open at once.
 const STREAMS: u32 = 500;
-/// The tokens of a stream that is held; it ends by itself.
+/// The number of tokens of a held stream, which ends by itself after 5 s.
 const STREAM_TOKENS: u64 = 1_000;
-/// The time in which all streams must be under way.
+/// The limit on each wait for the engine. All held streams must start within it, before the first
+/// one ends.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(4);
-/// The slots of the engine.
+/// The number of slots of the engine.
 const SLOTS: u32 = 2_000;
 
 /// Returns the subcommand's arguments.
@@ -37,7 +38,7 @@
     Command::new("relay").about("Measures the relay path over loopback against direct calls")
 }
 
-/// Measures and prints the figures.
+/// Measures direct calls and calls through an entry, and prints the results.
 ///
 /// # Errors
 ///
@@ -53,8 +54,14 @@
     bounds.connections = SLOTS as usize;
     let system = System::start(&layout, &engine, &bounds)?;
     system.wait_ready();
-    let direct = *system.server_addresses().first().context("no engine")?;
-    let entry = *system.addresses().first().context("no entry")?;
+    let direct = *system
+        .server_addresses()
+        .first()
+        .context("the system has no engine")?;
+    let entry = *system
+        .addresses()
+        .first()
+        .context("the system has no entry")?;
     for (name, address) in [("direct", direct), ("through the entry", entry)] {
         measure(&system, name, address)?;
     }
@@ -87,7 +94,7 @@
     );
 }
 
-/// Returns the requests a second of callers that call at once.
+/// Returns the requests per second that concurrent callers complete.
 fn request_rate(caller: Caller) -> Result<f64> {
     let start = Instant::now();
     let run_calls = || (0..CALLER_CALLS).try_for_each(|_| caller.call(1).map(drop));
@@ -99,10 +106,10 @@
     Ok((CALLERS * CALLER_CALLS) as f64 / start.elapsed().as_secs_f64())
 }
 
-/// Holds streams open and prints the memory of each, the engine's and the caller's ends
-/// included.
+/// Holds streams open and prints the memory per stream, including that of the engine and of the
+/// caller.
 fn hold_streams(system: &System, caller: Caller) -> Result<()> {
-    let engine = system.engines.first().context("no engine")?;
+    let engine = system.engines.first().context("the system has no engine")?;
     engine.wait_timeout(WAIT_TIMEOUT, |s| s.running > 0);
     let before = ResidentMemory::now()?;
     let streams = (0..STREAMS).map(|_| caller.open(STREAM_TOKENS));
--- a/azureway-dev/src/bench_relay/mod.rs
+++ b/azureway-dev/src/bench_relay/mod.rs
@@ -1,4 +1,4 @@
-//! The relay path over loopback, measured against direct calls of an engine.
+//! A benchmark of the relay path over loopback against direct calls to an engine.
 
 mod caller;
 mod command;
--- a/azureway-dev/src/slopes/account_probe.rs
+++ b/azureway-dev/src/slopes/account_probe.rs
@@ -1,14 +1,15 @@
-//! Growth by client accounts.
+//! Growth of an entry's state with the client accounts.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
-/// Growth by client accounts: what an entry keeps of each once it has asked.
+/// Measures the state of an entry and the time to route a request by the client accounts that have
+/// sent a request.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountProbe;
 
-/// The requests whose routing is timed.
+/// The number of timed requests.
 const REQUESTS: u32 = 500;
 
 impl Probe for AccountProbe {
--- a/azureway-dev/src/slopes/block_probe.rs
+++ b/azureway-dev/src/slopes/block_probe.rs
@@ -1,4 +1,4 @@
-//! Growth by cached blocks.
+//! Growth of the cache index with the cached blocks.
 
 use azureway_core::prelude::*;
 
@@ -6,17 +6,18 @@
 use super::{Heap, Sample};
 use crate::bench::RouterFixture;
 
-/// Growth by cached blocks: what the index keeps, and taking in an event.
+/// Measures the memory of the cache index and the time to apply a cache event by the number of
+/// cached blocks.
 #[derive(Clone, Copy, Debug)]
 pub struct BlockProbe;
 
-/// The events that are timed.
+/// The number of timed events.
 const EVENTS: u32 = 10_000;
-/// The events of a run.
+/// The number of events in one cache update.
 const BATCH: u64 = 100;
 
 impl BlockProbe {
-    /// Creates an index of `size` blocks, of which each server holds an even part.
+    /// Creates an index with the first `size` blocks cached at server 0, up to a full last update.
     pub fn index(size: u64) -> CacheIndex {
         let bound = usize::try_from(size).unwrap_or(usize::MAX);
         let mut index = CacheIndex::new().with_bound(bound);
@@ -51,7 +52,7 @@
     }
 }
 
-/// Tells of a run of stored blocks from number `first` on.
+/// Applies one update that stores `BATCH` blocks, numbered from `first`.
 fn add_batch(index: &mut CacheIndex, server: &ServerId, first: u64) {
     let keys = (first..first + BATCH).map(|n| BlockKey::new(u128::from(n)));
     let ops: Vec<CacheOp> = keys.map(CacheOp::Stored).collect();
--- a/azureway-dev/src/slopes/cache_event_probe.rs
+++ b/azureway-dev/src/slopes/cache_event_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of an engine's news by cache events.
+//! Growth of an engine's feed message with its cache events.
 
 use azureway_core::prelude::*;
 use azureway_wire::engine::{CacheEvent, EngineNews};
@@ -6,11 +6,12 @@
 use super::Sample;
 use super::probe::{Probe, mean_nanos};
 
-/// Growth of an engine's news by the cache events in it: its bytes, and reading it.
+/// Measures the size and the decoding time of an engine's feed message by the number of its cache
+/// events.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheEventProbe;
 
-/// The messages whose reading is timed.
+/// The number of timed messages.
 const MESSAGES: u32 = 100;
 
 impl Probe for CacheEventProbe {
@@ -19,7 +20,7 @@
     const SIZES: [u64; 3] = [1, 10, 100];
 
     fn measure(size: u64) -> Sample {
-        // A key is a digest: its digits are all in use.
+        // Real keys are digests, so these are large numbers that encode at full length.
         let keys = (0..size).map(|n| BlockKey::new(u128::MAX - u128::from(n)));
         let events = keys.map(|k| CacheEvent::from(CacheOp::Stored(k)));
         let message = EngineNews {
--- a/azureway-dev/src/slopes/command.rs
+++ b/azureway-dev/src/slopes/command.rs
@@ -1,4 +1,4 @@
-//! The subcommand that prints the slopes.
+//! The subcommand that measures and prints the slopes.
 
 use clap::{ArgMatches, Command};
 
@@ -7,7 +7,7 @@
     InFlightProbe, LookupProbe, MembershipProbe, Probe, QueueProbe, ReplicaProbe, Slope,
 };
 
-/// The nanoseconds of a microsecond.
+/// The number of nanoseconds in a microsecond.
 const MICROSECOND: f64 = 1_000.0;
 
 /// Returns the subcommand's arguments.
@@ -16,7 +16,7 @@
         .about("Measures how state, messages, processor time and memory grow, as a table")
 }
 
-/// Measures and prints the slopes.
+/// Runs every probe and prints a table with one row for each.
 pub fn run(_: &ArgMatches) {
     println!(
         "| by | sizes | memory B a unit | message B at the smallest, a unit | operation | time, us, at each size |"
--- a/azureway-dev/src/slopes/demand_probe.rs
+++ b/azureway-dev/src/slopes/demand_probe.rs
@@ -1,4 +1,4 @@
-//! Growth by peers.
+//! Growth of the demand reports with the peers.
 
 use azureway_core::admit::{Demand, LimitShare};
 use azureway_core::prelude::*;
@@ -7,13 +7,14 @@
 use super::{Heap, Sample};
 use crate::bench::RouterFixture;
 
-/// Growth by peers that each tell what 350 client accounts ask for.
+/// Measures the memory of the demand reports and the time to record one by the number of peers,
+/// each of which reports the demand of 350 client accounts.
 #[derive(Clone, Copy, Debug)]
 pub struct DemandProbe;
 
-/// The client accounts.
+/// The number of client accounts in a report.
 const ACCOUNTS: usize = 350;
-/// The messages that are timed.
+/// The number of timed reports.
 const MESSAGES: u32 = 50;
 
 impl Probe for DemandProbe {
--- a/azureway-dev/src/slopes/document_probe.rs
+++ b/azureway-dev/src/slopes/document_probe.rs
@@ -1,4 +1,4 @@
-//! Growth by sections of the operators' document.
+//! Growth of the configuration document with its replicas.
 
 use azureway_core::prelude::*;
 
@@ -6,12 +6,12 @@
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
-/// Growth by replicas in the operators' document, beside 350 accounts and 23 models: its
-/// text, the fleet that it defines, and reading and adopting a change of it.
+/// Measures a configuration document with 350 accounts and 23 models by the number of replicas: the
+/// size of its text, the memory of the parsed fleet, and the time to parse and apply a change.
 #[derive(Clone, Copy, Debug)]
 pub struct DocumentProbe;
 
-/// The changes that are timed.
+/// The number of timed changes.
 const CHANGES: u32 = 10;
 
 impl Probe for DocumentProbe {
--- a/azureway-dev/src/slopes/heap.rs
+++ b/azureway-dev/src/slopes/heap.rs
@@ -1,28 +1,28 @@
-//! The memory that the program has allocated.
+//! The heap memory of the process.
 
 use std::alloc::System;
 
 use cap::Cap;
 
-/// Counts what is allocated; it limits nothing.
+/// Counts the allocated bytes, without a limit.
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
-/// The memory that the program had allocated at some time.
+/// The heap memory allocated at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct Heap {
     bytes: usize,
 }
 
 impl Heap {
-    /// Notes what is allocated now.
+    /// Records the number of bytes allocated now.
     pub fn now() -> Self {
         Self {
             bytes: ALLOCATOR.allocated(),
         }
     }
 
-    /// Returns the bytes that were allocated since and are still held.
+    /// Returns by how many bytes the heap has grown since, or zero if it has shrunk.
     pub fn growth(self) -> u64 {
         ALLOCATOR.allocated().saturating_sub(self.bytes) as u64
     }
--- a/azureway-dev/src/slopes/heartbeat_probe.rs
+++ b/azureway-dev/src/slopes/heartbeat_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of a heartbeat by the news in it.
+//! Growth of a heartbeat with its member updates.
 
 use azureway_wire::peer::Heartbeat;
 use prost::Message;
@@ -6,11 +6,12 @@
 use super::probe::{Probe, mean_nanos};
 use super::{MembershipProbe, Sample};
 
-/// Growth of a heartbeat that tells of 12 accounts by the members that it tells of.
+/// Measures the size and the codec time of a heartbeat with the demand of 12 accounts by the number
+/// of its member updates.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatProbe;
 
-/// The messages that are timed.
+/// The number of timed messages.
 const MESSAGES: u32 = 200;
 
 impl Probe for HeartbeatProbe {
--- a/azureway-dev/src/slopes/in_flight_probe.rs
+++ b/azureway-dev/src/slopes/in_flight_probe.rs
@@ -1,16 +1,16 @@
-//! Growth by requests in flight.
+//! Growth of an entry's state with the requests in flight.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
-/// Growth by requests in flight.
+/// Measures the state of an entry and the time to route a request by the requests in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightProbe;
 
-/// The requests whose routing is timed.
+/// The number of timed requests.
 const REQUESTS: u32 = 500;
-/// The slots of a replica, more than are taken.
+/// The number of slots per replica, high enough that no request is queued.
 const SLOTS: u32 = 100_000;
 
 impl Probe for InFlightProbe {
--- a/azureway-dev/src/slopes/lookup_probe.rs
+++ b/azureway-dev/src/slopes/lookup_probe.rs
@@ -1,4 +1,4 @@
-//! The time of a look-up by cached blocks.
+//! Growth of the cache lookup time with the cached blocks.
 
 use std::hint::black_box;
 
@@ -8,15 +8,15 @@
 use super::{BlockProbe, Sample};
 use crate::bench::RouterFixture;
 
-/// The time of a look-up of a prompt's blocks by the blocks of the index.
+/// Measures the time to look up a prompt's blocks by the number of blocks in the cache index.
 #[derive(Clone, Copy, Debug)]
 pub struct LookupProbe;
 
-/// The look-ups that are timed.
+/// The number of timed lookups.
 const LOOKUPS: u32 = 10_000;
-/// The blocks of a prompt.
+/// The number of blocks in a prompt.
 const PROMPT_BLOCKS: u64 = 6;
-/// The blocks from the start of one prompt to that of the next.
+/// The distance, in blocks, between the starts of successive prompts.
 const STRIDE: u64 = 7_919;
 
 impl Probe for LookupProbe {
--- a/azureway-dev/src/slopes/membership_probe.rs
+++ b/azureway-dev/src/slopes/membership_probe.rs
@@ -1,22 +1,22 @@
-//! Growth of the membership by peers.
+//! Growth of the membership state with the known peers.
 
 use azureway_core::prelude::*;
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 
-/// Growth of the membership by the peers that an instance knows of: its state, and taking in
-/// a heartbeat.
+/// Measures the membership state of an instance and the time to handle a heartbeat by the number of
+/// known peers.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipProbe;
 
-/// The heartbeats that are timed.
+/// The number of timed heartbeats.
 const HEARTBEATS: u32 = 200;
-/// The zones that the peers stand in.
+/// The number of availability zones over which the peers are distributed.
 const ZONES: u64 = 7;
 
 impl MembershipProbe {
-    /// Returns the peer of a number.
+    /// Returns the peer with this number.
     pub fn peer(number: u64) -> Instance {
         let id = InstanceId::new(&format!("zone-{}-entry-{number:03}", number % ZONES));
         let zone = ZoneId::new(&format!("zone-{}", number % ZONES));
@@ -25,7 +25,7 @@
             .with_incarnation(Incarnation::new(1_700_000_000_000))
     }
 
-    /// Returns the heartbeat of a peer that tells of `members` others and of 12 accounts.
+    /// Returns a peer's heartbeat with updates on `members` members and the demand of 12 accounts.
     pub fn heartbeat(number: u64, members: u64) -> Heartbeat {
         let alive = |n| GossipUpdate::Member(MemberUpdate::new(Self::peer(n), Liveness::Alive));
         let accounts =
--- a/azureway-dev/src/slopes/mod.rs
+++ b/azureway-dev/src/slopes/mod.rs
@@ -1,4 +1,4 @@
-//! How state, messages, processor time and memory grow with the size of what is served.
+//! Measurements of how memory, message sizes and operation times grow with the load.
 
 mod account_probe;
 mod block_probe;
--- a/azureway-dev/src/slopes/probe.rs
+++ b/azureway-dev/src/slopes/probe.rs
@@ -1,28 +1,28 @@
-//! Something whose growth is measured.
+//! The interface of a scaling measurement.
 
 use std::time::Instant;
 
 use super::Sample;
 
-/// Something whose growth is measured.
+/// A measurement that is repeated at several sizes.
 pub trait Probe {
-    /// What the size counts.
+    /// The unit of the size, as printed in the table.
     const UNIT: &'static str;
-    /// What one operation is.
+    /// The timed operation, as printed in the table.
     const OPERATION: &'static str;
-    /// The sizes that are measured, from small to large.
+    /// The sizes to measure, in ascending order.
     const SIZES: [u64; 3];
 
-    /// Measures at one size.
+    /// Takes a sample at one size.
     fn measure(size: u64) -> Sample;
 
-    /// Measures at every size.
+    /// Takes a sample at every size in `SIZES`.
     fn measure_all() -> [Sample; 3] {
         Self::SIZES.map(Self::measure)
     }
 }
 
-/// Returns the mean nanoseconds of `count` operations.
+/// Runs `operation` `count` times and returns its mean duration in nanoseconds.
 pub(super) fn mean_nanos(count: u32, mut operation: impl FnMut(u32)) -> f64 {
     let start = Instant::now();
     (0..count).for_each(&mut operation);
--- a/azureway-dev/src/slopes/queue_probe.rs
+++ b/azureway-dev/src/slopes/queue_probe.rs
@@ -1,16 +1,17 @@
-//! Growth by requests that wait.
+//! Growth of the queue with the waiting requests.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
-/// Growth by requests that wait: what the queue keeps, and taking the next one.
+/// Measures the memory of the queue and the time to queue a request and dispatch the next one by
+/// the number of queued requests.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueProbe;
 
-/// The requests that are taken from the queue.
+/// The number of timed requests.
 const REQUESTS: u32 = 200;
-/// The client accounts.
+/// The number of client accounts that the requests come from.
 const ACCOUNTS: usize = 350;
 
 impl Probe for QueueProbe {
--- a/azureway-dev/src/slopes/replica_probe.rs
+++ b/azureway-dev/src/slopes/replica_probe.rs
@@ -1,16 +1,17 @@
-//! Growth by replicas.
+//! Growth of an entry's state with the replicas of a pool.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
-/// Growth by replicas: what an entry keeps of each, and a decision among all of them.
+/// Measures the state of an entry and the time to route a request by the number of replicas to
+/// choose from.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaProbe;
 
-/// The requests whose routing is timed.
+/// The number of timed requests.
 const REQUESTS: u32 = 500;
-/// The slots of a replica.
+/// The number of slots per replica.
 const SLOTS: u32 = 16;
 
 impl Probe for ReplicaProbe {
--- a/azureway-dev/src/slopes/sample.rs
+++ b/azureway-dev/src/slopes/sample.rs
@@ -1,14 +1,14 @@
-//! One measurement of a probe.
+//! One measurement by a probe.
 
-/// One measurement of a probe.
+/// One measurement by a probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// The size.
+    /// The size that was measured, in units of the probe.
     pub size: u64,
-    /// The bytes of memory that the state of this size takes.
+    /// The heap memory of the state at this size, in bytes; zero if not measured.
     pub memory: u64,
-    /// The bytes of the messages that carry this size.
+    /// The length of the encoded message or document at this size, in bytes; zero if there is none.
     pub message: u64,
-    /// The nanoseconds of one operation at this size.
+    /// The mean duration of one operation at this size, in nanoseconds.
     pub time: f64,
 }
--- a/azureway-dev/src/slopes/slope.rs
+++ b/azureway-dev/src/slopes/slope.rs
@@ -1,20 +1,20 @@
-//! The growth from one unit to the next.
+//! The growth per unit, fitted to samples.
 
 use super::Sample;
 
-/// The growth from one unit to the next, by least squares over the samples.
+/// The growth per unit of size, as the slope of a least-squares line through the samples.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Slope {
-    /// The bytes of memory a unit.
+    /// The growth of the heap memory per unit, in bytes.
     pub memory: f64,
-    /// The bytes of messages a unit.
+    /// The growth of the message per unit, in bytes.
     pub message: f64,
-    /// The nanoseconds an operation grows by a unit.
+    /// The growth of an operation's duration per unit, in nanoseconds.
     pub time: f64,
 }
 
 impl Slope {
-    /// Fits a slope to samples.
+    /// Fits the slopes to samples of at least two different sizes.
     pub fn new(samples: &[Sample]) -> Self {
         Self {
             memory: fit(samples, |s| s.memory as f64),
@@ -24,6 +24,7 @@
     }
 }
 
+/// Returns the slope of the least-squares line of `value` over the size.
 fn fit(samples: &[Sample], value: impl Fn(&Sample) -> f64) -> f64 {
     let count = samples.len() as f64;
     let mean_size = samples.iter().map(|s| s.size as f64).sum::<f64>() / count;
