--- a/azureway-dev/src/generate/burst.rs
+++ b/azureway-dev/src/generate/burst.rs
@@ -1,26 +1,26 @@
-//! Requests that come on top of the usual ones for a while.
+//! A burst of additional requests.
 
 use std::ops::Range;
 
 use crate::trace::WorkKind;
 
-/// Requests that come on top of the usual ones for a while.
+/// A burst of requests in addition to the base load of a trace.
 #[derive(Clone, Debug)]
 pub struct Burst {
-    /// The seconds from which and up to which they come.
+    /// The start and the end of the burst, in seconds from the start of the trace.
     pub span: Range<f64>,
-    /// The requests a second.
+    /// The mean rate, in requests per second.
     pub rate: f64,
-    /// The kind, or `None` for the usual mix.
+    /// The kind of all its requests, or `None` for the usual mix.
     pub kind: Option<WorkKind>,
-    /// The place of the account, or `None` for any.
+    /// The index of the account of all its requests, or `None` for the usual mix.
     pub account: Option<usize>,
-    /// The name of a level that takes the place of the shop's context.
+    /// The name of a prompt level that replaces the shop's context in all its requests.
     pub hot_level: Option<&'static str>,
 }
 
 impl Burst {
-    /// Creates a burst of the usual mix.
+    /// Creates a burst with the usual mix of accounts and kinds.
     pub const fn new(span: Range<f64>, rate: f64) -> Self {
         Self {
             span,
@@ -31,21 +31,21 @@
         }
     }
 
-    /// Sets the kind.
+    /// Sets the kind of the requests.
     #[must_use]
     pub const fn with_kind(mut self, kind: WorkKind) -> Self {
         self.kind = Some(kind);
         self
     }
 
-    /// Sets the account.
+    /// Sets the index of the account.
     #[must_use]
     pub const fn with_account(mut self, account: usize) -> Self {
         self.account = Some(account);
         self
     }
 
-    /// Sets the hot level.
+    /// Sets the prompt level that replaces the shop's context.
     #[must_use]
     pub const fn with_hot_level(mut self, hot_level: &'static str) -> Self {
         self.hot_level = Some(hot_level);
--- a/azureway-dev/src/generate/case.rs
+++ b/azureway-dev/src/generate/case.rs
@@ -1,35 +1,35 @@
-//! The cases that traces are made for.
+//! The cases that traces are generated for.
 
 use std::fmt;
 
-/// A case that a trace is made for.
+/// A case that a trace is generated for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// A plain morning.
+    /// A base load without bursts or faults.
     PlainMorning,
-    /// The snow report turns hot, and then another one does.
+    /// A snow report becomes a hot prefix, and then another one replaces it.
     SnowReport,
-    /// More prefixes are in use than the caches hold.
+    /// More prefixes are in use than fit into the caches.
     Eviction,
-    /// Drafting floods in.
+    /// A burst of drafting requests.
     DraftingFlood,
-    /// Urgent work floods in.
+    /// A burst of urgent requests.
     UrgentFlood,
-    /// One account asks for far more than the rest.
+    /// A burst of requests of one account.
     LargeAccount,
-    /// Engines crash and come back empty.
+    /// Engines crash and restart with empty caches.
     Crash,
-    /// The entry restarts.
+    /// The entry restarts and loses its state.
     Restart,
-    /// New weights are rolled out.
+    /// A new weights version is rolled out.
     Rollout,
-    /// A request crashes each engine that runs it, and its caller sends it again.
+    /// A request that crashes every engine which runs it is sent repeatedly.
     Poison,
-    /// The other zones are cut off.
+    /// The links to the other zones are cut for a time.
     Cut,
-    /// The platform is away for the whole trace, and the entry restarts.
+    /// The platform is down for the whole trace, and the entry restarts.
     PlatformAway,
-    /// The other zones stand in other regions, and some urgent work comes on top.
+    /// The zones are in different regions, with a small burst of urgent requests.
     Regions,
 }
 
@@ -51,12 +51,12 @@
         Self::Regions,
     ];
 
-    /// Returns the case that `text` names.
+    /// Returns the case with the given name.
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|c| c.as_str() == text)
     }
 
-    /// Returns the name.
+    /// Returns the name, which is also the name of the trace file.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::PlainMorning => "plain-morning",
--- a/azureway-dev/src/generate/command.rs
+++ b/azureway-dev/src/generate/command.rs
@@ -1,4 +1,4 @@
-//! The subcommand that generates traces.
+//! The `generate` subcommand.
 
 use std::fs;
 use std::path::Path;
@@ -8,7 +8,7 @@
 
 use super::{Case, Generator};
 
-/// Returns the subcommand's arguments.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     let names = Case::ALL.map(Case::as_str);
     Command::new("generate")
@@ -27,21 +27,23 @@
         )
 }
 
-/// Generates traces.
+/// Generates the traces of the selected cases and writes them to a folder.
 ///
 /// # Errors
 ///
 /// Returns an error if a file cannot be written.
 pub fn run(matches: &ArgMatches) -> Result<()> {
-    let folder: &String = matches.get_one("FOLDER").context("no folder")?;
-    let one = matches.get_one::<String>("case");
-    let chosen = |case: &Case| one.is_none_or(|o| o == case.as_str());
-    for case in Case::ALL.into_iter().filter(chosen) {
+    let folder: &String = matches
+        .get_one("FOLDER")
+        .context("the argument FOLDER is missing")?;
+    let only = matches.get_one::<String>("case");
+    let selected = |case: &Case| only.is_none_or(|o| o == case.as_str());
+    for case in Case::ALL.into_iter().filter(selected) {
         let seed = matches.get_one("seed").copied();
         let trace = Generator::new(case, seed.unwrap_or(case.seed())).generate();
         let file = Path::new(folder).join(format!("{case}.trace"));
-        let written = fs::write(&file, trace.to_string());
-        written.with_context(|| format!("write {}", file.display()))?;
+        let result = fs::write(&file, trace.to_string());
+        result.with_context(|| format!("cannot write {}", file.display()))?;
     }
     Ok(())
 }
--- a/azureway-dev/src/generate/generator.rs
+++ b/azureway-dev/src/generate/generator.rs
@@ -1,4 +1,4 @@
-//! The generator of traces.
+//! The trace generator.
 
 use std::ops::Range;
 
@@ -8,7 +8,7 @@
 use super::{Burst, Case, Population, Workload};
 use crate::trace::{Header, PeerRequest, PromptLevels, Record, Trace, TraceRequest};
 
-/// The generator of traces. The same case and seed give the same trace.
+/// The trace generator. It returns the same trace for the same case and seed.
 #[derive(Debug)]
 pub struct Generator {
     workload: Workload,
@@ -17,17 +17,18 @@
     trace: Trace,
 }
 
-/// The availability zones.
+/// The names of the availability zones.
 const ZONES: [&str; 3] = ["kranj-a", "maribor-a", "koper-a"];
-/// The engines of a zone.
+/// The number of engines in each zone.
 const ENGINES: usize = 3;
-/// The share of the other entries' requests that go elsewhere than their prefix prefers.
-const STRAY_SHARE: f64 = 0.2;
-/// The milliseconds of a second.
+/// The share of the requests of other entries that go to a random engine, not to the one that
+/// their prefix prefers.
+const RANDOM_SHARE: f64 = 0.2;
+/// The number of milliseconds in a second.
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
 impl Generator {
-    /// Creates a generator.
+    /// Creates a generator for a case.
     pub fn new(case: Case, seed: u64) -> Self {
         let workload = Workload::for_case(case);
         let header = Header {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Makes the trace.
+    /// Generates the trace.
     pub fn generate(mut self) -> Trace {
         self.trace.levels = self.population.levels(&mut self.rng);
         let span = 0.0..self.workload.seconds;
@@ -55,9 +56,9 @@
         for burst in self.workload.bursts.clone() {
             self.add_burst(&burst);
         }
-        self.add_others(span.clone(), 0, self.workload.zone_rate);
+        self.add_peer_requests(span.clone(), 0, self.workload.zone_rate);
         for zone in 1..ZONES.len() {
-            self.add_others(span.clone(), zone, self.workload.outside_rate);
+            self.add_peer_requests(span.clone(), zone, self.workload.outside_rate);
         }
         self.add_incidents();
         self.trace.records.sort_by_key(|(at, _)| *at);
@@ -77,25 +78,27 @@
     }
 
     fn draw_request(&mut self, account: Option<usize>, burst: &Burst) -> TraceRequest {
-        self.population.request(&mut self.rng, account, burst.kind)
+        self.population
+            .random_request(&mut self.rng, account, burst.kind)
     }
 
-    fn add_others(&mut self, span: Range<f64>, zone: usize, rate: f64) {
+    fn add_peer_requests(&mut self, span: Range<f64>, zone: usize, rate: f64) {
         let numbers = 1..=ENGINES;
         let names = numbers.map(|n| Header::engine_name(ZONES[zone], n));
         let servers: Vec<ServerId> = names.map(|n| ServerId::new(&n)).collect();
         for at in self.times(&span, rate) {
-            let request = self.population.request(&mut self.rng, None, None);
+            let request = self.population.random_request(&mut self.rng, None, None);
             let server = self.pick_engine(&servers, &request).as_str().to_owned();
             let record = Record::PeerRequest(PeerRequest { server, request });
             self.trace.records.push((at, record));
         }
     }
 
-    /// Picks the engine that an entry which knows nothing but the prefix would take, as a rule.
+    /// Picks the engine of an entry that knows only the prefix, by rendezvous hashing. A share of
+    /// the requests gets a random engine.
     fn pick_engine<'a>(&mut self, servers: &'a [ServerId], request: &TraceRequest) -> &'a ServerId {
-        let is_stray = self.rng.f64() < STRAY_SHARE;
-        let hash = if is_stray {
+        let is_random = self.rng.f64() < RANDOM_SHARE;
+        let hash = if is_random {
             self.rng.u64(..)
         } else {
             prefix_hash(request)
@@ -109,14 +112,14 @@
         let incidents = self.workload.incidents.drain(..);
         let records = incidents.map(|(at, i)| (at, Record::Incident(i)));
         self.trace.records.extend(records);
-        let mut poison = self.population.request(&mut self.rng, Some(1), None);
+        let mut poison = self.population.random_request(&mut self.rng, Some(1), None);
         poison.poison = true;
         let times = self.workload.poison_times.drain(..);
         let records = times.map(|at| (at, Record::Request(poison.clone())));
         self.trace.records.extend(records);
     }
 
-    /// Draws arrival times in milliseconds, with exponential times between them.
+    /// Returns random arrival times in milliseconds, with exponentially distributed intervals.
     fn times(&mut self, span: &Range<f64>, rate: f64) -> Vec<u64> {
         let mut at = span.start;
         let mut times = Vec::new();
@@ -130,7 +133,7 @@
     }
 }
 
-/// Digests the levels that place a request.
+/// Returns a hash of the shared prefix that a request is routed by.
 fn prefix_hash(request: &TraceRequest) -> u64 {
     let prefix = request.levels.iter().take(2);
     let bytes = prefix.flat_map(|l| l.bytes());
@@ -139,11 +142,11 @@
     })
 }
 
-/// Returns the levels that some request names.
+/// Returns the prompt levels that at least one request uses.
 fn used_levels(trace: &Trace) -> PromptLevels {
     let requests = trace.records.iter().filter_map(|(_, record)| match record {
         Record::Request(request) => Some(request),
-        Record::PeerRequest(other) => Some(&other.request),
+        Record::PeerRequest(peer) => Some(&peer.request),
         Record::Incident(_) => None,
     });
     let mut levels = PromptLevels::new();
--- a/azureway-dev/src/generate/mod.rs
+++ b/azureway-dev/src/generate/mod.rs
@@ -1,4 +1,4 @@
-//! The seeded generator of traces.
+//! The seeded generator of traces for the replay.
 
 mod burst;
 mod case;
--- a/azureway-dev/src/generate/population.rs
+++ b/azureway-dev/src/generate/population.rs
@@ -1,17 +1,17 @@
-//! The accounts of a trace, with their shops and notes.
+//! The client accounts of a generated trace.
 
 use fastrand::Rng;
 
 use super::Workload;
 use crate::trace::{PromptLevels, TraceRequest, WorkKind};
 
-/// The accounts of a trace, with their shops and notes.
+/// The client accounts of a generated trace, with their shops and the notes of each shop.
 #[derive(Clone, Debug)]
 pub struct Population {
     shops: usize,
 }
 
-/// The accounts, with the share in percent that each has in the requests.
+/// The accounts with their shares of the requests, in percent.
 const ACCOUNT_SHARES: [(&str, u32); 8] = [
     ("alpska", 32),
     ("bohinj", 22),
@@ -22,17 +22,17 @@
     ("pokljuka", 5),
     ("rogla", 3),
 ];
-/// The accounts that are large.
+/// The number of large accounts, which come first.
 const LARGE_ACCOUNTS: usize = 3;
-/// The shops of an account that is not large.
+/// The number of shops of an account that is not large.
 const SMALL_SHOPS: usize = 2;
-/// The notes of a shop.
+/// The number of notes of a shop.
 const SHOP_NOTES: usize = 2;
-/// The tokens of the house instructions.
+/// The length of the instructions of an account, in tokens.
 const INSTRUCTION_TOKENS: u64 = 2_000;
-/// The tokens of a snow report.
+/// The length of a snow report, in tokens.
 const REPORT_TOKENS: u64 = 4_000;
-/// The kinds of work with their share in percent.
+/// The kinds of work with their shares of the requests, in percent.
 const KIND_SHARES: [(WorkKind, u32); 5] = [
     (WorkKind::Advice, 30),
     (WorkKind::Quotation, 15),
@@ -57,7 +57,7 @@
             .collect()
     }
 
-    /// Returns the levels, with lengths drawn from `rng`.
+    /// Returns all prompt levels, with random lengths.
     pub fn levels(&self, rng: &mut Rng) -> PromptLevels {
         let mut levels = PromptLevels::new();
         for report in ["snow1", "snow2"] {
@@ -75,8 +75,8 @@
         levels
     }
 
-    /// Draws a request of any account and kind, or of the given ones.
-    pub fn request(
+    /// Returns a random request, of the given account and kind if there are any.
+    pub fn random_request(
         &self,
         rng: &mut Rng,
         account: Option<usize>,
@@ -127,7 +127,7 @@
     format!("n{account}.{shop}.{note}")
 }
 
-/// Draws an index by the shares.
+/// Returns a random index, with probabilities in proportion to `shares`.
 fn weighted_index<const N: usize>(rng: &mut Rng, shares: &[u32; N]) -> usize {
     let total: u32 = shares.iter().sum();
     let mut rest = rng.u32(..total);
@@ -150,7 +150,7 @@
     }
 }
 
-/// Returns the time to first token that callers allow, in milliseconds.
+/// Returns the longest time to first token that callers accept, in milliseconds.
 const fn ttft_limit(kind: WorkKind) -> u64 {
     match kind {
         WorkKind::Advice | WorkKind::Quotation => 2_000,
--- a/azureway-dev/src/generate/workload.rs
+++ b/azureway-dev/src/generate/workload.rs
@@ -1,37 +1,39 @@
-//! How much of what a trace holds.
+//! The workload of a generated trace.
 
 use super::{Burst, Case};
 use crate::trace::{Incident, WorkKind};
 
-/// How much of what a trace holds.
+/// The parameters that a trace is generated from.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// The seconds that the trace lasts.
+    /// The duration of the trace, in seconds.
     pub seconds: f64,
-    /// The requests a second that this entry gets.
+    /// The rate of requests to the replayed entry, in requests per second.
     pub entry_rate: f64,
-    /// The requests a second that other entries send to the engines of this zone.
+    /// The rate of requests from other entries to the engines of the first zone, in requests per
+    /// second.
     pub zone_rate: f64,
-    /// The requests a second that other entries send to the engines of another zone.
+    /// The rate of requests from other entries to the engines of each other zone, in requests per
+    /// second.
     pub outside_rate: f64,
-    /// The regions that the zones stand in.
+    /// The region of each zone.
     pub regions: [&'static str; 3],
-    /// The microseconds one way to another zone.
+    /// The one-way latency to another zone, in microseconds.
     pub link_latency: u64,
-    /// The blocks that an engine's cache holds.
+    /// The capacity of an engine's prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// The shops of a large account.
+    /// The number of shops of a large account.
     pub shops: usize,
-    /// What comes on top.
+    /// The bursts in addition to the base load.
     pub bursts: Vec<Burst>,
-    /// What happens, at a time in milliseconds.
+    /// The incidents with their times in milliseconds.
     pub incidents: Vec<(u64, Incident)>,
-    /// The milliseconds at which a poison request is sent.
+    /// The times at which the poison request is sent, in milliseconds.
     pub poison_times: Vec<u64>,
 }
 
 impl Workload {
-    /// Creates the workload of a plain minute.
+    /// Creates a workload of one minute of base load.
     pub const fn new() -> Self {
         Self {
             seconds: 60.0,
@@ -112,7 +114,8 @@
     ]
 }
 
-/// Loads the third engine of each zone, turns to the new weights and loads the others.
+/// Loads the new weights at the third engine of each zone, changes the configuration to them
+/// and then loads them at the other engines.
 fn rollout() -> Vec<(u64, Incident)> {
     let load = |at: u64, zone: &str, number: u64| {
         let server = format!("{zone}-a-engine-{number}");
