--- a/azureway-dev/tests/listed.rs
+++ b/azureway-dev/tests/listed.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances reaches the decisions.
+//! Tests that the platform's list of instances reaches the routing decisions.
 
 mod support;
 
@@ -11,15 +11,16 @@
 use googletest::prelude::*;
 use support::{KEY, TEST_TIMEOUT, system};
 
-/// An entry that starts when the list names the only till as leaving sends it nothing.
+/// An entry started while the list names the only plain service instance as leaving sends it no
+/// request.
 #[gtest]
-fn a_plain_service_that_the_list_names_as_leaving_gets_no_new_work() {
+fn plain_service_listed_as_leaving_gets_no_requests() {
     let system = system(1, Duration::ZERO, &Bounds::new());
     let body = r#"{"role":"backend","zone":"kranj-a","address":"127.0.0.1:1","leaving":true}"#;
     system.platform.seed("instance", "kranj-a-till", body);
     let (instance, zone) = (InstanceId::new("late"), ZoneId::new("kranj-a"));
     let settings = EntrySettings::new(instance, zone, system.platform_address());
-    // The list is read before the document, so what is in force knows it.
+    // The entry reads the list before the document, so the first configuration includes it.
     let entry = Entry::start(&settings).expect("the entry starts");
     entry.wait_ready();
     let url = format!("http://{}/services/orders/new", entry.address());
--- a/azureway-dev/tests/outcome.rs
+++ b/azureway-dev/tests/outcome.rs
@@ -1,11 +1,11 @@
-//! Stated outcomes and what falls short of them.
+//! Tests of bounds, known shortfalls and violation counts.
 
 use azureway_core::prelude::{LeastLoaded, Policy, PrefixHash, RoundRobin};
 use azureway_dev::outcome::{KnownShortfalls, Outcomes};
 use azureway_dev::replay::{Summary, Tally, Violations};
 use googletest::prelude::*;
 
-/// A product that is better than one baseline and worse than another.
+/// Returns the summaries of a product that is better than one baseline and worse than another.
 fn summaries() -> Vec<Summary> {
     let summary = |policy, hit_rate, retries| Summary {
         hit_rate,
@@ -20,7 +20,7 @@
 }
 
 #[gtest]
-fn a_bound_is_held_against_numbers_baselines_and_measures() {
+fn bounds_compare_with_numbers_baselines_and_measures() {
     let cases: [(&str, &[&str]); 8] = [
         ("hit >= 50", &[]),
         ("hit >= 50.5", &["hit is 50.0, not >= 50.5 (the bound)"]),
@@ -43,17 +43,17 @@
             &["hit is 50.0, not <= 3.0 (retries)"],
         ),
     ];
-    for (stated, short) in cases {
-        let outcomes: Outcomes = stated.parse().expect(stated);
+    for (bound, expected) in cases {
+        let outcomes: Outcomes = bound.parse().expect(bound);
         let found = outcomes.check(&summaries());
         let found: Vec<String> = found.iter().map(ToString::to_string).collect();
-        expect_that!(found, eq(short), "{stated}");
+        expect_that!(found, eq(expected), "{bound}");
     }
 }
 
 #[gtest]
-fn a_line_that_is_no_bound_is_a_fault() {
-    for stated in [
+fn invalid_bounds_are_rejected() {
+    for bound in [
         "hit",
         "hit >= often",
         "luck >= 1",
@@ -61,8 +61,8 @@
         "hit >= 1 2",
         "hit >= 1 or",
     ] {
-        let outcomes: anyhow::Result<Outcomes> = stated.parse();
-        expect_that!(outcomes.is_err(), eq(true), "{stated}");
+        let outcomes: anyhow::Result<Outcomes> = bound.parse();
+        expect_that!(outcomes.is_err(), eq(true), "{bound}");
     }
 }
 
@@ -70,14 +70,17 @@
 fn only_listed_shortfalls_of_the_same_trace_are_known() {
     let listed = "replay crash: hit wasted\n  seen: hit 50\nreplay cut: retries\n";
     let outcomes: Outcomes = "hit >= 51\nretries < 3".parse().expect("bounds");
-    let short = outcomes.check(&summaries());
+    let shortfalls = outcomes.check(&summaries());
     let known = KnownShortfalls::for_trace("crash", listed);
     expect_that!(
-        short.iter().map(|s| known.contains(s)).collect::<Vec<_>>(),
+        shortfalls
+            .iter()
+            .map(|s| known.contains(s))
+            .collect::<Vec<_>>(),
         eq(&vec![true, false])
     );
     let resolved: Vec<String> = known
-        .resolved(&short)
+        .resolved(&shortfalls)
         .iter()
         .map(ToString::to_string)
         .collect();
@@ -85,7 +88,7 @@
 }
 
 #[gtest]
-fn every_broken_promise_counts() {
+fn violations_of_all_guarantees_are_added_up() {
     let mut all = Violations {
         duplicate_runs: 1,
         false_refusals: 1,
@@ -100,7 +103,7 @@
 }
 
 #[gtest]
-fn a_request_that_got_no_token_is_the_slowest() {
+fn request_without_a_token_counts_as_the_slowest() {
     let text = "seed 1\nzones a\nregions r\nengines 1\naccounts x\nblocks 4\nlink 1\nlevel h 100\n0 crash a-engine-1 900000\n1 ask x advice 1 1000 5 h 10\n";
     let trace = text.parse().expect("a trace");
     let tally = azureway_dev::replay::replay_trace::<LeastLoaded>(&trace);
--- a/azureway-dev/tests/replay.rs
+++ b/azureway-dev/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Traces and their replay.
+//! Tests of the trace format, the trace generator and the replay.
 
 use azureway_core::prelude::{PrefixLoad, RoundRobin};
 use azureway_dev::generate::{Case, Generator};
@@ -16,15 +16,15 @@
 }
 
 #[gtest]
-fn the_committed_traces_are_what_the_generator_makes() {
+fn committed_traces_equal_generated_traces() {
     for case in Case::ALL {
-        let made = Generator::new(case, case.seed()).generate();
-        expect_that!(made.to_string(), eq(&committed(case)), "{case}");
+        let generated = Generator::new(case, case.seed()).generate();
+        expect_that!(generated.to_string(), eq(&committed(case)), "{case}");
     }
 }
 
 #[gtest]
-fn a_trace_is_read_as_it_was_written() {
+fn traces_keep_their_text_when_parsed_and_printed() {
     for case in Case::ALL {
         let text = committed(case);
         let trace: Trace = text.parse().expect("a trace");
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn a_trace_with_a_fault_is_not_read() {
+fn invalid_traces_are_rejected_with_the_reason() {
     let cases = [
         ("seed x", "line 1"),
         ("level a 1\n5 ask acct advice 1 2 3 b 4", "not defined"),
@@ -46,27 +46,27 @@
         ("5 ask acct advice", "seven words"),
     ];
     for (text, fault) in cases {
-        let read: anyhow::Result<Trace> = text.parse();
-        let error = format!("{:#}", read.expect_err(text));
+        let parsed: anyhow::Result<Trace> = text.parse();
+        let error = format!("{:#}", parsed.expect_err(text));
         expect_that!(error, contains_substring(fault));
     }
 }
 
 #[gtest]
-fn two_replays_count_the_same() {
+fn replay_is_deterministic() {
     let trace: Trace = committed(Case::Crash).parse().expect("a trace");
-    let play = || Summary::new("p", &ReplayDriver::<PrefixLoad>::new(&trace).play(|_| {}));
-    expect_that!(play(), eq(&play()));
+    let replay = || Summary::new("p", &ReplayDriver::<PrefixLoad>::new(&trace).run(|_| {}));
+    expect_that!(replay(), eq(&replay()));
 }
 
 #[gtest]
-fn every_request_is_counted_once() {
+fn every_request_has_one_log_and_an_answer_or_refusal() {
     let trace: Trace = committed(Case::Restart).parse().expect("a trace");
-    let asked = |(_, r): &&(u64, azureway_dev::trace::Record)| {
+    let is_request = |(_, r): &&(u64, azureway_dev::trace::Record)| {
         matches!(r, azureway_dev::trace::Record::Request(_))
     };
-    let asks = trace.records.iter().filter(asked).count();
-    let tally = ReplayDriver::<RoundRobin>::new(&trace).play(|_| {});
-    expect_that!(tally.logs.len(), eq(asks));
+    let requests = trace.records.iter().filter(is_request).count();
+    let tally = ReplayDriver::<RoundRobin>::new(&trace).run(|_| {});
+    expect_that!(tally.logs.len(), eq(requests));
     expect_that!(tally.violations.unanswered, eq(0));
 }
