--- a/azureway-core/tests/claims/main.rs
+++ b/azureway-core/tests/claims/main.rs
@@ -48,15 +48,15 @@
 
 /// Checks the invariants that must hold after every event.
 fn check(world: &World) {
-    for submission in world.submissions.values() {
+    for request in world.requests.values() {
         assert!(
-            world.count_runs(&submission.key) <= 1,
+            world.count_runs(&request.key) <= 1,
             "key {} ran twice",
-            submission.key
+            request.key
         );
-        if let CallerResult::Refused(refusal) = &submission.result {
+        if let CallerResult::Refused(refusal) = &request.result {
             assert!(
-                !(refusal.not_run && submission.ran),
+                !(refusal.not_run && request.ran),
                 "refused as not run, but it ran"
             );
             let duplicate = refusal.reason == RefusalReason::Duplicate;
@@ -65,9 +65,9 @@
                 "a duplicate refused as not run"
             );
         }
-        if submission.result == CallerResult::ReplayedAnswer {
+        if request.result == CallerResult::ReplayedAnswer {
             assert_eq!(
-                world.count_runs(&submission.key),
+                world.count_runs(&request.key),
                 1,
                 "a replayed answer without a run"
             );
@@ -87,12 +87,9 @@
             apply(&mut world, step);
             check(&world);
         }
-        let mut submissions: Vec<_> = world.submissions.iter().collect();
-        submissions.sort_by_key(|(id, _)| id.sequence());
-        let results: Vec<_> = submissions
-            .iter()
-            .map(|(_, s)| describe(&s.result))
-            .collect();
+        let mut requests: Vec<_> = world.requests.iter().collect();
+        requests.sort_by_key(|(id, _)| id.sequence());
+        let results: Vec<_> = requests.iter().map(|(_, r)| describe(&r.result)).collect();
         expect_that!(world.count_runs("k").to_string(), eq(columns[3]), "{row}");
         expect_that!(results.join(" "), eq(columns[4]), "{row}");
     }
@@ -113,9 +110,9 @@
     expect_that!(world.call_count, le((3 + 600 * 10 / 25 + 10) * 4));
     expect_that!(
         world
-            .submissions
+            .requests
             .values()
-            .all(|s| describe(&s.result) == "claim_unavailable+"),
+            .all(|r| describe(&r.result) == "claim_unavailable+"),
         eq(true)
     );
     apply(&mut world, "heal a");
@@ -123,8 +120,8 @@
     world.send(0, "after", "body");
     world.serve_calls(0);
     world.end_attempt(0, None);
-    let after = world.submissions.values().find(|s| s.key == "after");
-    expect_that!(after.map(|s| describe(&s.result)), some(eq("answer")));
+    let after = world.requests.values().find(|r| r.key == "after");
+    expect_that!(after.map(|r| describe(&r.result)), some(eq("answer")));
 }
 
 /// The steps to choose from at random. Calls are served one by one, so that entries interleave.
--- a/azureway-core/tests/claims/world.rs
+++ b/azureway-core/tests/claims/world.rs
@@ -7,14 +7,14 @@
 
 use crate::support::{RouterFixture, fleet};
 
-/// The result of a submission, as its caller sees it.
+/// The result of a request, as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerResult {
     /// No result, or none yet.
     None,
     /// The answer of the backend server.
     Answer,
-    /// The stored answer of an earlier submission.
+    /// The stored answer of an earlier request with the same key.
     ReplayedAnswer,
     /// The caller disconnected before it got a result.
     Disconnected,
@@ -22,8 +22,8 @@
     Refused(Refusal),
 }
 
-/// A submission of a request by its caller.
-pub struct Submission {
+/// A request that a caller sent through an entry.
+pub struct CallerRequest {
     pub entry: usize,
     pub key: String,
     pub result: CallerResult,
@@ -49,7 +49,7 @@
     delayed: Vec<(ClaimName, ClaimRecord)>,
     /// The number of calls to the platform.
     pub call_count: u32,
-    pub submissions: BTreeMap<RequestId, Submission>,
+    pub requests: BTreeMap<RequestId, CallerRequest>,
 }
 
 impl World {
@@ -70,27 +70,27 @@
             version: 0,
             delayed: Vec::new(),
             call_count: 0,
-            submissions: BTreeMap::new(),
+            requests: BTreeMap::new(),
         }
     }
 
-    /// Submits a request with a key and a body through an entry.
+    /// Sends a request with a key and a body through an entry.
     pub fn send(&mut self, at: usize, key: &str, body: &str) {
         if self.entries[at].crashed {
             return;
         }
-        let sequence = self.submissions.len() as u64 + 1;
+        let sequence = self.requests.len() as u64 + 1;
         let mut request = self.entries[at].fixture.request("small", &[body]);
         request.id = RequestId::new(at as u64 + 1, sequence);
         request.kind = RequestKind::AtMostOnce;
         request.idempotency_key = Some(IdempotencyKey::new(key));
-        let submission = Submission {
+        let caller_request = CallerRequest {
             entry: at,
             key: key.to_owned(),
             result: CallerResult::None,
             ran: false,
         };
-        self.submissions.insert(request.id, submission);
+        self.requests.insert(request.id, caller_request);
         self.handle(at, Event::Arrived(&request));
     }
 
@@ -124,11 +124,11 @@
         let Some(attempt) = self.entries[at].attempts.pop_front() else {
             return;
         };
-        let submission = self.submissions.get_mut(&attempt.id).expect("a submission");
-        submission.ran |= sent.is_none_or(|s| !s.is_not_run());
+        let request = self.requests.get_mut(&attempt.id).expect("a request");
+        request.ran |= sent.is_none_or(|s| !s.is_not_run());
         let Some(sent) = sent else {
-            if submission.result == CallerResult::None {
-                submission.result = CallerResult::Answer;
+            if request.result == CallerResult::None {
+                request.result = CallerResult::Answer;
             }
             let finish = Finish {
                 attempt,
@@ -153,11 +153,11 @@
 
     /// Disconnects the caller of an entry's last request.
     pub fn disconnect_caller(&mut self, at: usize) {
-        let last = self.submissions.iter().rev().find(|(_, s)| s.entry == at);
+        let last = self.requests.iter().rev().find(|(_, r)| r.entry == at);
         if let Some(id) = last.map(|(id, _)| *id) {
-            let submission = self.submissions.get_mut(&id).expect("a submission");
-            if submission.result == CallerResult::None {
-                submission.result = CallerResult::Disconnected;
+            let request = self.requests.get_mut(&id).expect("a request");
+            if request.result == CallerResult::None {
+                request.result = CallerResult::Disconnected;
             }
             self.handle(at, Event::CallerDisconnected(id));
         }
@@ -166,8 +166,8 @@
     /// Crashes an entry. The backend server completes the attempts that it was sent.
     pub fn crash(&mut self, at: usize) {
         for attempt in &self.entries[at].attempts {
-            let submission = self.submissions.get_mut(&attempt.id).expect("a submission");
-            submission.ran = true;
+            let request = self.requests.get_mut(&attempt.id).expect("a request");
+            request.ran = true;
         }
         self.entries[at].crashed = true;
         self.entries[at].calls.clear();
@@ -198,9 +198,9 @@
         }
     }
 
-    /// Returns the number of submissions of a key that ran.
+    /// Returns the number of requests with a key that ran.
     pub fn count_runs(&self, key: &str) -> usize {
-        let ran = self.submissions.values().filter(|s| s.key == key && s.ran);
+        let ran = self.requests.values().filter(|r| r.key == key && r.ran);
         ran.count()
     }
 
@@ -229,13 +229,13 @@
     }
 
     fn set_result(&mut self, id: RequestId, result: CallerResult) {
-        let submission = self.submissions.get_mut(&id).expect("a submission");
+        let request = self.requests.get_mut(&id).expect("a request");
         assert_eq!(
-            submission.result,
+            request.result,
             CallerResult::None,
             "a second result: {result:?}"
         );
-        submission.result = result;
+        request.result = result;
     }
 
     fn serve_step(&mut self, at: usize, call: &ClaimCommand, step: &ClaimStep) -> ClaimReply {
@@ -296,7 +296,7 @@
 fn write_of(call: &ClaimCommand) -> (ClaimName, ClaimRecord) {
     let answer = ShortAnswer::new(200, "text/plain", b"done");
     match call {
-        ClaimCommand::Create(ask) => (ask.name, ask.record()),
+        ClaimCommand::Create(request) => (request.name, request.record()),
         ClaimCommand::Finish(t) | ClaimCommand::Release(t) => (t.name, t.finished(answer)),
     }
 }
