--- a/azureway-dev/src/engine/accepted_request.rs
+++ b/azureway-dev/src/engine/accepted_request.rs
@@ -1,18 +1,18 @@
-//! A request's place in an engine.
+//! A request that an engine accepted.
 
 use azureway_core::prelude::{Incarnation, Rank, TokenCount};
 
-/// A request's place in an engine.
+/// A request that an engine accepted, queued or running.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptedRequest {
-    /// The incarnation in which the request was taken.
+    /// The incarnation of the engine that accepted the request.
     pub incarnation: Incarnation,
-    /// The number of the connection.
+    /// The number of the request, counted from 1 in order of acceptance.
     pub number: u64,
-    /// The rank.
+    /// The rank, which orders the queue.
     pub rank: Rank,
-    /// The prompt tokens that were cached.
+    /// The number of prompt tokens that were cached on acceptance.
     pub cached: TokenCount,
-    /// The prompt tokens that were not.
+    /// The number of prompt tokens that were not.
     pub uncached: TokenCount,
 }
--- a/azureway-dev/src/engine/block_cache.rs
+++ b/azureway-dev/src/engine/block_cache.rs
@@ -2,11 +2,10 @@
 
 use azureway_core::prelude::{Block, BlockKey, CacheOp, TokenCount};
 
-/// The prefix cache of an engine: a bounded number of blocks, the least recently used of
-/// which is evicted first.
+/// The prefix cache of an engine: a bounded number of blocks with LRU eviction.
 #[derive(Clone, Debug)]
 pub struct BlockCache {
-    /// The keys, the least recently used first.
+    /// The keys of the cached blocks, least recently used first.
     keys: Vec<BlockKey>,
     capacity: usize,
 }
@@ -20,12 +19,12 @@
         }
     }
 
-    /// Returns the keys that are held.
+    /// Returns the keys of the cached blocks, least recently used first.
     pub fn keys(&self) -> &[BlockKey] {
         &self.keys
     }
 
-    /// Returns the tokens at the head of `blocks` that are held.
+    /// Returns the number of tokens in the longest cached prefix of `blocks`.
     pub fn cached_tokens(&self, blocks: &[Block]) -> TokenCount {
         blocks
             .iter()
@@ -34,10 +33,10 @@
             .sum()
     }
 
-    /// Stores `blocks` and returns what changed.
+    /// Stores `blocks` and returns the blocks that were added and evicted.
     pub fn store(&mut self, blocks: &[Block]) -> Vec<CacheOp> {
         let mut ops = Vec::new();
-        // The last block is touched first, so that a chain is evicted from its end.
+        // Blocks are touched from the last to the first, so that a chain is evicted from its end.
         for block in blocks.iter().rev() {
             match self.keys.iter().position(|k| *k == block.key) {
                 Some(index) => drop(self.keys.remove(index)),
@@ -50,7 +49,7 @@
         ops
     }
 
-    /// Forgets everything.
+    /// Removes all blocks.
     pub fn clear(&mut self) {
         self.keys.clear();
     }
--- a/azureway-dev/src/engine/chat_event.rs
+++ b/azureway-dev/src/engine/chat_event.rs
@@ -1,24 +1,24 @@
-//! The data of a stream's event.
+//! The events of a streamed answer.
 
 use azureway_wire::chat::Usage;
 use serde_json::json;
 
-/// The data of a stream's event.
+/// The fields that all events of a streamed answer share.
 #[derive(Clone, Copy, Debug)]
 pub struct ChatEvent<'a> {
-    /// The identity of the answer.
+    /// The ID of the answer.
     pub id: &'a str,
-    /// The service.
+    /// The name of the model service.
     pub model: &'a str,
 }
 
 impl ChatEvent<'_> {
-    /// Returns the data of an event with a token.
+    /// Returns the data of an event that carries a token.
     pub fn token(&self, text: &str) -> String {
         self.chunk(&json!({ "content": text }), &json!(null), None)
     }
 
-    /// Returns the data of the event that ends the answer.
+    /// Returns the data of the event that follows the last token, with the token usage.
     pub fn finish(&self, usage: Usage) -> String {
         self.chunk(&json!({}), &json!("stop"), Some(usage))
     }
--- a/azureway-dev/src/engine/chat_handler.rs
+++ b/azureway-dev/src/engine/chat_handler.rs
@@ -1,4 +1,4 @@
-//! One chat request in an engine.
+//! The processing of one chat request.
 
 use std::io;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use super::{AcceptedRequest, ChatEvent, Engine, EngineState, Generation, RequestTerms};
 use crate::http::EventWriter;
 
-/// One chat request in an engine: it waits for a slot, computes its prompt and streams.
+/// Processes one chat request: waits for a slot, computes the prompt and streams the answer.
 pub struct ChatHandler<'a> {
     engine: &'a Engine,
     writer: EventWriter,
@@ -19,11 +19,11 @@
     pending: TokenCount,
 }
 
-/// The time after which a comment tells the other side that the request is still at work.
+/// The interval between comments that keep the connection alive before the first token.
 const KEEP_ALIVE: Duration = Duration::from_secs(1);
 
 impl<'a> ChatHandler<'a> {
-    /// Creates the run of a request that the engine has taken.
+    /// Creates the handler of a request that the engine has accepted.
     pub const fn new(
         engine: &'a Engine,
         writer: EventWriter,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Runs to the end of the answer, or until the engine restarts or the caller is gone.
+    /// Runs until the answer is complete, the engine restarts or the caller disconnects.
     pub fn run(mut self, model: &str, max_tokens: Option<u64>) {
         if self.wait_slot().is_some() {
             let _ = self.answer(model, max_tokens);
@@ -51,7 +51,7 @@
     }
 
     fn answer(&mut self, model: &str, max_tokens: Option<u64>) -> Option<()> {
-        self.compute()?;
+        self.prefill()?;
         self.engine
             .update(|s| s.finish_prefill(&self.accepted, self.chain));
         self.pending = TokenCount::ZERO;
@@ -63,10 +63,10 @@
     fn wait_slot(&mut self) -> Option<()> {
         loop {
             let accepted = self.accepted;
-            let waits = |s: &mut EngineState| {
+            let is_waiting = |s: &mut EngineState| {
                 s.incarnation == accepted.incarnation && !s.is_next(&accepted)
             };
-            self.engine.wait_timeout(KEEP_ALIVE, waits);
+            self.engine.wait_timeout(KEEP_ALIVE, is_waiting);
             self.check_running()?;
             if self.engine.update(|s| s.take_slot(&accepted)) {
                 return Some(());
@@ -75,18 +75,18 @@
         }
     }
 
-    fn compute(&mut self) -> Option<()> {
+    fn prefill(&mut self) -> Option<()> {
         let mut remaining = self
             .engine
             .config()
             .prefill_rate
             .time_for(self.accepted.uncached);
         while remaining > KEEP_ALIVE {
-            self.work(KEEP_ALIVE)?;
+            self.simulate_work(KEEP_ALIVE)?;
             self.writer.comment().ok()?;
             remaining -= KEEP_ALIVE;
         }
-        self.work(remaining)
+        self.simulate_work(remaining)
     }
 
     fn stream(&mut self, event: ChatEvent<'_>, generation: Generation) -> Option<()> {
@@ -94,7 +94,7 @@
         while let Some(token) = generation.token(position) {
             self.write(position, &event.token(&token)).ok()?;
             position += 1;
-            self.work(self.engine.config().token_interval)?;
+            self.simulate_work(self.engine.config().token_interval)?;
         }
         let length = generation.length().get();
         if position <= length {
@@ -109,15 +109,15 @@
         self.writer.event(position, data)
     }
 
-    /// Works for `time`, and returns `None` if the engine restarts meanwhile.
-    fn work(&self, time: Duration) -> Option<()> {
+    /// Sleeps for `time` as if computing. Returns `None` if the engine restarts meanwhile.
+    fn simulate_work(&self, time: Duration) -> Option<()> {
         let incarnation = self.accepted.incarnation;
         self.engine
             .wait_timeout(time, |s| s.incarnation == incarnation);
         self.check_running()
     }
 
-    /// Returns `None` once the engine has restarted. A silent connection waits for that.
+    /// Returns `None` if the engine has restarted. On a stalled connection, blocks until it has.
     fn check_running(&self) -> Option<()> {
         let AcceptedRequest {
             incarnation,
--- a/azureway-dev/src/engine/engine_config.rs
+++ b/azureway-dev/src/engine/engine_config.rs
@@ -4,30 +4,30 @@
 
 use azureway_core::prelude::{TokenRate, WeightsVersion};
 
-/// The size and speed of an engine.
+/// The size and speed of a simulated engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// The weights version that it has loaded.
+    /// The weights version that is loaded at the start.
     pub weights: WeightsVersion,
-    /// The requests that it runs at once.
+    /// The number of requests that run concurrently.
     pub slots: u32,
-    /// The speed at which it computes prompt tokens.
+    /// The rate at which prompt tokens are computed.
     pub prefill_rate: TokenRate,
     /// The time between two tokens of an answer.
     pub token_interval: Duration,
-    /// The time by which its reports and cache events are late.
+    /// The delay of load reports and cache events.
     pub report_delay: Duration,
-    /// The blocks that its cache holds.
+    /// The capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// The time that weights take to load.
+    /// The time that it takes to load weights.
     pub load_time: Duration,
-    /// Whether it refuses an order with an old fencing number.
+    /// Whether orders with an outdated fencing number are refused.
     pub fenced: bool,
 }
 
 impl EngineConfig {
-    /// Creates an engine of 8 slots, 8,000 prompt tokens a second, 20 ms a token and 64 blocks
-    /// whose reports are 20 ms late.
+    /// Creates the configuration of an engine with 8 slots, 8,000 prompt tokens per second, 20 ms
+    /// per generated token, 64 blocks, 20 ms of report delay and 600 ms of load time.
     pub const fn new() -> Self {
         Self {
             weights: WeightsVersion::new(1),
@@ -41,28 +41,28 @@
         }
     }
 
-    /// Sets the requests that it runs at once.
+    /// Sets the number of requests that run concurrently.
     #[must_use]
     pub const fn with_slots(mut self, slots: u32) -> Self {
         self.slots = slots;
         self
     }
 
-    /// Sets the time that weights take to load.
+    /// Sets the time that it takes to load weights.
     #[must_use]
     pub const fn with_load_time(mut self, time: Duration) -> Self {
         self.load_time = time;
         self
     }
 
-    /// Lets it refuse orders with an old fencing number.
+    /// Refuses orders with an outdated fencing number.
     #[must_use]
     pub const fn with_fencing(mut self) -> Self {
         self.fenced = true;
         self
     }
 
-    /// Sets the time between two tokens.
+    /// Sets the time between two tokens of an answer.
     #[must_use]
     pub const fn with_token_interval(mut self, interval: Duration) -> Self {
         self.token_interval = interval;
--- a/azureway-dev/src/engine/engine_service.rs
+++ b/azureway-dev/src/engine/engine_service.rs
@@ -1,4 +1,4 @@
-//! An engine over HTTP.
+//! The HTTP interface of the simulated engine.
 
 use std::net::SocketAddr;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,7 @@
 use super::{AcceptedRequest, ChatHandler, EngineConfig, EngineState, OrderHandler, RequestTerms};
 use crate::http::{EventWriter, Query, Reply, RequestHandler};
 
-/// A stand-in for a model engine.
+/// A simulated model engine that serves HTTP.
 #[derive(Debug)]
 pub struct Engine {
     config: EngineConfig,
@@ -20,11 +20,11 @@
     changed: Condvar,
 }
 
-/// The limit of an import from another engine, in seconds.
+/// The timeout of a block import from another engine, in seconds.
 const IMPORT_TIMEOUT: u64 = 5;
 
 impl Engine {
-    /// Creates an engine.
+    /// Creates an engine with an empty cache.
     pub fn new(config: EngineConfig) -> Self {
         let state = Mutex::new(EngineState::new(&config));
         Self {
@@ -34,64 +34,64 @@
         }
     }
 
-    /// Returns the size and speed.
+    /// Returns the size and speed of the engine.
     pub const fn config(&self) -> &EngineConfig {
         &self.config
     }
 
-    /// Crashes and comes back with an empty cache. Streams break.
+    /// Restarts the engine as after a crash: streams break and the cache is empty.
     pub fn crash(&self) {
         self.update(EngineState::restart);
     }
 
-    /// Lets every open connection go silent for good. New ones work.
+    /// Stalls every open connection: it stays open but sends nothing more. New ones work.
     pub fn stall_connections(&self) {
         self.update(|s| s.stalled = s.accepted_count);
     }
 
-    /// Loses the oldest cache events that nobody has fetched yet.
+    /// Drops the `count` oldest cache events that are kept, so that a later poll misses them.
     pub fn drop_events(&self, count: usize) {
         self.update(|s| s.log.drop_oldest(count));
     }
 
-    /// Refuses new requests with an error, or takes them again.
+    /// Sets whether new chat requests are refused with status 500.
     pub fn set_rejecting(&self, rejecting: bool) {
         self.update(|s| s.rejecting = rejecting);
     }
 
-    /// Begins to leave.
+    /// Reports from now on that the engine is shutting down.
     pub fn start_draining(&self) {
         self.update(|s| s.leaving = true);
     }
 
-    /// Waits until no request runs.
+    /// Waits until no request is running.
     pub fn wait_idle(&self) {
         self.wait_while(|s| s.running > 0);
     }
 
-    /// Returns the incarnation.
+    /// Returns the incarnation of the engine.
     pub fn incarnation(&self) -> Incarnation {
         self.lock().incarnation
     }
 
-    /// Returns the number of requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         self.lock().running
     }
 
-    /// Returns the number of requests that were ever taken.
+    /// Returns the number of requests accepted so far.
     pub fn accepted_count(&self) -> u64 {
         self.lock().accepted_count
     }
 
-    /// Changes the state and tells whoever waits for it.
+    /// Applies `change` to the state, wakes all waiting threads and returns its result.
     pub fn update<T>(&self, change: impl FnOnce(&mut EngineState) -> T) -> T {
         let result = change(&mut self.lock());
         self.changed.notify_all();
         result
     }
 
-    /// Waits while `condition`, and for `time` at most.
+    /// Waits while `condition` is true, but for `time` at most.
     pub fn wait_timeout(&self, time: Duration, condition: impl FnMut(&mut EngineState) -> bool) {
         drop(
             self.changed
@@ -99,17 +99,17 @@
         );
     }
 
-    /// Waits while `condition`.
+    /// Waits while `condition` is true.
     pub fn wait_while(&self, condition: impl FnMut(&mut EngineState) -> bool) {
         drop(self.changed.wait_while(self.lock(), condition));
     }
 
     fn lock(&self) -> MutexGuard<'_, EngineState> {
-        // A thread that panicked while it held the lock has already failed its test.
+        // A thread that panics while it holds the lock has already failed its test.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Answers with the load and the cache events, both as late as the engine reports them.
+    /// Answers a poll with the load and the cache events, after the delay of reports.
     fn handle_poll(&self, request: Request, query: &Query<'_>) {
         let (after, snapshot) = (query.number("after"), query.get("whole") == Some("true"));
         let wait = Duration::from_millis(query.number("wait_ms"));
@@ -141,19 +141,19 @@
         };
         match EventWriter::new(request, &terms.attempt_id) {
             Ok(writer) => {
-                let run = ChatHandler::new(self, writer, &terms, &chain, accepted);
-                run.run(&chat.model, chat.max_tokens);
+                let handler = ChatHandler::new(self, writer, &terms, &chain, accepted);
+                handler.run(&chat.model, chat.max_tokens);
             }
             Err(_) => self.update(|s| s.remove(&accepted, accepted.uncached)),
         }
     }
 
-    /// Takes a request in if the engine is what the entry expects.
+    /// Accepts a request if the engine has the incarnation and weights that it requires.
     fn accept(&self, terms: &RequestTerms, chain: &BlockChain) -> Option<AcceptedRequest> {
         self.update(|s| s.matches(terms).then(|| s.enqueue(terms, chain)))
     }
 
-    /// Answers with the blocks that are asked for and held.
+    /// Answers with those of the requested blocks that are cached.
     fn handle_export(&self, mut request: Request) {
         let Ok(requested) = serde_json::from_reader::<_, KvBlocks>(request.as_reader()) else {
             return Reply::text(request, 400, "the body is no list of blocks");
@@ -161,7 +161,7 @@
         Reply::json(request, 200, &self.lock().export(&requested));
     }
 
-    /// Fetches blocks from another engine. Without them the prompt is computed.
+    /// Imports blocks from another engine. If that fails, the prompt is computed instead.
     fn import_blocks(&self, from: SocketAddr, chain: &BlockChain, terms: &RequestTerms) {
         let requested = KvBlocks::new(terms.weights, chain.blocks());
         let Ok(body) = serde_json::to_string(&requested) else {
--- a/azureway-dev/src/engine/engine_state.rs
+++ b/azureway-dev/src/engine/engine_state.rs
@@ -1,4 +1,4 @@
-//! What an engine is doing.
+//! The state of the simulated engine.
 
 use std::collections::BTreeSet;
 
@@ -7,39 +7,39 @@
 
 use super::{AcceptedRequest, BlockCache, EngineConfig, EventLog, OrderState, RequestTerms};
 
-/// What an engine is doing.
+/// The state of a simulated engine: its queue, cache and weights.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// The incarnation.
+    /// The incarnation, which grows with each restart.
     pub incarnation: Incarnation,
-    /// The weights version that is loaded.
+    /// The weights version that is loaded, or zero during a load.
     pub weights: WeightsVersion,
-    /// The orders that it took.
+    /// The orders that were accepted.
     pub orders: OrderState,
-    /// The cache.
+    /// The prefix cache.
     pub cache: BlockCache,
-    /// The events of the cache.
+    /// The numbered events of the cache.
     pub log: EventLog,
-    /// The requests that run at once.
+    /// The number of requests that can run concurrently.
     pub slots: u32,
-    /// The requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// The requests that wait for a slot, the next one first.
+    /// The ranks and numbers of the requests that wait for a slot, the next one first.
     pub waiting: BTreeSet<(Rank, u64)>,
-    /// The prompt tokens that are yet to be computed.
+    /// The number of prompt tokens that are still to be computed.
     pub pending: TokenCount,
-    /// Whether the engine is leaving.
+    /// Whether the engine reports that it is shutting down.
     pub leaving: bool,
-    /// Whether new requests fail.
+    /// Whether new chat requests are refused.
     pub rejecting: bool,
-    /// The connections number before this number have gone silent.
+    /// The number of the newest request whose connection is stalled, as are all older ones.
     pub stalled: u64,
-    /// The connections number so far.
+    /// The number of requests accepted so far.
     pub accepted_count: u64,
 }
 
 impl EngineState {
-    /// Creates an engine that has just started.
+    /// Creates the state of an engine that has just started.
     pub fn new(config: &EngineConfig) -> Self {
         Self {
             incarnation: Incarnation::new(1),
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Returns the news after event `after`, or the whole content of the cache.
+    /// Returns the load with the cache events from number `after` on, or with a snapshot of the
+    /// cache.
     pub fn report(&self, after: u64, snapshot: bool) -> EngineNews {
         let stored: Vec<CacheOp> = self
             .cache
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Starts anew with an empty cache, as after a crash.
+    /// Starts the next incarnation with an empty cache and queue, as after a crash.
     pub fn restart(&mut self) {
         self.incarnation = self.incarnation.next();
         self.weights = self.orders.abort_load(self.weights);
@@ -95,7 +96,7 @@
         self.pending = TokenCount::ZERO;
     }
 
-    /// Begins to load weights. Nothing is served meanwhile, and the old blocks are gone.
+    /// Starts to load weights. No request matches meanwhile, and the cache is emptied.
     pub fn start_load(&mut self) {
         self.orders.start_load(self.weights);
         self.weights = WeightsVersion::ZERO;
@@ -105,19 +106,19 @@
         self.log.extend(evicted);
     }
 
-    /// Has the weights that were loaded.
+    /// Finishes the load of `weights`.
     pub fn finish_load(&mut self, weights: WeightsVersion) {
         self.orders.finish_load();
         self.weights = weights;
     }
 
-    /// Tells whether the engine is what a request expects.
+    /// Returns whether the engine has the incarnation and weights that a request requires.
     pub fn matches(&self, terms: &RequestTerms) -> bool {
         let same_incarnation = terms.incarnation.is_none_or(|i| i == self.incarnation);
         same_incarnation && terms.weights == self.weights
     }
 
-    /// Takes a request in, which then waits for a slot.
+    /// Accepts a request and queues it for a slot.
     pub fn enqueue(&mut self, terms: &RequestTerms, chain: &BlockChain) -> AcceptedRequest {
         let cached = self.cache.cached_tokens(chain.blocks());
         let uncached = chain.tokens().saturating_sub(cached);
@@ -134,13 +135,13 @@
         }
     }
 
-    /// Tells whether a request gets the next slot and there is one.
+    /// Returns whether a request is first in the queue and a slot is free.
     pub fn is_next(&self, accepted: &AcceptedRequest) -> bool {
         let next = self.waiting.first() == Some(&(accepted.rank, accepted.number));
         next && self.running < self.slots
     }
 
-    /// Gives a request its slot if it is next. Returns whether it is.
+    /// Gives a request a slot if it is next. Returns whether it is.
     pub fn take_slot(&mut self, accepted: &AcceptedRequest) -> bool {
         let is_next = self.incarnation == accepted.incarnation && self.is_next(accepted);
         if is_next {
@@ -150,7 +151,7 @@
         is_next
     }
 
-    /// Stores the blocks of a request whose prompt is computed.
+    /// Stores the blocks of a request whose prompt has been computed.
     pub fn finish_prefill(&mut self, accepted: &AcceptedRequest, chain: &BlockChain) {
         if self.incarnation == accepted.incarnation {
             self.pending = self.pending.saturating_sub(accepted.uncached);
@@ -159,9 +160,9 @@
         }
     }
 
-    /// Lets a request go, whether it waits or runs, with the prompt tokens it still owes.
+    /// Removes a queued or running request that has `pending` prompt tokens left to compute.
     pub fn remove(&mut self, accepted: &AcceptedRequest, pending: TokenCount) {
-        // After a restart the counts are those of another incarnation.
+        // After a restart, the counts belong to another incarnation.
         if self.incarnation != accepted.incarnation {
             return;
         }
@@ -171,31 +172,31 @@
         }
     }
 
-    /// Returns the blocks of a list that are held for the same weights.
+    /// Returns the requested blocks that are cached, or none if the weights differ.
     pub fn export(&self, requested: &KvBlocks) -> KvBlocks {
         let weights = self.weights.get();
-        let held = requested
+        let cached = requested
             .block_keys()
             .filter(|k| self.cache.keys().contains(k));
-        let held = held.filter(|_| requested.weights == weights);
+        let cached = cached.filter(|_| requested.weights == weights);
         KvBlocks {
             weights,
-            keys: held.map(|k| format!("{:x}", k.get())).collect(),
+            keys: cached.map(|k| format!("{:x}", k.get())).collect(),
         }
     }
 
-    /// Stores those blocks at the head of a prompt that another engine had.
+    /// Stores the longest prefix of a prompt's blocks that another engine exported.
     pub fn import(&mut self, blocks: &KvBlocks, chain: &BlockChain) {
         if blocks.weights != self.weights.get() {
             return;
         }
         let exported: Vec<BlockKey> = blocks.block_keys().collect();
-        let prefix = chain
+        let prefix_length = chain
             .blocks()
             .iter()
             .take_while(|b| exported.contains(&b.key))
             .count();
-        let ops = self.cache.store(&chain.blocks()[..prefix]);
+        let ops = self.cache.store(&chain.blocks()[..prefix_length]);
         self.log.extend(ops);
     }
 }
--- a/azureway-dev/src/engine/event_log.rs
+++ b/azureway-dev/src/engine/event_log.rs
@@ -1,15 +1,16 @@
-//! The numbered cache events of an engine.
+//! The log of an engine's cache events.
 
 use azureway_core::prelude::CacheOp;
 
-/// The numbered cache events of an engine, of which it keeps the last ones.
+/// A bounded log of the numbered cache events of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct EventLog {
+    /// The number of the oldest event that is kept.
     first: u64,
     ops: Vec<CacheOp>,
 }
 
-/// The events that are kept.
+/// The maximum number of events that are kept.
 const MAX_EVENTS: usize = 4_096;
 
 impl EventLog {
@@ -23,29 +24,28 @@
         self.first + self.ops.len() as u64
     }
 
-    /// Adds events.
+    /// Appends events and drops the oldest ones above the limit.
     pub fn extend(&mut self, ops: Vec<CacheOp>) {
         self.ops.extend(ops);
         let surplus = self.ops.len().saturating_sub(MAX_EVENTS);
         self.drop_oldest(surplus);
     }
 
-    /// Loses the `count` oldest events that are kept.
+    /// Drops the `count` oldest events that are kept.
     pub fn drop_oldest(&mut self, count: usize) {
         let count = count.min(self.ops.len());
         self.ops.drain(..count);
         self.first += count as u64;
     }
 
-    /// Returns the events from number `from` on, as far as they are kept, with the number
-    /// of the first one.
+    /// Returns the kept events from number `from` on, with the number of the first one.
     pub fn since(&self, from: u64) -> (u64, &[CacheOp]) {
         let from = from.clamp(self.first, self.next());
         let skip = usize::try_from(from - self.first).unwrap_or(usize::MAX);
         (from, &self.ops[skip..])
     }
 
-    /// Forgets everything and numbers from 0 again.
+    /// Removes all events and restarts the numbering at 0.
     pub fn clear(&mut self) {
         *self = Self::new();
     }
--- a/azureway-dev/src/engine/generation.rs
+++ b/azureway-dev/src/engine/generation.rs
@@ -2,23 +2,23 @@
 
 use azureway_core::prelude::{BlockChain, BlockKey, TokenCount};
 
-/// The tokens of an answer. They follow from the prompt alone, so that an answer can be
-/// resumed at another engine with the same weights.
+/// The tokens of an answer. They depend on the prompt alone, so that another engine with the
+/// same weights can resume the answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Generation {
     key: u128,
     length: u64,
 }
 
-/// The tokens of an answer where the caller sets no max_tokens.
+/// The number of tokens of an answer to a request without `max_tokens`.
 const DEFAULT_LENGTH: u64 = 16;
 
 impl Generation {
-    /// Creates the answer to a prompt.
+    /// Creates the answer to a prompt, of `max_tokens` tokens if that is given.
     pub fn new(chain: &BlockChain, max_tokens: Option<u64>) -> Self {
-        let last = chain.blocks().last().map_or(BlockKey::new(0), |b| b.key);
+        let last_key = chain.blocks().last().map_or(BlockKey::new(0), |b| b.key);
         Self {
-            key: last.get(),
+            key: last_key.get(),
             length: max_tokens.unwrap_or(DEFAULT_LENGTH),
         }
     }
--- a/azureway-dev/src/engine/mod.rs
+++ b/azureway-dev/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a model engine.
+//! A simulated model engine.
 
 mod accepted_request;
 mod block_cache;
--- a/azureway-dev/src/engine/order_handler.rs
+++ b/azureway-dev/src/engine/order_handler.rs
@@ -1,4 +1,4 @@
-//! One order at an engine.
+//! The processing of one order to load weights.
 
 use azureway_core::prelude::{FencingNumber, WeightsVersion};
 use azureway_wire::order::OrderBody;
@@ -7,19 +7,20 @@
 use super::Engine;
 use crate::http::Reply;
 
-/// One order at an engine: answers at once, then loads.
+/// Processes one order to load weights: answers at once, then loads.
 #[derive(Debug)]
 pub struct OrderHandler<'a> {
     engine: &'a Engine,
 }
 
 impl<'a> OrderHandler<'a> {
-    /// Creates the run of an order.
+    /// Creates the handler of an order.
     pub const fn new(engine: &'a Engine) -> Self {
         Self { engine }
     }
 
-    /// Reads the order, answers and loads what it asks for.
+    /// Reads and answers the order, then loads its weights unless they are loaded or another load
+    /// is running.
     pub fn run(&self, mut request: Request) {
         let Ok(order) = serde_json::from_reader::<_, OrderBody>(request.as_reader()) else {
             return Reply::text(request, 400, "the body is no order");
--- a/azureway-dev/src/engine/order_state.rs
+++ b/azureway-dev/src/engine/order_state.rs
@@ -1,18 +1,19 @@
-//! The orders that an engine took.
+//! The state of an engine's orders.
 
 use azureway_core::prelude::{FencingNumber, WeightsVersion};
 
-/// The orders that an engine took, and the highest fencing number that it saw.
+/// The orders that an engine accepted, and the highest fencing number among them.
 #[derive(Clone, Debug)]
 pub struct OrderState {
     fenced: bool,
     highest: FencingNumber,
+    /// The weights before the load that is running.
     previous: Option<WeightsVersion>,
     accepted: Vec<(WeightsVersion, FencingNumber)>,
 }
 
 impl OrderState {
-    /// Creates an empty book of an engine that checks fencing numbers or not.
+    /// Creates the state before any order. If `fenced`, outdated fencing numbers are refused.
     pub const fn new(fenced: bool) -> Self {
         Self {
             fenced,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Takes an order in. Returns whether it may be followed.
+    /// Records an order and returns `true`, or `false` if its fencing number is checked and outdated.
     pub fn accept(&mut self, weights: WeightsVersion, number: FencingNumber) -> bool {
         if self.fenced && number < self.highest {
             return false;
@@ -32,27 +33,28 @@
         true
     }
 
-    /// Returns the orders that were accepted, with their fencing numbers.
+    /// Returns the weights and fencing numbers of the accepted orders, oldest first.
     pub fn accepted(&self) -> &[(WeightsVersion, FencingNumber)] {
         &self.accepted
     }
 
-    /// Tells whether a load is running.
+    /// Returns whether a load is running.
     pub const fn is_loading(&self) -> bool {
         self.previous.is_some()
     }
 
-    /// Notes that a load begins, in place of `previous` weights.
+    /// Records the start of a load that replaces the `previous` weights.
     pub fn start_load(&mut self, previous: WeightsVersion) {
         self.previous = Some(previous);
     }
 
-    /// Notes that the load ended.
+    /// Records the end of the load.
     pub fn finish_load(&mut self) {
         self.previous = None;
     }
 
-    /// Returns the weights after a crash: a load that was running is lost.
+    /// Returns the weights after a crash: those before the load if one was running, otherwise
+    /// `weights`.
     pub fn abort_load(&mut self, weights: WeightsVersion) -> WeightsVersion {
         self.previous.take().unwrap_or(weights)
     }
--- a/azureway-dev/src/engine/request_terms.rs
+++ b/azureway-dev/src/engine/request_terms.rs
@@ -1,4 +1,4 @@
-//! What a request's headers ask of an engine.
+//! The headers of a request to an engine.
 
 use std::net::SocketAddr;
 
@@ -8,27 +8,27 @@
 
 use crate::http::Reply;
 
-/// What a request's headers ask of an engine.
+/// The values that the headers of a request to an engine carry.
 #[derive(Clone, Debug)]
 pub struct RequestTerms {
-    /// The try of the request.
+    /// The ID of the attempt.
     pub attempt_id: String,
-    /// The salt of the blocks that may be used.
+    /// The salt of the block keys that the request may use.
     pub salt: Salt,
-    /// The weights version that must be loaded.
+    /// The weights version that the engine must have loaded.
     pub weights: WeightsVersion,
     /// The incarnation that the engine must have.
     pub incarnation: Option<Incarnation>,
-    /// The position to resume at.
+    /// The position of the first event to send.
     pub resume_position: u64,
-    /// The rank, which decides who waits for whom.
+    /// The rank, which orders the queue.
     pub rank: Rank,
-    /// The engine from which blocks can be fetched.
+    /// The engine to import blocks from.
     pub import_from: Option<SocketAddr>,
 }
 
 impl RequestTerms {
-    /// Reads the headers of a request.
+    /// Reads the headers of a request. Missing or invalid values get a default.
     pub fn new(request: &Request) -> Self {
         let text = |name| Reply::header(request, name);
         let number = |name| text(name).and_then(|v| v.parse::<u64>().ok());
