--- a/azureway-dev/src/platform/mod.rs
+++ b/azureway-dev/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's object API.
+//! A simulated platform with the object API.
 
 mod faults;
 mod platform_service;
--- a/azureway-dev/src/platform/platform_service.rs
+++ b/azureway-dev/src/platform/platform_service.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP.
+//! The HTTP interface of the simulated platform.
 
 use std::io::Read;
 use std::sync::{Condvar, Mutex, MutexGuard};
@@ -10,23 +10,24 @@
 use super::{PlatformFaults, Store};
 use crate::http::{Query, Reply, RequestHandler};
 
-/// A stand-in for the platform's object API.
+/// A simulated platform that serves the object API over HTTP.
 #[derive(Debug, Default)]
 pub struct Platform {
+    /// The objects, the faults and the number of calls.
     state: Mutex<(Store, PlatformFaults, u64)>,
     changed: Condvar,
 }
 
-/// The largest value of an object, in bytes.
+/// The maximum size of an object's value, in bytes.
 const VALUE_MAX: usize = 1024 * 1024;
 
 impl Platform {
-    /// Creates an empty platform.
+    /// Creates a platform without objects.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Writes an object as an operator would, without fault.
+    /// Writes an object unconditionally, whatever the faults, and returns its version.
     pub fn seed(&self, kind: &str, name: &str, value: &str) -> u64 {
         let mut state = self.lock();
         let expected = state.0.get(kind, name).map_or(0, |o| o.version);
@@ -35,24 +36,24 @@
         object.map_or(0, |o| o.version)
     }
 
-    /// Returns the value of an object.
+    /// Returns the value of an object, if it exists.
     pub fn value(&self, kind: &str, name: &str) -> Option<String> {
         self.lock().0.get(kind, name).map(|o| o.value.clone())
     }
 
-    /// Changes what the platform does wrong.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.lock().1 = faults;
         self.changed.notify_all();
     }
 
-    /// Returns the calls that were made, a waiting watch as one.
+    /// Returns the number of calls so far. A watch counts as one, however long it waits.
     pub fn calls(&self) -> u64 {
         self.lock().2
     }
 
     fn lock(&self) -> MutexGuard<'_, (Store, PlatformFaults, u64)> {
-        // A thread that panicked while it held the lock has already failed its test.
+        // A thread that panics while it holds the lock has already failed its test.
         self.state
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
@@ -75,8 +76,8 @@
     fn put(&self, mut request: Request, kind: &str, name: &str, expected: u64) {
         let mut value = String::new();
         let limit = VALUE_MAX as u64 + 1;
-        let read = request.as_reader().take(limit).read_to_string(&mut value);
-        if read.is_err() || value.len() > VALUE_MAX {
+        let result = request.as_reader().take(limit).read_to_string(&mut value);
+        if result.is_err() || value.len() > VALUE_MAX {
             return Reply::text(request, 413, "the value is no text of at most a megabyte");
         }
         let mut state = self.lock();
@@ -110,11 +111,11 @@
     }
 
     fn watch(&self, request: Request, kind: &str, after: u64, wait: Duration) {
-        let quiet = |s: &mut (Store, PlatformFaults, u64)| {
+        let is_unchanged = |s: &mut (Store, PlatformFaults, u64)| {
             !s.1.outage && s.0.list(kind, after).objects.is_empty()
         };
         let state = self.lock();
-        let waited = self.changed.wait_timeout_while(state, wait, quiet);
+        let waited = self.changed.wait_timeout_while(state, wait, is_unchanged);
         let (state, _) = waited.unwrap_or_else(std::sync::PoisonError::into_inner);
         let (outage, list): (bool, ObjectList) = (state.1.outage, state.0.list(kind, after));
         drop(state);
--- a/azureway-dev/src/platform/store.rs
+++ b/azureway-dev/src/platform/store.rs
@@ -1,13 +1,15 @@
-//! The objects.
+//! The objects of the simulated platform.
 
 use std::collections::BTreeMap;
 
 use azureway_wire::object::{ObjectBody, ObjectList};
 
-/// The objects of the platform, with one version counter over all of them.
+/// The objects of the platform, which share one version counter. A deleted object stays as a
+/// tombstone.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     version: u64,
+    /// The objects by kind and name.
     objects: BTreeMap<(String, String), ObjectBody>,
 }
 
@@ -17,14 +19,15 @@
         Self::default()
     }
 
-    /// Returns an object.
+    /// Returns an object, or `None` if it does not exist or is deleted.
     pub fn get(&self, kind: &str, name: &str) -> Option<&ObjectBody> {
         self.objects
             .get(&(kind.to_owned(), name.to_owned()))
             .filter(|o| !o.deleted)
     }
 
-    /// Returns the objects of a kind that changed after `after`; all for 0.
+    /// Returns the objects of a kind that changed after version `after`, deleted ones included. If
+    /// `after` is 0, returns all that exist.
     pub fn list(&self, kind: &str, after: u64) -> ObjectList {
         let of_kind = self.objects.iter().filter(|((k, _), _)| k == kind);
         let changed = of_kind.filter(|(_, o)| o.version > after && (after > 0 || !o.deleted));
@@ -34,7 +37,8 @@
         }
     }
 
-    /// Writes an object if it has the expected version; 0 stands for none.
+    /// Writes an object if its version is `expected`, where 0 means that it does not exist. Returns
+    /// the written object, or `None` if the version differs.
     pub fn put(
         &mut self,
         kind: &str,
@@ -46,7 +50,8 @@
         (version == expected).then(|| self.write(kind, name, value, false))
     }
 
-    /// Deletes an object if it has the expected version.
+    /// Deletes an object if its version is `expected`. Returns its tombstone, or `None` if the
+    /// version differs or there is no such object.
     pub fn delete(&mut self, kind: &str, name: &str, expected: u64) -> Option<ObjectBody> {
         let object = self.get(kind, name)?;
         (object.version == expected).then(|| self.write(kind, name, String::new(), true))
