--- a/azureway-dev/src/plain/mod.rs
+++ b/azureway-dev/src/plain/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service.
+//! A simulated plain service.
 
 mod plain_service;
 mod run_counts;
--- a/azureway-dev/src/plain/plain_service.rs
+++ b/azureway-dev/src/plain/plain_service.rs
@@ -1,4 +1,4 @@
-//! A plain service over HTTP.
+//! The HTTP interface of the simulated plain service.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -9,20 +9,22 @@
 use super::RunCounts;
 use crate::http::{Reply, RequestHandler};
 
-/// A stand-in for a plain service: it runs whatever it is sent and counts, unless it checks keys.
+/// A simulated plain service that runs and counts every call. If it deduplicates, it refuses an
+/// idempotency key that it has seen before.
 #[derive(Debug, Default)]
 pub struct PlainService {
+    /// The run counts and the number of further answers to lose.
     state: Arc<Mutex<(RunCounts, u32)>>,
     deduplicates: bool,
 }
 
 impl PlainService {
-    /// Creates a service that has run nothing.
+    /// Creates a service without deduplication that has run nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Creates a service that refuses a key of an account which has run before.
+    /// Creates a service that refuses an idempotency key that its account has used before.
     pub fn deduplicating() -> Self {
         Self {
             deduplicates: true,
@@ -30,7 +32,7 @@
         }
     }
 
-    /// Creates another server of the same service, which shares what has run.
+    /// Creates another server of the same service, which shares the run counts.
     #[must_use]
     pub fn replica(&self) -> Self {
         Self {
@@ -39,12 +41,12 @@
         }
     }
 
-    /// Returns how often each call ran.
+    /// Returns a copy of the run counts.
     pub fn run_counts(&self) -> RunCounts {
         self.lock().0.clone()
     }
 
-    /// Loses the answers of the next `count` calls after they have run.
+    /// Closes the connections of the next `count` calls without an answer, after they have run.
     pub fn lose_answers(&self, count: u32) {
         self.lock().1 = count;
     }
@@ -65,9 +67,9 @@
         let key = Reply::header(&request, header::IDEMPOTENCY_KEY);
         let key = key.unwrap_or(&body).to_owned();
         let account = Reply::header(&request, header::ACCOUNT).unwrap_or("");
-        let scoped = format!("{account} {key}");
+        let account_key = format!("{account} {key}");
         let mut state = self.lock();
-        if self.deduplicates && state.0.record_run(&scoped) > 1 {
+        if self.deduplicates && state.0.record_run(&account_key) > 1 {
             drop(state);
             return Reply::text(request, 409, "the key has run before");
         }
--- a/azureway-dev/src/plain/run_counts.rs
+++ b/azureway-dev/src/plain/run_counts.rs
@@ -1,32 +1,32 @@
-//! How often each call ran.
+//! The number of runs of each call.
 
 use std::collections::BTreeMap;
 
-/// How often each call ran, by its idempotency key or its body.
+/// The number of runs of each call, by its idempotency key or else its body.
 #[derive(Clone, Debug, Default)]
 pub struct RunCounts {
     runs: BTreeMap<String, u32>,
 }
 
 impl RunCounts {
-    /// Creates an empty ledger.
+    /// Creates empty counts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a run and returns how often the call has run now.
+    /// Counts a run of a call and returns the number of its runs.
     pub fn record_run(&mut self, call: &str) -> u32 {
         let runs = self.runs.entry(call.to_owned()).or_default();
         *runs += 1;
         *runs
     }
 
-    /// Returns how often a call has run.
+    /// Returns the number of runs of a call.
     pub fn runs(&self, call: &str) -> u32 {
         self.runs.get(call).copied().unwrap_or(0)
     }
 
-    /// Returns the most runs of any call.
+    /// Returns the largest number of runs of a single call, or 0 if nothing ran.
     pub fn max_runs(&self) -> u32 {
         self.runs.values().copied().max().unwrap_or(0)
     }
