--- a/azureway-dev/src/http/event_writer.rs
+++ b/azureway-dev/src/http/event_writer.rs
@@ -1,22 +1,23 @@
-//! Streams of events.
+//! Streams of server-sent events.
 
 use std::io::{self, Write};
 
 use azureway_wire::header;
 use tiny_http::Request;
 
-/// Writes a stream of events. The library hands out its connection as a boxed `dyn Write`,
-/// which this type keeps to itself.
+/// Writes a stream of server-sent events. The HTTP library hands out its connection as a boxed
+/// `dyn Write`, which this type encapsulates.
 pub struct EventWriter {
     out: Box<dyn Write + Send + 'static>,
 }
 
 impl EventWriter {
-    /// Takes over the connection of `request` and writes the head, which names the try.
+    /// Takes over the connection of `request` and writes the response head, with the ID of the
+    /// attempt.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller is gone.
+    /// Returns an error if the caller has disconnected.
     pub fn new(request: Request, attempt: &str) -> io::Result<Self> {
         let mut out = request.into_writer();
         write!(
@@ -29,22 +30,22 @@
         Ok(Self { out })
     }
 
-    /// Writes one event with its position.
+    /// Writes one event with its position as its ID.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller is gone.
+    /// Returns an error if the caller has disconnected.
     pub fn event(&mut self, position: u64, data: &str) -> io::Result<()> {
         let text = format!("id: {position}\ndata: {data}\n\n");
         write!(self.out, "{:x}\r\n{text}\r\n", text.len())?;
         self.out.flush()
     }
 
-    /// Writes a comment, which tells the caller that the connection lives.
+    /// Writes a comment, which keeps the connection alive.
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller is gone.
+    /// Returns an error if the caller has disconnected.
     pub fn comment(&mut self) -> io::Result<()> {
         self.out.write_all(b"3\r\n:\n\n\r\n")?;
         self.out.flush()
@@ -54,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the caller is gone.
+    /// Returns an error if the caller has disconnected.
     pub fn end(&mut self) -> io::Result<()> {
         self.out.write_all(b"0\r\n\r\n")?;
         self.out.flush()
--- a/azureway-dev/src/http/http_server.rs
+++ b/azureway-dev/src/http/http_server.rs
@@ -1,4 +1,4 @@
-//! The server of a stand-in.
+//! The HTTP server of a simulated service.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 
 use super::RequestHandler;
 
-/// The server of a stand-in, on a loopback port. Dropping it stops it.
+/// An HTTP server with a thread for each request. Dropping it stops it.
 pub struct HttpServer {
     server: Arc<Server>,
     address: SocketAddr,
@@ -17,7 +17,7 @@
 }
 
 impl HttpServer {
-    /// Starts a server for `handler` on any free port.
+    /// Starts a server for `handler` on a free loopback port.
     ///
     /// # Errors
     ///
@@ -32,15 +32,15 @@
     ///
     /// Returns an error if the address cannot be bound.
     pub fn start_at(address: SocketAddr, handler: Arc<impl RequestHandler>) -> Result<Self> {
-        let server = Server::http(address).map_err(|e| anyhow!("listen at {address}: {e}"))?;
+        let server = Server::http(address).map_err(|e| anyhow!("listen on {address}: {e}"))?;
         let address = server
             .server_addr()
             .to_ip()
-            .ok_or_else(|| anyhow!("no IP address"))?;
+            .ok_or_else(|| anyhow!("the listener has no IP address"))?;
         let server = Arc::new(server);
-        let requests = Arc::clone(&server);
+        let listener = Arc::clone(&server);
         let thread = thread::spawn(move || {
-            while let Ok(request) = requests.recv() {
+            while let Ok(request) = listener.recv() {
                 let handler = Arc::clone(&handler);
                 thread::spawn(move || handler.handle(request));
             }
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Returns the address.
+    /// Returns the address that the server listens on.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
--- a/azureway-dev/src/http/mod.rs
+++ b/azureway-dev/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for the stand-ins.
+//! A small HTTP server for the simulated services.
 
 mod event_writer;
 mod http_server;
--- a/azureway-dev/src/http/reply.rs
+++ b/azureway-dev/src/http/reply.rs
@@ -1,9 +1,9 @@
-//! Whole answers.
+//! Answers that are not streamed.
 
 use serde::Serialize;
 use tiny_http::{Header, Request, Response};
 
-/// Writes whole answers.
+/// Reads headers and writes answers that are not streamed.
 #[derive(Clone, Copy, Debug)]
 pub struct Reply;
 
@@ -11,24 +11,26 @@
     /// Answers with a value as JSON.
     pub fn json(request: Request, status: u16, value: &impl Serialize) {
         let body = serde_json::to_string(value).unwrap_or_default();
-        let media = Header::from_bytes("content-type", "application/json");
+        let content_type = Header::from_bytes("content-type", "application/json");
         let response = Response::from_string(body).with_status_code(status);
-        let response = media.into_iter().fold(response, Response::with_header);
-        // A caller that is gone needs no answer.
+        let response = content_type
+            .into_iter()
+            .fold(response, Response::with_header);
+        // A caller that has disconnected needs no answer.
         let _ = request.respond(response);
     }
 
-    /// Answers with a short text.
+    /// Answers with a plain text.
     pub fn text(request: Request, status: u16, text: &str) {
         let _ = request.respond(Response::from_string(text).with_status_code(status));
     }
 
     /// Returns the value of the header with the lower-case `name`.
     pub fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
-        let named = request
+        let header = request
             .headers()
             .iter()
             .find(|h| h.field.as_str().as_str().eq_ignore_ascii_case(name));
-        named.map(|h| h.value.as_str())
+        header.map(|h| h.value.as_str())
     }
 }
--- a/azureway-dev/src/http/request_handler.rs
+++ b/azureway-dev/src/http/request_handler.rs
@@ -1,8 +1,8 @@
-//! What a stand-in does with a request.
+//! The handling of requests to a simulated service.
 
 use tiny_http::Request;
 
-/// What a stand-in does with a request.
+/// Handles the requests to a simulated service.
 pub trait RequestHandler: Send + Sync + 'static {
     /// Answers the request. Runs on a thread of its own.
     fn handle(&self, request: Request);
