--- a/azureway-dev/src/serve/layout.rs
+++ b/azureway-dev/src/serve/layout.rs
@@ -1,26 +1,27 @@
-//! What stands where.
+//! The layout of a system on loopback.
 
 use azureway_core::prelude::KeyHash;
 
-/// What stands where: zones, and how many of each process in a zone.
+/// The layout of a system on loopback: its zones, the numbers of servers and entry instances in
+/// each, and its client accounts.
 #[derive(Clone, Debug)]
 pub struct Layout {
     /// The availability zones.
     pub zones: Vec<&'static str>,
-    /// The model engines of a zone.
+    /// The number of model engines per zone.
     pub engines: usize,
-    /// The entry instances of a zone.
+    /// The number of entry instances per zone.
     pub entries: usize,
-    /// The client accounts with their API keys.
+    /// The names of the client accounts with their API keys.
     pub accounts: Vec<(&'static str, &'static str)>,
-    /// Whether the plain services check keys themselves.
+    /// Whether the plain services deduplicate by idempotency key themselves.
     pub deduplicates: bool,
-    /// The slots that the document gives a server, if it names any.
+    /// The number of slots that the document gives each engine, if it sets one.
     pub slots: Option<u32>,
 }
 
 impl Layout {
-    /// Creates the layout of three zones with three engines and two entries each.
+    /// Creates the layout of three zones with three engines and two entry instances each.
     pub fn new() -> Self {
         Self {
             zones: vec!["kranj-a", "maribor-a", "koper-a"],
@@ -35,28 +36,28 @@
         }
     }
 
-    /// Sets the model engines of a zone.
+    /// Sets the number of model engines per zone.
     #[must_use]
     pub const fn with_engines(mut self, engines: usize) -> Self {
         self.engines = engines;
         self
     }
 
-    /// Sets the entry instances of a zone.
+    /// Sets the number of entry instances per zone.
     #[must_use]
     pub const fn with_entries(mut self, entries: usize) -> Self {
         self.entries = entries;
         self
     }
 
-    /// Sets the slots that the document gives a server.
+    /// Sets the number of slots that the document gives each engine.
     #[must_use]
     pub const fn with_slots(mut self, slots: u32) -> Self {
         self.slots = Some(slots);
         self
     }
 
-    /// Lets the plain services check keys themselves.
+    /// Makes the plain services deduplicate by idempotency key themselves.
     #[must_use]
     pub const fn with_deduplication(mut self) -> Self {
         self.deduplicates = true;
@@ -70,7 +71,7 @@
         self
     }
 
-    /// Returns the part of the document that does not name addresses.
+    /// Returns the part of the configuration document that contains no addresses.
     pub fn document_head(&self) -> String {
         let mut text = String::from(
             "[pool engines]\nloads = 2\n[pool tills]\n\
--- a/azureway-dev/src/serve/mod.rs
+++ b/azureway-dev/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! A whole system on loopback, in one process.
+//! A whole system on loopback in one process.
 
 mod layout;
 mod running_entry;
--- a/azureway-dev/src/serve/system.rs
+++ b/azureway-dev/src/serve/system.rs
@@ -1,4 +1,4 @@
-//! The running system.
+//! The running system on loopback.
 
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -14,15 +14,16 @@
 use crate::plain::PlainService;
 use crate::platform::Platform;
 
-/// A whole system on loopback: a platform, engines, plain services and entry daemons.
+/// A whole system on loopback: a simulated platform, engines and plain services, and real entry
+/// daemons.
 pub struct System {
-    /// The platform.
+    /// The simulated platform.
     pub platform: Arc<Platform>,
-    /// The engines, by zone and number.
+    /// The engines, ordered by zone and number.
     pub engines: Vec<Arc<Engine>>,
-    /// The plain services, one a zone.
+    /// The plain services, one per zone.
     pub plain_services: Vec<Arc<PlainService>>,
-    /// The document that the system was started with.
+    /// The configuration document that the system was started with.
     pub document: String,
     platform_server: HttpServer,
     servers: Vec<HttpServer>,
@@ -31,7 +32,7 @@
 }
 
 impl System {
-    /// Starts the stand-ins, writes the document and starts the entry daemons.
+    /// Starts the simulated services, writes the configuration document and starts the entry daemons.
     ///
     /// # Errors
     ///
@@ -58,12 +59,12 @@
         Ok(system)
     }
 
-    /// Returns the addresses that callers reach.
+    /// Returns the addresses of the entry daemons for callers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(RunningEntry::address).collect()
     }
 
-    /// Returns the addresses that operators reach.
+    /// Returns the addresses of the entry daemons' admin interfaces.
     pub fn admin_addresses(&self) -> Vec<SocketAddr> {
         let entries = self.entries.iter();
         entries.filter_map(RunningEntry::admin_address).collect()
@@ -74,12 +75,12 @@
         self.servers.iter().map(HttpServer::address).collect()
     }
 
-    /// Waits until every entry daemon has a configuration in force.
+    /// Waits until every entry daemon has a configuration in effect.
     pub fn wait_ready(&self) {
         self.entries.iter().for_each(RunningEntry::wait_ready);
     }
 
-    /// Waits until every entry daemon has a version of the configuration in force.
+    /// Waits until a version of the configuration is in effect at every entry daemon.
     pub fn wait_version(&self, version: ConfigVersion) {
         self.entries.iter().for_each(|e| e.wait_version(version));
     }
@@ -89,20 +90,24 @@
         self.platform_server.address()
     }
 
-    /// Shuts an entry daemon down and starts it again with nothing but its settings.
+    /// Drains the entry daemon with number `index` and starts it again from its settings alone.
     ///
     /// # Errors
     ///
-    /// Returns an error if its port cannot be bound again.
-    pub fn restart(&mut self, place: usize) -> Result<()> {
-        self.entries[place].drain();
-        let settings = &self.settings[place];
-        let listener = TcpListener::bind(settings.peer).context("bind the peers' port again")?;
-        self.entries[place] = RunningEntry::start_on(settings, listener)?;
+    /// Returns an error if a port cannot be bound again or a thread cannot be started.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there is no such entry daemon.
+    pub fn restart(&mut self, index: usize) -> Result<()> {
+        self.entries[index].drain();
+        let settings = &self.settings[index];
+        let listener = TcpListener::bind(settings.peer).context("bind the port for peers again")?;
+        self.entries[index] = RunningEntry::start_on(settings, listener)?;
         Ok(())
     }
 
-    /// Drains every entry daemon, then stops the stand-ins.
+    /// Drains every entry daemon, then stops the simulated services.
     pub fn drain(self) {
         self.entries.iter().for_each(RunningEntry::drain);
     }
@@ -118,7 +123,7 @@
                 HttpServer::start(Arc::clone(&engine))?,
             );
             if let Some(slots) = layout.slots {
-                // Writing to a string does not fail.
+                // Writing to a string never fails.
                 let _ = writeln!(self.document, "slots = {slots}");
             }
             self.engines.push(engine);
@@ -140,7 +145,7 @@
 
     fn add_server(&mut self, name: &str, pool: &str, zone: &str, server: HttpServer) {
         let address = server.address();
-        // Writing to a string does not fail.
+        // Writing to a string never fails.
         let _ = write!(
             self.document,
             "[server {name}]\npool = {pool}\nzone = {zone}\naddress = {address}\n"
@@ -148,8 +153,8 @@
         self.servers.push(server);
     }
 
-    /// Starts the entry daemons as peers of one another. All their ports are bound before the
-    /// first one starts, so that each knows the others' addresses.
+    /// Starts the entry daemons as peers of one another. All their ports for peers are bound before
+    /// the first one starts, so that each knows the others' addresses.
     fn add_entries(&mut self, layout: &Layout, bounds: &Bounds) -> Result<()> {
         let mut listeners = Vec::new();
         let mut peers = Vec::new();
@@ -161,12 +166,16 @@
                 listeners.push(listener);
             }
         }
-        for (me, listener) in peers.iter().zip(listeners) {
+        for (instance, listener) in peers.iter().zip(listeners) {
             let platform = self.platform_address();
-            let base = EntrySettings::new(me.id.clone(), me.zone.clone(), platform);
+            let base = EntrySettings::new(instance.id.clone(), instance.zone.clone(), platform);
             let mut settings = base.with_bounds(bounds.clone());
-            settings.peer = me.address;
-            settings.peers = peers.iter().filter(|p| p.id != me.id).cloned().collect();
+            settings.peer = instance.address;
+            settings.peers = peers
+                .iter()
+                .filter(|p| p.id != instance.id)
+                .cloned()
+                .collect();
             self.entries
                 .push(RunningEntry::start_on(&settings, listener)?);
             self.settings.push(settings);
