--- a/azureway-dev/src/lib.rs
+++ b/azureway-dev/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for what azureway meets, for tests, trials and benches. No daemon links this.
+//! Simulated peers of azureway, the replay and benchmarks, for tests and developers. No daemon
+//! links this crate.
 
 pub mod bench;
 pub mod bench_relay;
--- a/azureway-dev/src/main.rs
+++ b/azureway-dev/src/main.rs
@@ -1,4 +1,4 @@
-//! The developers' program: stand-ins and trials on loopback.
+//! The developers' program: runs a system on loopback, replays traces and measures.
 
 use anyhow::{Context, Result};
 use azureway_config::settings::Bounds;
@@ -20,14 +20,14 @@
             Ok(())
         }
         Some(("relay", matches)) => bench_relay::run(matches),
-        Some(("replay", matches)) => exit(replay::run(matches)?),
+        Some(("replay", matches)) => exit_with(replay::run(matches)?),
         _ => Ok(()),
     }
 }
 
-/// Ends the program with a status that tells whether all went well.
-fn exit(well: bool) -> ! {
-    std::process::exit(i32::from(!well))
+/// Ends the program with status 0 on success and 1 otherwise.
+fn exit_with(success: bool) -> ! {
+    std::process::exit(i32::from(!success))
 }
 
 fn command() -> Command {
@@ -46,7 +46,7 @@
     let mut signals = Signals::new([SIGINT, SIGTERM]).context("wait for signals")?;
     let layout = Layout::new();
     let system = System::start(&layout, &EngineConfig::new(), &Bounds::new())?;
-    describe(&layout, &system);
+    print_system(&layout, &system);
     signals.forever().next();
     println!("draining");
     system.drain();
@@ -54,7 +54,8 @@
     Ok(())
 }
 
-fn describe(layout: &Layout, system: &System) {
+/// Prints the addresses of the system and commands to try it with.
+fn print_system(layout: &Layout, system: &System) {
     println!("platform  {}", system.platform_address());
     let zones = layout
         .zones
