--- a/azureway-dev/tests/bad_backend.rs
+++ b/azureway-dev/tests/bad_backend.rs
@@ -1,4 +1,5 @@
-//! Whatever a backend server answers, the caller gets a whole answer or an honest refusal.
+//! Tests of invalid answers from backend servers: the caller gets a complete answer or an error
+//! that states truthfully whether the request ran.
 
 mod support;
 
@@ -16,14 +17,14 @@
 use googletest::prelude::*;
 use support::{KEY, open_at, positions, raw_server, read_all};
 
-/// The cases; the file's head tells how to read it.
+/// The cases, in the format that the head of the file describes.
 const CASES: &str = include_str!("../testdata/bad_backend.ini");
-/// The servers of the pool: as many as a request has tries.
+/// The number of servers in the pool: one for each attempt of a request.
 const SERVERS: usize = 4;
-/// The head of a stream.
+/// The response head of a stream.
 const HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n";
 
-/// A document whose pool holds `SERVERS` servers that give `answer`.
+/// Returns a document with a pool of `SERVERS` servers that all give `answer`.
 fn document(answer: &[u8]) -> String {
     let mut text = format!(
         "[pool p]\n[service advice]\npool = p\n\
@@ -42,7 +43,7 @@
     text
 }
 
-fn ask(entry: SocketAddr, service: &str) -> String {
+fn send_request(entry: SocketAddr, service: &str) -> String {
     let (path, body) = match service {
         "advice" => (
             "/v1/chat/completions",
@@ -60,7 +61,7 @@
     read_all(&mut stream)
 }
 
-fn check(case: &Section<'_>) {
+fn check_case(case: &Section<'_>) {
     let text = |key| case.get(key).map_or("", |e| e.value);
     let answer = text("answer")
         .replace("HEAD", HEAD)
@@ -74,7 +75,7 @@
     let entry = Entry::start(&settings).expect("the entry starts");
     entry.wait_ready();
 
-    let answer = ask(entry.address(), text("service"));
+    let answer = send_request(entry.address(), text("service"));
     let status = format!("HTTP/1.1 {} ", text("status"));
     expect_that!(answer, starts_with(status), "{}", case.name);
     expect_that!(answer, contains_substring(text("holds")), "{}", case.name);
@@ -94,8 +95,8 @@
 }
 
 #[gtest]
-fn each_bad_answer_gets_its_outcome() {
+fn each_invalid_answer_gives_the_listed_outcome() {
     let cases = ini::parse(CASES).expect("the table is good");
     expect_that!(cases.len(), ge(18));
-    cases.iter().for_each(check);
+    cases.iter().for_each(check_case);
 }
--- a/azureway-dev/tests/bad_input.rs
+++ b/azureway-dev/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear answer, and good input beside it is served.
+//! Tests of invalid requests: each gets a clear error, and valid requests are served meanwhile.
 
 mod support;
 
@@ -11,12 +11,12 @@
 use googletest::prelude::*;
 use support::{KEY, chat, exchange, open, post, read_all, system};
 
-/// The cases; the file's head tells how to read it.
+/// The cases, in the format that the head of the file describes.
 const CASES: &str = include_str!("../testdata/bad_input.ini");
-/// The silent callers of the issue's case.
+/// The number of silent connections, as in the reported issue.
 const SILENT: usize = 500;
 
-/// Bounds that are soon reached.
+/// Returns bounds that are reached soon.
 fn bounds() -> Bounds {
     Bounds {
         request_timeout: Duration::from_millis(300),
@@ -30,7 +30,7 @@
 }
 
 /// Returns the bytes that a case's text stands for.
-fn bytes(text: &str) -> Vec<u8> {
+fn expand(text: &str) -> Vec<u8> {
     let text = text
         .replace("KEY", KEY)
         .replace("FILL2048", &"x".repeat(2_048));
@@ -41,16 +41,17 @@
         .into_bytes()
 }
 
+/// Returns whether a valid chat request succeeds.
 fn serves(system: &System) -> bool {
     post(system, "/v1/chat/completions", &chat(false, 1)).status_code == 200
 }
 
 #[gtest]
-fn each_bad_request_gets_its_answer() {
+fn each_invalid_request_gets_the_listed_error() {
     let system = start();
     for case in ini::parse(CASES).expect("the table is good") {
         let text = |key| case.get(key).map_or("", |e| e.value);
-        let answer = exchange(&system, &bytes(text("send")), text("shut") == "yes");
+        let answer = exchange(&system, &expand(text("send")), text("shut") == "yes");
         let status = format!("HTTP/1.1 {} ", text("status"));
         expect_that!(answer, starts_with(status), "{}", case.name);
         let code = format!("\"code\":\"{}\"", text("code"));
@@ -68,7 +69,7 @@
 }
 
 #[gtest]
-fn a_head_of_64_mib_is_refused_and_not_kept() {
+fn a_request_head_of_64_mib_is_refused() {
     let system = start();
     let mut head = b"GET /healthz HTTP/1.1\r\nx-long: ".to_vec();
     head.resize(64 * 1024 * 1024, b'a');
@@ -79,7 +80,7 @@
 }
 
 #[gtest]
-fn silent_callers_are_sent_away_and_others_served_beside_them() {
+fn silent_connections_time_out_and_other_callers_are_served() {
     let system = start();
     let mut silent: Vec<_> = (0..SILENT).map(|_| open(&system)).collect();
     silent
@@ -93,12 +94,12 @@
 }
 
 #[gtest]
-fn callers_above_the_bound_are_refused_as_not_run() {
-    let few = Bounds {
+fn connections_above_the_limit_are_refused_as_not_run() {
+    let bounds = Bounds {
         connections: 2,
         ..bounds()
     };
-    let system = system(1, Duration::ZERO, &few);
+    let system = system(1, Duration::ZERO, &bounds);
     let held: Vec<_> = (0..2).map(|_| open(&system)).collect();
     let refused = read_all(&mut open(&system));
     expect_that!(refused, starts_with("HTTP/1.1 503 "));
--- a/azureway-dev/tests/engine.rs
+++ b/azureway-dev/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The contract that the entry relies on, shown by the engine's stand-in.
+//! Tests that the simulated engine meets the contract on which the entry relies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     (engine, server)
 }
 
-fn ask(server: &HttpServer, headers: &[(&str, &str)]) -> minreq::Response {
+fn send_chat(server: &HttpServer, headers: &[(&str, &str)]) -> minreq::Response {
     let url = format!("http://{}/v1/chat/completions", server.address());
     let defaults = [(header::WEIGHTS, "1"), (header::SALT, "7")];
     let missing = defaults
@@ -34,13 +34,14 @@
         .expect("an answer")
 }
 
-fn news(server: &HttpServer, query: &str) -> EngineNews {
+fn poll(server: &HttpServer, query: &str) -> EngineNews {
     let url = format!("http://{}/v1/news?{query}", server.address());
     let answer = minreq::get(url).with_timeout(60).send().expect("an answer");
-    serde_json::from_slice(answer.as_bytes()).expect("news")
+    serde_json::from_slice(answer.as_bytes()).expect("a report")
 }
 
-fn cached(answer: &minreq::Response) -> String {
+/// Returns the number of cached prompt tokens that an answer reports.
+fn cached_tokens(answer: &minreq::Response) -> String {
     let text = answer.as_str().expect("text").to_owned();
     let rest = text
         .split("\"cached_tokens\":")
@@ -51,37 +52,47 @@
 }
 
 #[gtest]
-fn a_request_with_other_expectations_is_refused_before_it_runs() {
+fn a_request_for_other_weights_or_another_incarnation_is_refused_before_it_runs() {
     let (engine, server) = start(EngineConfig::new());
-    expect_that!(ask(&server, &[(header::WEIGHTS, "2")]).status_code, eq(409));
     expect_that!(
-        ask(&server, &[(header::INCARNATION, "9")]).status_code,
+        send_chat(&server, &[(header::WEIGHTS, "2")]).status_code,
+        eq(409)
+    );
+    expect_that!(
+        send_chat(&server, &[(header::INCARNATION, "9")]).status_code,
         eq(409)
     );
     expect_that!(engine.accepted_count(), eq(0));
     expect_that!(
-        ask(&server, &[(header::INCARNATION, "1")]).status_code,
+        send_chat(&server, &[(header::INCARNATION, "1")]).status_code,
         eq(200)
     );
 }
 
 #[gtest]
-fn a_prompt_is_cached_for_its_salt_alone_and_until_a_crash() {
+fn a_prompt_is_cached_for_its_salt_only_and_until_a_crash() {
     let (engine, server) = start(EngineConfig::new());
-    expect_that!(cached(&ask(&server, &[])), eq("0"));
-    expect_that!(cached(&ask(&server, &[])), eq("5"));
-    expect_that!(cached(&ask(&server, &[(header::SALT, "8")])), eq("0"));
+    expect_that!(cached_tokens(&send_chat(&server, &[])), eq("0"));
+    expect_that!(cached_tokens(&send_chat(&server, &[])), eq("5"));
+    expect_that!(
+        cached_tokens(&send_chat(&server, &[(header::SALT, "8")])),
+        eq("0")
+    );
     engine.crash();
-    expect_that!(cached(&ask(&server, &[])), eq("0"));
+    expect_that!(cached_tokens(&send_chat(&server, &[])), eq("0"));
 }
 
 #[gtest]
-fn an_answer_resumes_at_its_position() {
+fn an_answer_resumes_at_the_requested_position() {
     let (_engine, server) = start(EngineConfig::new());
-    let (whole, rest) = (ask(&server, &[]), ask(&server, &[(header::RESUME, "2")]));
+    let (whole, rest) = (
+        send_chat(&server, &[]),
+        send_chat(&server, &[(header::RESUME, "2")]),
+    );
     let (whole, rest) = (whole.as_str().expect("text"), rest.as_str().expect("text"));
     let tail = whole.find("id: 2\n").expect("the position");
-    // What the cache held differs, since the first answer stored it.
+    // Only the contents are compared: the cached tokens in the usage differ, since the first
+    // request filled the cache.
     let content = |t: &str| {
         t.split("\"content\":\"")
             .skip(1)
@@ -96,46 +107,49 @@
 #[gtest]
 fn blocks_are_imported_from_another_engine_with_the_same_weights() {
     let ((_one, first), (_two, second)) = (start(EngineConfig::new()), start(EngineConfig::new()));
-    ask(&first, &[]);
+    send_chat(&first, &[]);
     let from = first.address().to_string();
-    expect_that!(cached(&ask(&second, &[(header::IMPORT, &from)])), eq("5"));
-    let wanted = KvBlocks {
+    expect_that!(
+        cached_tokens(&send_chat(&second, &[(header::IMPORT, &from)])),
+        eq("5")
+    );
+    let requested = KvBlocks {
         weights: 2,
         keys: vec!["1".to_owned()],
     };
-    let body = serde_json::to_string(&wanted).expect("JSON");
+    let body = serde_json::to_string(&requested).expect("JSON");
     let url = format!("http://{}/v1/kv/export", first.address());
     let answer = minreq::post(url)
         .with_body(body)
         .with_timeout(60)
         .send()
         .expect("an answer");
-    let had: KvBlocks = serde_json::from_slice(answer.as_bytes()).expect("blocks");
-    expect_that!(had.keys, is_empty());
+    let exported: KvBlocks = serde_json::from_slice(answer.as_bytes()).expect("blocks");
+    expect_that!(exported.keys, is_empty());
 }
 
 #[gtest]
-fn events_are_numbered_and_a_loss_shows_as_a_gap() {
+fn events_are_numbered_and_lost_events_leave_a_gap() {
     let (engine, server) = start(EngineConfig::new());
-    ask(&server, &[]);
-    let first = news(&server, "after=0&wait_ms=0");
+    send_chat(&server, &[]);
+    let first = poll(&server, "after=0&wait_ms=0");
     expect_that!(
         (first.first, first.events.len(), first.next_event()),
         eq((0, 1, 1))
     );
-    ask(&server, &[(header::SALT, "8")]);
+    send_chat(&server, &[(header::SALT, "8")]);
     engine.drop_events(2);
-    ask(&server, &[(header::SALT, "9")]);
-    expect_that!(news(&server, "after=1&wait_ms=0").first, eq(2));
-    let whole = news(&server, "after=1&wait_ms=0&whole=true");
+    send_chat(&server, &[(header::SALT, "9")]);
+    expect_that!(poll(&server, "after=1&wait_ms=0").first, eq(2));
+    let snapshot = poll(&server, "after=1&wait_ms=0&whole=true");
     expect_that!(
-        (whole.whole, whole.first, whole.events.len()),
+        (snapshot.whole, snapshot.first, snapshot.events.len()),
         eq((true, 3, 3))
     );
 }
 
 #[gtest]
-fn urgent_work_gets_the_next_slot() {
+fn an_urgent_request_gets_the_next_slot() {
     let config = EngineConfig::new();
     let mut state = azureway_dev::engine::EngineState::new(&config.with_slots(1));
     let salt = Salt::from_number(7);
--- a/azureway-dev/tests/engine_model.rs
+++ b/azureway-dev/tests/engine_model.rs
@@ -1,4 +1,4 @@
-//! The engine model of the replay, apart from any core.
+//! Tests of the replay's engine model by itself.
 
 use azureway_core::prelude::*;
 use azureway_dev::replay::{EngineModel, EngineSpeed, GeneratedToken, Owner, Task};
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn a_second_prompt_finds_the_first_ones_blocks() {
+fn a_repeated_prompt_hits_the_cached_blocks() {
     let mut engine = engine(8);
     engine.push(task(1, Rank::Urgent, 2_000));
     drain(&mut engine);
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn a_full_cache_evicts_what_was_used_least_recently() {
+fn a_full_cache_evicts_the_least_recently_used_block() {
     let mut engine = engine(2);
     for number in [1, 2, 1, 3] {
         engine.push(task(number, Rank::Urgent, 2_000));
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn urgent_prompts_are_computed_before_drafting() {
+fn urgent_prompts_are_computed_before_drafting_ones() {
     let mut engine = engine(8);
     engine.push(task(1, Rank::Drafting, 4_000));
     engine.push(task(2, Rank::Urgent, 4_000));
@@ -69,7 +69,7 @@
 }
 
 #[gtest]
-fn an_answer_has_every_token_once_and_resumes_where_it_broke() {
+fn a_resumed_answer_continues_after_the_given_position() {
     let mut engine = engine(8);
     let resumed = Task {
         position: 2,
@@ -84,7 +84,7 @@
 }
 
 #[gtest]
-fn a_crash_empties_the_engine_and_starts_another_incarnation() {
+fn a_crash_clears_the_engine_and_starts_the_next_incarnation() {
     let mut engine = engine(8);
     engine.push(task(1, Rank::Urgent, 2_000));
     drain(&mut engine);
@@ -97,7 +97,7 @@
 }
 
 #[gtest]
-fn a_third_engine_that_loads_slows_the_loading_down() {
+fn three_concurrent_loads_take_longer_than_two() {
     let speed = EngineSpeed::new();
     expect_that!(
         speed.load_time(2),
--- a/azureway-dev/tests/once.rs
+++ b/azureway-dev/tests/once.rs
@@ -1,4 +1,5 @@
-//! At most once over sockets: entries of two zones, the platform and a plain service.
+//! Tests over sockets that a call runs at most once, with entries in two zones, the platform and a
+//! plain service.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -11,11 +12,12 @@
 use azureway_wire::error::{ErrorBody, ErrorDetail};
 use googletest::prelude::*;
 
-/// A guard against a hang, in seconds; no test's verdict depends on it.
+/// The bound on a wait, in seconds, so that a failing test cannot hang. No passing test depends on
+/// its value.
 const TEST_TIMEOUT: u64 = 60;
 
-/// A guard against a hang, in sendings.
-const RESENDS: u32 = 10_000;
+/// The bound on repeated requests, so that a failing test cannot hang.
+const MAX_RESENDS: u32 = 10_000;
 
 fn layout() -> Layout {
     Layout::new()
@@ -30,7 +32,7 @@
     system
 }
 
-fn order(address: SocketAddr, key: &str) -> minreq::Response {
+fn send_order(address: SocketAddr, key: &str) -> minreq::Response {
     send(address, "new", key)
 }
 
@@ -53,11 +55,11 @@
         .expect("an answer")
 }
 
-/// Sends again while an earlier sending counts as running.
-fn settled(send: impl Fn() -> minreq::Response) -> minreq::Response {
-    let answers = (0..RESENDS).map(|_| send());
+/// Repeats a request until no earlier request with the same key counts as running.
+fn resend_until_settled(send: impl Fn() -> minreq::Response) -> minreq::Response {
+    let answers = (0..MAX_RESENDS).map(|_| send());
     let settled = answers.into_iter().find(|a| a.status_code != 409);
-    settled.expect("the earlier sending ends")
+    settled.expect("the earlier request ends")
 }
 
 fn error(answer: &minreq::Response) -> ErrorDetail {
@@ -74,12 +76,13 @@
 }
 
 #[gtest]
-fn an_order_sent_again_in_another_zone_gets_the_same_answer() {
+fn a_request_repeated_in_another_zone_gets_the_stored_answer() {
     let system = system(&layout());
-    let first = order(system.addresses()[0], "key-1");
+    let first = send_order(system.addresses()[0], "key-1");
     expect_that!(first.status_code, eq(200));
-    // The claim is finished after the answer was written; until then it counts as running.
-    let again = settled(|| order(system.addresses()[1], "key-1"));
+    // The claim is closed only after the answer is written; until then the request counts as
+    // running.
+    let again = resend_until_settled(|| send_order(system.addresses()[1], "key-1"));
     expect_that!(again.status_code, eq(200));
     expect_that!(again.as_bytes(), eq(first.as_bytes()));
     expect_that!(runs(&system, "key-1"), eq(1));
@@ -87,12 +90,12 @@
 }
 
 #[gtest]
-fn an_order_whose_answer_was_lost_is_not_run_again_elsewhere() {
+fn a_request_whose_answer_was_lost_is_not_run_again_in_another_zone() {
     let system = system(&layout());
     system.plain_services[0].lose_answers(1);
-    let first = order(system.addresses()[0], "key-2");
+    let first = send_order(system.addresses()[0], "key-2");
     expect_that!(error(&first).not_run, eq(false));
-    let again = order(system.addresses()[1], "key-2");
+    let again = send_order(system.addresses()[1], "key-2");
     expect_that!(error(&again).code, eq("duplicate"));
     expect_that!(error(&again).not_run, eq(false));
     expect_that!(runs(&system, "key-2"), eq(1));
@@ -100,14 +103,14 @@
 }
 
 #[gtest]
-fn one_key_through_two_zones_at_the_same_time_runs_once() {
+fn concurrent_requests_with_one_key_in_two_zones_run_once() {
     let system = system(&layout());
     let addresses = system.addresses();
     for round in 0..20 {
         let key = format!("key-3-{round}");
         thread::scope(|s| {
             for address in &addresses {
-                s.spawn(|| order(*address, &key));
+                s.spawn(|| send_order(*address, &key));
             }
         });
         expect_that!(runs(&system, &key), eq(1));
@@ -116,9 +119,12 @@
 }
 
 #[gtest]
-fn a_key_used_for_another_path_is_not_answered_with_the_first() {
+fn a_key_reused_for_another_path_is_refused_as_a_duplicate() {
     let system = system(&layout());
-    expect_that!(order(system.addresses()[0], "key-7").status_code, eq(200));
+    expect_that!(
+        send_order(system.addresses()[0], "key-7").status_code,
+        eq(200)
+    );
     let other = send(system.addresses()[1], "cancel", "key-7");
     expect_that!(error(&other).code, eq("duplicate"));
     expect_that!(runs(&system, "key-7"), eq(1));
@@ -126,7 +132,7 @@
 }
 
 #[gtest]
-fn a_caller_that_hung_up_gets_the_answer_when_it_comes_back() {
+fn a_caller_that_disconnected_gets_the_answer_when_it_repeats_the_request() {
     let system = system(&layout());
     let mut caller = TcpStream::connect(system.addresses()[0]).expect("a connection");
     let head = "POST /services/orders/new HTTP/1.1\r\nhost: a\r\n\
@@ -135,52 +141,56 @@
     caller.write_all(head.as_bytes()).expect("sent");
     caller.write_all(b".").expect("sent");
     drop(caller);
-    let again = settled(|| send_body(system.addresses()[1], "key-8", "20 m2 of cork."));
+    let again =
+        resend_until_settled(|| send_body(system.addresses()[1], "key-8", "20 m2 of cork."));
     expect_that!(again.status_code, eq(200));
     expect_that!(runs(&system, "key-8"), eq(1));
     system.drain();
 }
 
 #[gtest]
-fn a_claim_whose_answer_is_lost_is_known_again() {
+fn a_claim_whose_answer_is_lost_is_recognised_as_its_own() {
     let system = system(&layout());
     system.platform.set_faults(PlatformFaults {
         lost_answers: 1,
         ..PlatformFaults::new()
     });
-    let answer = order(system.addresses()[0], "key-4");
+    let answer = send_order(system.addresses()[0], "key-4");
     expect_that!(answer.status_code, eq(200));
     expect_that!(runs(&system, "key-4"), eq(1));
     system.drain();
 }
 
 #[gtest]
-fn without_the_platform_an_order_is_refused_as_not_run() {
+fn a_request_that_needs_a_claim_is_refused_as_not_run_in_an_outage() {
     let system = system(&layout());
     system.platform.set_faults(PlatformFaults {
         outage: true,
         ..PlatformFaults::new()
     });
-    let answer = order(system.addresses()[0], "key-5");
+    let answer = send_order(system.addresses()[0], "key-5");
     expect_that!(answer.status_code, eq(503));
     expect_that!(error(&answer).code, eq("claim_unavailable"));
     expect_that!(error(&answer).not_run, eq(true));
     expect_that!(runs(&system, "key-5"), eq(0));
     system.platform.set_faults(PlatformFaults::new());
-    expect_that!(order(system.addresses()[1], "key-5").status_code, eq(200));
+    expect_that!(
+        send_order(system.addresses()[1], "key-5").status_code,
+        eq(200)
+    );
     system.drain();
 }
 
 #[gtest]
-fn a_service_that_checks_keys_itself_is_served_without_the_platform() {
+fn a_service_that_deduplicates_itself_is_served_in_an_outage() {
     let system = system(&layout().with_deduplication());
     system.platform.set_faults(PlatformFaults {
         outage: true,
         ..PlatformFaults::new()
     });
-    let answer = order(system.addresses()[0], "key-6");
+    let answer = send_order(system.addresses()[0], "key-6");
     expect_that!(answer.status_code, eq(200));
-    let again = order(system.addresses()[1], "key-6");
+    let again = send_order(system.addresses()[1], "key-6");
     expect_that!(again.status_code, eq(409));
     expect_that!(system.plain_services[0].run_counts().runs("key-6"), eq(1));
     system.platform.set_faults(PlatformFaults::new());
--- a/azureway-dev/tests/orders.rs
+++ b/azureway-dev/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines over sockets: a rollout, and engines that check numbers or not.
+//! Tests of orders to engines over sockets: a rollout, and engines with and without fencing.
 
 mod support;
 
@@ -12,7 +12,8 @@
 use googletest::prelude::*;
 use support::{TEST_TIMEOUT, chat, post};
 
-fn order(engine: &HttpServer, weights: u64, fencing: u64) -> u16 {
+/// Sends an order to an engine and returns the status of the answer.
+fn send_order(engine: &HttpServer, weights: u64, fencing: u64) -> u16 {
     let url = format!("http://{}/v1/orders", engine.address());
     let body = format!(r#"{{"weights":{weights},"fencing":{fencing},"config":1}}"#);
     let request = minreq::post(url).with_timeout(TEST_TIMEOUT.as_secs());
@@ -24,7 +25,7 @@
 }
 
 #[gtest]
-fn new_weights_are_rolled_out_by_one_holder_and_served() {
+fn new_weights_are_rolled_out_by_one_lease_holder_and_served() {
     let layout = Layout::new()
         .with_zones(&["kranj-a", "koper-a"])
         .with_engines(2);
@@ -36,28 +37,28 @@
     system
         .platform
         .seed("config", "document", &system.document.replace(old, &new));
-    let (wanted, mut numbers) = (WeightsVersion::new(2), Vec::new());
+    let (target, mut orders) = (WeightsVersion::new(2), Vec::new());
     for engine in &system.engines {
-        engine.wait_timeout(TEST_TIMEOUT, |s| s.weights != wanted);
-        numbers.extend(engine.update(|s| s.orders.accepted().to_vec()));
+        engine.wait_timeout(TEST_TIMEOUT, |s| s.weights != target);
+        orders.extend(engine.update(|s| s.orders.accepted().to_vec()));
     }
-    expect_that!(numbers.iter().all(|(w, _)| *w == wanted), eq(true));
-    expect_that!(numbers.iter().all(|(_, n)| *n == numbers[0].1), eq(true));
+    expect_that!(orders.iter().all(|(w, _)| *w == target), eq(true));
+    expect_that!(orders.iter().all(|(_, n)| *n == orders[0].1), eq(true));
     let answer = post(&system, "/v1/chat/completions", &chat(false, 3));
     expect_that!(answer.status_code, eq(200));
     system.drain();
 }
 
 #[gtest]
-fn an_engine_that_checks_refuses_an_old_number_and_another_does_not() {
+fn only_an_engine_with_fencing_refuses_an_outdated_fencing_number() {
     for (config, expected) in [
         (EngineConfig::new().with_fencing(), 409),
         (EngineConfig::new(), 202),
     ] {
         let engine = Arc::new(Engine::new(config));
         let server = HttpServer::start(Arc::clone(&engine)).expect("a server");
-        expect_that!(order(&server, 2, 7), eq(202));
+        expect_that!(send_order(&server, 2, 7), eq(202));
         engine.wait_timeout(TEST_TIMEOUT, |s| s.weights != WeightsVersion::new(2));
-        expect_that!(order(&server, 1, 6), eq(expected));
+        expect_that!(send_order(&server, 1, 6), eq(expected));
     }
 }
--- a/azureway-dev/tests/outage.rs
+++ b/azureway-dev/tests/outage.rs
@@ -1,4 +1,5 @@
-//! The platform is away: what runs goes on, and nothing untrue is said.
+//! Tests of a platform outage: running entries go on serving, and refusals state truthfully
+//! whether the request ran.
 
 mod support;
 
@@ -18,8 +19,8 @@
     }
 }
 
-/// Asks an entry for an answer and returns its status and its text.
-fn ask(entry: &Entry) -> (u16, String) {
+/// Sends a chat request to an entry and returns the status and body of the answer.
+fn send_chat(entry: &Entry) -> (u16, String) {
     let url = format!("http://{}/v1/chat/completions", entry.address());
     let request = minreq::post(url).with_timeout(support::TEST_TIMEOUT.as_secs());
     let request = request.with_header("authorization", format!("Bearer {KEY}"));
@@ -31,7 +32,7 @@
 }
 
 #[gtest]
-fn an_entry_goes_on_serving_through_an_outage() {
+fn a_running_entry_serves_during_an_outage() {
     let system = system(1, Duration::ZERO, &Bounds::new());
     system.platform.set_faults(outage(true));
     for _ in 0..5 {
@@ -44,18 +45,18 @@
 }
 
 #[gtest]
-fn an_entry_that_starts_alone_in_an_outage_refuses_truly_and_serves_after_it() {
+fn an_entry_started_in_an_outage_refuses_as_not_run_and_serves_afterwards() {
     let system = system(1, Duration::ZERO, &Bounds::new());
     system.platform.set_faults(outage(true));
     let (instance, zone) = (InstanceId::new("late"), ZoneId::new("kranj-a"));
     let settings = EntrySettings::new(instance, zone, system.platform_address());
     let entry = Entry::start(&settings).expect("the entry starts");
-    let (status, text) = ask(&entry);
+    let (status, text) = send_chat(&entry);
     expect_that!(status, eq(503));
     expect_that!(text, contains_substring("\"not_run\":true"));
     system.platform.set_faults(outage(false));
     entry.wait_ready();
-    expect_that!(ask(&entry).0, eq(200));
+    expect_that!(send_chat(&entry).0, eq(200));
     entry.drain();
     system.drain();
 }
--- a/azureway-dev/tests/path.rs
+++ b/azureway-dev/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path over sockets: callers, entries, stand-ins.
+//! Tests of the whole request path over sockets: caller, entry and simulated server.
 
 mod support;
 
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn an_answer_that_is_not_streamed_holds_the_same_text() {
+fn an_answer_that_is_not_streamed_has_all_tokens_and_the_usage() {
     let system = system();
     let answer = post(&system, "/v1/chat/completions", &chat(false, 5));
     let body: serde_json::Value = serde_json::from_slice(answer.as_bytes()).expect("JSON");
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn an_order_whose_answer_is_lost_runs_once_and_is_reported_so() {
+fn a_plain_call_whose_answer_is_lost_runs_once_and_is_reported_as_possibly_run() {
     let system = system();
     system.plain_services[0].lose_answers(1);
     let answer = post(&system, "/services/orders/new", "order 17");
--- a/azureway-dev/tests/peers.rs
+++ b/azureway-dev/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Entry instances among themselves, over sockets.
+//! Tests of the entry instances' exchange with one another, over sockets.
 
 mod support;
 
@@ -28,7 +28,7 @@
 }
 
 #[gtest]
-fn an_entry_that_restarts_without_the_platform_has_its_configuration_from_a_peer() {
+fn an_entry_restarted_in_an_outage_gets_the_configuration_from_a_peer() {
     let mut system = system(&["kranj-a"], 2);
     system.platform.set_faults(outage());
     system.restart(0).expect("a restart");
@@ -39,7 +39,7 @@
 }
 
 #[gtest]
-fn a_zone_that_restarts_without_the_platform_has_its_configuration_from_another_zone() {
+fn a_zone_restarted_in_an_outage_gets_the_configuration_from_another_zone() {
     let mut system = system(&["kranj-a", "koper-a"], 2);
     system.platform.set_faults(outage());
     system.restart(0).expect("a restart");
@@ -49,7 +49,7 @@
 }
 
 #[gtest]
-fn a_version_reaches_every_entry() {
+fn a_new_configuration_version_reaches_every_entry() {
     let system = system(&["kranj-a", "koper-a"], 3);
     let document = format!("{}\n[account new]\n", system.document);
     let version = system.platform.seed("config", "document", &document);
--- a/azureway-dev/tests/platform.rs
+++ b/azureway-dev/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The contract with the platform: its client against the stand-in.
+//! Tests of the platform contract: the object API's client against the simulated platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use googletest::prelude::*;
 use tiny_http::Request;
 
-/// A value that is larger than the platform holds, in bytes.
+/// The size of a value above the platform's limit, in bytes.
 const LARGE: usize = 1024 * 1024 + 1;
 
-/// Returns an object as the table writes it.
-fn shown(object: &ObjectBody) -> String {
+/// Returns an object in the notation of the table.
+fn format_object(object: &ObjectBody) -> String {
     let (name, version) = (&object.name, object.version);
     if object.deleted {
         return format!("{name} deleted@{version}");
@@ -23,8 +23,8 @@
     format!("{name}={}@{version}", object.value)
 }
 
-fn listed(objects: &[ObjectBody]) -> String {
-    let all: Vec<_> = objects.iter().map(shown).collect();
+fn format_objects(objects: &[ObjectBody]) -> String {
+    let all: Vec<_> = objects.iter().map(format_object).collect();
     if all.is_empty() {
         "none".to_owned()
     } else {
@@ -32,15 +32,18 @@
     }
 }
 
+/// Makes the call that `words` describe and returns its result in the notation of the table.
 fn call(api: &impl ObjectApi, words: &[&str]) -> std::result::Result<String, Error> {
     let number = |text: &str| text.parse().expect("a number");
     Ok(match words {
         ["get", kind, name] => {
             let object = api.get(kind, name)?;
-            object.as_ref().map_or("none".to_owned(), shown)
+            object.as_ref().map_or("none".to_owned(), format_object)
+        }
+        ["list", kind] => format_objects(&api.list(kind)?.objects),
+        ["watch", kind, after] => {
+            format_objects(&api.watch(kind, number(after), Duration::ZERO)?.objects)
         }
-        ["list", kind] => listed(&api.list(kind)?.objects),
-        ["watch", kind, after] => listed(&api.watch(kind, number(after), Duration::ZERO)?.objects),
         ["delete", kind, name, expected] => {
             api.delete(kind, name, number(expected))?;
             "done".to_owned()
@@ -73,7 +76,7 @@
 }
 
 #[gtest]
-fn calls_end_as_the_table_says() {
+fn each_call_gives_the_listed_result() {
     let platform = Arc::new(Platform::new());
     let server = HttpServer::start(Arc::clone(&platform)).expect("a free port");
     let api = HttpObjects::new(server.address());
@@ -91,21 +94,21 @@
 }
 
 /// A platform that answers every call with the same status and text.
-struct Stubborn(u16, &'static str);
+struct FixedAnswer(u16, &'static str);
 
-impl RequestHandler for Stubborn {
+impl RequestHandler for FixedAnswer {
     fn handle(&self, request: Request) {
         Reply::text(request, self.0, self.1);
     }
 }
 
 #[gtest]
-fn an_answer_that_the_interface_does_not_allow_is_an_error_that_names_the_peer() {
+fn an_invalid_answer_is_an_error_that_names_the_peer_and_step() {
     let cases = [
         (200, "no JSON", "Protocol"),
         (200, "{\"name\":\"x\"}", "Protocol"),
         (204, "", "Protocol"),
-        // The HTTP library fails by itself at a redirection without an address.
+        // The HTTP library itself fails on a redirect without a location.
         (302, "elsewhere", "Unavailable"),
         (418, "", "Protocol"),
         (500, "", "Unavailable"),
@@ -113,7 +116,7 @@
         (429, "", "Limited"),
     ];
     for (status, text, kind) in cases {
-        let server = HttpServer::start(Arc::new(Stubborn(status, text))).expect("a free port");
+        let server = HttpServer::start(Arc::new(FixedAnswer(status, text))).expect("a free port");
         let api = HttpObjects::new(server.address());
         let error = api.get("config", "document").expect_err("an error");
         expect_that!(format!("{:?}", error.kind()), eq(kind), "{status} {text}");
--- a/azureway-dev/tests/slopes.rs
+++ b/azureway-dev/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes and the fleets that they are measured on.
+//! Tests of the slope measurements and of the fleets that they use.
 
 use azureway_core::prelude::{ConfigVersion, Event, Fleet};
 use azureway_dev::bench::{FleetSize, RouterFixture};
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 
 #[gtest]
-fn a_slope_is_the_growth_of_a_straight_line() {
+fn a_slope_is_the_gradient_of_linear_samples() {
     let sample = |size: u64| Sample {
         size,
         memory: 100 + 7 * size,
@@ -20,7 +20,7 @@
 }
 
 #[gtest]
-fn the_document_of_a_size_defines_its_fleet() {
+fn a_size_gives_the_same_fleet_through_its_document() {
     let size = FleetSize {
         replicas: 70,
         zones: 7,
@@ -28,25 +28,25 @@
         models: 5,
     };
     let parsed = azureway_config::document::parse(&size.document(), ConfigVersion::new(1));
-    let (parsed, made) = (parsed.expect("a good document"), size.fleet(1, 8));
+    let (parsed, built) = (parsed.expect("a good document"), size.fleet(1, 8));
     let counts = |f: &Fleet| (f.servers.len(), f.accounts.len(), f.pools.len());
-    expect_that!(counts(&parsed), eq(counts(&made)));
-    expect_that!(counts(&made), eq((70, 35, 5)));
+    expect_that!(counts(&parsed), eq(counts(&built)));
+    expect_that!(counts(&built), eq((70, 35, 5)));
 }
 
 #[gtest]
-fn every_request_of_a_world_is_routed_while_there_are_slots() {
-    let mut world = RouterFixture::new(FleetSize::DESIGN, 16);
+fn every_request_is_dispatched_while_slots_are_free() {
+    let mut fixture = RouterFixture::new(FleetSize::DESIGN, 16);
     for _ in 0..100 {
-        let order = world.submit().expect("a free slot");
-        world.finish(&order);
+        let dispatch = fixture.submit().expect("a free slot");
+        fixture.finish(&dispatch);
     }
-    expect_that!(world.router.active(), eq(0));
-    expect_that!(world.handle(Event::Tick), none());
+    expect_that!(fixture.router.active(), eq(0));
+    expect_that!(fixture.handle(Event::Tick), none());
 }
 
 #[gtest]
-fn messages_have_the_same_size_each_time() {
+fn message_sizes_are_reproducible_and_grow_with_the_content() {
     expect_that!(
         CacheEventProbe::measure(10).message,
         eq(CacheEventProbe::measure(10).message)
--- a/azureway-dev/tests/streams.rs
+++ b/azureway-dev/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams arrive complete and in order, whatever happens to the engines.
+//! Tests that streams arrive complete and in order when engines fail.
 
 mod support;
 
@@ -12,10 +12,10 @@
 
 /// The time between two tokens.
 const INTERVAL: Duration = Duration::from_millis(10);
-/// The tokens of an answer: long enough for a fault to strike in its midst.
+/// The number of tokens of an answer, large enough for a fault to occur in the middle.
 const TOKENS: u64 = 60;
 
-/// Bounds that find a silent connection soon.
+/// Returns bounds with a short timeout for a stalled connection.
 fn bounds() -> Bounds {
     Bounds {
         event_timeout: Duration::from_millis(400),
@@ -23,8 +23,8 @@
     }
 }
 
-/// Returns the engine that runs the one request.
-fn busy(system: &System) -> &Engine {
+/// Returns the engine that is running the only request.
+fn busy_engine(system: &System) -> &Engine {
     system
         .engines
         .iter()
@@ -32,8 +32,8 @@
         .expect("an engine runs the request")
 }
 
-/// Checks that an answer holds every event once and in order.
-fn expect_whole(answer: &str) {
+/// Checks that an answer contains every event once and in order.
+fn expect_complete(answer: &str) {
     let all: Vec<u64> = (0..TOKENS + 2).collect();
     expect_that!(positions(answer), eq(&all));
     expect_that!(answer, contains_substring("[DONE]"));
@@ -44,9 +44,9 @@
     let system = system(2, INTERVAL, &bounds());
     let mut stream = open_chat(&system, TOKENS);
     let mut answer = read_until(&mut stream, "id: 5\n");
-    busy(&system).crash();
+    busy_engine(&system).crash();
     answer.push_str(&read_all(&mut stream));
-    expect_whole(&answer);
+    expect_complete(&answer);
     system.drain();
 }
 
@@ -55,27 +55,27 @@
     let system = system(3, INTERVAL, &bounds());
     let mut stream = open_chat(&system, TOKENS);
     let mut answer = read_until(&mut stream, "id: 5\n");
-    busy(&system).crash();
+    busy_engine(&system).crash();
     answer.push_str(&read_until(&mut stream, "id: 20\n"));
-    busy(&system).crash();
+    busy_engine(&system).crash();
     answer.push_str(&read_all(&mut stream));
-    expect_whole(&answer);
+    expect_complete(&answer);
     system.drain();
 }
 
 #[gtest]
-fn a_stream_whose_connection_goes_silent_is_resumed_on_a_new_one() {
+fn a_stream_on_a_stalled_connection_is_resumed_on_a_new_one() {
     let system = system(1, INTERVAL, &bounds());
     let mut stream = open_chat(&system, TOKENS);
     let mut answer = read_until(&mut stream, "id: 5\n");
-    busy(&system).stall_connections();
+    busy_engine(&system).stall_connections();
     answer.push_str(&read_all(&mut stream));
-    expect_whole(&answer);
+    expect_complete(&answer);
     system.drain();
 }
 
 #[gtest]
-fn a_stream_without_any_engine_left_ends_with_an_honest_error() {
+fn a_stream_without_any_engine_left_ends_with_an_error_as_possibly_run() {
     let system = system(1, INTERVAL, &bounds());
     let mut stream = open_chat(&system, TOKENS);
     let mut answer = read_until(&mut stream, "id: 5\n");
@@ -96,21 +96,21 @@
 }
 
 #[gtest]
-fn a_caller_that_hangs_up_cancels_at_the_engine() {
+fn a_disconnect_of_the_caller_cancels_the_request_at_the_engine() {
     let system = system(1, INTERVAL, &bounds());
     let mut stream = open_chat(&system, 1_000_000);
     read_until(&mut stream, "id: 2\n");
     let engine = &system.engines[0];
     expect_that!(engine.running(), eq(1));
     drop(stream);
-    // Returns once the engine has stopped; a guard ends the test otherwise.
+    // Returns once the engine has stopped the request. It has no timeout of its own.
     engine.wait_idle();
     expect_that!(engine.running(), eq(0));
     system.drain();
 }
 
 #[gtest]
-fn a_shutdown_cuts_no_stream() {
+fn a_shutdown_completes_the_running_streams() {
     let system = system(2, INTERVAL, &bounds());
     let mut streams: Vec<_> = (0..5).map(|_| open_chat(&system, TOKENS)).collect();
     let mut answers: Vec<_> = streams
@@ -120,13 +120,13 @@
     let drain = std::thread::spawn(move || system.drain());
     for (stream, answer) in streams.iter_mut().zip(&mut answers) {
         answer.push_str(&read_all(stream));
-        expect_whole(answer);
+        expect_complete(answer);
     }
     drain.join().expect("drained");
 }
 
 #[gtest]
-fn streams_beside_one_another_do_not_cross() {
+fn concurrent_streams_do_not_mix() {
     let system = system(2, INTERVAL, &bounds());
     let mut streams: Vec<_> = (0..12).map(|_| open_chat(&system, TOKENS)).collect();
     let mut answers: Vec<_> = streams
@@ -136,14 +136,14 @@
     system.engines[0].crash();
     for (stream, answer) in streams.iter_mut().zip(&mut answers) {
         answer.push_str(&read_all(stream));
-        expect_whole(answer);
+        expect_complete(answer);
         let ids: std::collections::BTreeSet<&str> = request_ids(answer).collect();
         expect_that!(ids.len(), eq(1));
     }
     system.drain();
 }
 
-/// Returns the request that each event of an answer belongs to, without its try.
+/// Returns the request ID of each event of an answer, without the number of the attempt.
 fn request_ids(answer: &str) -> impl Iterator<Item = &str> {
     let ids = answer.split("\"id\":\"").skip(1);
     ids.filter_map(|rest| rest.split('"').next())
--- a/azureway-dev/tests/support/mod.rs
+++ b/azureway-dev/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests over sockets share.
+//! Helpers for the tests over sockets.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
 #![allow(dead_code, reason = "each test uses a part of it")]
 
@@ -12,10 +12,10 @@
 
 /// The bound on a wait, so that a failing test cannot hang. No passing test depends on its value.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// A good API key.
+/// A valid API key.
 pub const KEY: &str = "wax-desk-key";
 
-/// Starts one availability zone with `engines` engines that take `interval` a token.
+/// Starts a system of one availability zone with `engines` engines that take `interval` per token.
 pub fn system(engines: usize, interval: Duration, bounds: &Bounds) -> System {
     let layout = Layout::new()
         .with_zones(&["kranj-a"])
@@ -27,7 +27,7 @@
     system
 }
 
-/// Posts a body with a good API key and returns the whole answer.
+/// Posts a body with a valid API key and returns the answer.
 pub fn post(system: &System, path: &str, body: &str) -> minreq::Response {
     let url = format!("http://{}{path}", system.addresses()[0]);
     let request = minreq::post(url)
@@ -57,11 +57,11 @@
     let stream = TcpStream::connect(address).expect("a connection");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a guard");
+        .expect("a timeout");
     stream
 }
 
-/// Opens a connection and sends a chat request for a stream.
+/// Opens a connection and sends a request for a stream of `tokens` tokens.
 pub fn open_chat(system: &System, tokens: u64) -> TcpStream {
     let (mut stream, body) = (open(system), chat(true, tokens));
     let head = format!(
@@ -74,10 +74,10 @@
     stream
 }
 
-/// Sends bytes and returns the text of the whole answer.
+/// Sends bytes, closes the sending side if `shut`, and returns the text of the answer.
 pub fn exchange(system: &System, bytes: &[u8], shut: bool) -> String {
     let mut stream = open(system);
-    // A refusal may come before all bytes are sent.
+    // The entry may refuse the request and close before all bytes are sent.
     let _ = stream.write_all(bytes);
     if shut {
         let _ = stream.shutdown(Shutdown::Write);
@@ -85,7 +85,7 @@
     read_all(&mut stream)
 }
 
-/// Reads until the other side closes.
+/// Reads until the peer closes the connection.
 pub fn read_all(stream: &mut TcpStream) -> String {
     let mut answer = Vec::new();
     let mut buffer = [0; 4096];
@@ -95,7 +95,7 @@
     String::from_utf8(answer).expect("text")
 }
 
-/// Reads until `mark` has come, and returns what came.
+/// Reads until the text contains `mark` and returns it.
 pub fn read_until(stream: &mut TcpStream, mark: &str) -> String {
     let mut answer = String::new();
     let mut buffer = [0; 4096];
@@ -107,27 +107,27 @@
     answer
 }
 
-/// Starts a backend server that gives every chat or plain request the same bytes for an
-/// answer and hangs up. It ends with the test.
+/// Starts a backend server that answers every POST request with the same bytes and closes the
+/// connection. It runs until the test process ends.
 pub fn raw_server(answer: &[u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let answer = answer.to_vec();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            raw_answer(stream, &answer);
+            answer_raw(stream, &answer);
         }
     });
     address
 }
 
-fn raw_answer(mut stream: TcpStream, answer: &[u8]) {
+fn answer_raw(mut stream: TcpStream, answer: &[u8]) {
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a guard");
+        .expect("a timeout");
     let mut request = Vec::new();
     let mut buffer = [0; 4096];
-    while !is_whole(&request) {
+    while !is_complete(&request) {
         match stream.read(&mut buffer) {
             Ok(count @ 1..) => request.extend_from_slice(&buffer[..count]),
             _ => return,
@@ -138,8 +138,8 @@
     }
 }
 
-/// Tells whether a request's head and as much body as it declares have come.
-fn is_whole(request: &[u8]) -> bool {
+/// Returns whether a request's head and a body of the declared length have arrived.
+fn is_complete(request: &[u8]) -> bool {
     let text = String::from_utf8_lossy(request).to_lowercase();
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
@@ -152,7 +152,7 @@
     body.len() >= length
 }
 
-/// Returns the positions of the events in an answer.
+/// Returns the positions of the events in a streamed answer.
 pub fn positions(answer: &str) -> Vec<u64> {
     let ids = answer.lines().filter_map(|l| l.strip_prefix("id: "));
     ids.map(|id| id.parse().expect("a position")).collect()
