--- a/azureway-dev/src/engine/chat_handler.rs
+++ b/azureway-dev/src/engine/chat_handler.rs
@@ -6,16 +6,17 @@
 use azureway_core::prelude::{BlockChain, TokenCount};
 use azureway_wire::chat::{Usage, UsageDetails};
 
-use super::{AcceptedRequest, ChatEvent, Engine, EngineState, Generation, RequestTerms};
+use super::{AcceptedRequest, ChatEvent, Engine, EngineState, Generation, RequestMetadata};
 use crate::http::EventWriter;
 
 /// Processes one chat request: waits for a slot, computes the prompt and streams the answer.
 pub struct ChatHandler<'a> {
     engine: &'a Engine,
     writer: EventWriter,
-    terms: &'a RequestTerms,
+    metadata: &'a RequestMetadata,
     chain: &'a BlockChain,
     accepted: AcceptedRequest,
+    /// The number of prompt tokens that are still to be computed.
     pending: TokenCount,
 }
 
@@ -27,14 +28,14 @@
     pub const fn new(
         engine: &'a Engine,
         writer: EventWriter,
-        terms: &'a RequestTerms,
+        metadata: &'a RequestMetadata,
         chain: &'a BlockChain,
         accepted: AcceptedRequest,
     ) -> Self {
         Self {
             engine,
             writer,
-            terms,
+            metadata,
             chain,
             accepted,
             pending: accepted.uncached,
@@ -56,7 +57,7 @@
             .update(|s| s.finish_prefill(&self.accepted, self.chain));
         self.pending = TokenCount::ZERO;
         let generation = Generation::new(self.chain, max_tokens);
-        let id = self.terms.attempt_id.clone();
+        let id = self.metadata.attempt_id.clone();
         self.stream(ChatEvent { id: &id, model }, generation)
     }
 
@@ -90,7 +91,7 @@
     }
 
     fn stream(&mut self, event: ChatEvent<'_>, generation: Generation) -> Option<()> {
-        let mut position = self.terms.resume_position;
+        let mut position = self.metadata.resume_position;
         while let Some(token) = generation.token(position) {
             self.write(position, &event.token(&token)).ok()?;
             position += 1;
--- a/azureway-dev/src/engine/engine_service.rs
+++ b/azureway-dev/src/engine/engine_service.rs
@@ -9,7 +9,9 @@
 use azureway_wire::engine::KvBlocks;
 use tiny_http::{Method, Request};
 
-use super::{AcceptedRequest, ChatHandler, EngineConfig, EngineState, OrderHandler, RequestTerms};
+use super::{
+    AcceptedRequest, ChatHandler, EngineConfig, EngineState, OrderHandler, RequestMetadata,
+};
 use crate::http::{EventWriter, Query, Reply, RequestHandler};
 
 /// A simulated model engine that serves HTTP.
@@ -128,20 +130,20 @@
         let Ok(chat) = serde_json::from_slice::<ChatRequest<'_>>(&body) else {
             return Reply::text(request, 400, "the body is no chat-completions request");
         };
-        let terms = RequestTerms::new(&request);
-        let chain = chat.chain(terms.salt);
+        let metadata = RequestMetadata::new(&request);
+        let chain = chat.chain(metadata.salt);
         if self.lock().rejecting {
             return Reply::text(request, 500, "the engine is closed");
         }
-        if let Some(from) = terms.import_from {
-            self.import_blocks(from, &chain, &terms);
+        if let Some(from) = metadata.import_from {
+            self.import_blocks(from, &chain, &metadata);
         }
-        let Some(accepted) = self.accept(&terms, &chain) else {
+        let Some(accepted) = self.accept(&metadata, &chain) else {
             return Reply::text(request, 409, "the incarnation or the weights are others");
         };
-        match EventWriter::new(request, &terms.attempt_id) {
+        match EventWriter::new(request, &metadata.attempt_id) {
             Ok(writer) => {
-                let handler = ChatHandler::new(self, writer, &terms, &chain, accepted);
+                let handler = ChatHandler::new(self, writer, &metadata, &chain, accepted);
                 handler.run(&chat.model, chat.max_tokens);
             }
             Err(_) => self.update(|s| s.remove(&accepted, accepted.uncached)),
@@ -149,8 +151,8 @@
     }
 
     /// Accepts a request if the engine has the incarnation and weights that it requires.
-    fn accept(&self, terms: &RequestTerms, chain: &BlockChain) -> Option<AcceptedRequest> {
-        self.update(|s| s.matches(terms).then(|| s.enqueue(terms, chain)))
+    fn accept(&self, metadata: &RequestMetadata, chain: &BlockChain) -> Option<AcceptedRequest> {
+        self.update(|s| s.matches(metadata).then(|| s.enqueue(metadata, chain)))
     }
 
     /// Answers with those of the requested blocks that are cached.
@@ -162,8 +164,8 @@
     }
 
     /// Imports blocks from another engine. If that fails, the prompt is computed instead.
-    fn import_blocks(&self, from: SocketAddr, chain: &BlockChain, terms: &RequestTerms) {
-        let requested = KvBlocks::new(terms.weights, chain.blocks());
+    fn import_blocks(&self, from: SocketAddr, chain: &BlockChain, metadata: &RequestMetadata) {
+        let requested = KvBlocks::new(metadata.weights, chain.blocks());
         let Ok(body) = serde_json::to_string(&requested) else {
             return;
         };
--- a/azureway-dev/src/engine/engine_state.rs
+++ b/azureway-dev/src/engine/engine_state.rs
@@ -5,7 +5,7 @@
 use azureway_core::prelude::*;
 use azureway_wire::engine::{CacheEvent, EngineNews, KvBlocks};
 
-use super::{AcceptedRequest, BlockCache, EngineConfig, EventLog, OrderState, RequestTerms};
+use super::{AcceptedRequest, BlockCache, EngineConfig, EventLog, OrderState, RequestMetadata};
 
 /// The state of a simulated engine: its queue, cache and weights.
 #[derive(Clone, Debug)]
@@ -113,18 +113,18 @@
     }
 
     /// Returns whether the engine has the incarnation and weights that a request requires.
-    pub fn matches(&self, terms: &RequestTerms) -> bool {
-        let same_incarnation = terms.incarnation.is_none_or(|i| i == self.incarnation);
-        same_incarnation && terms.weights == self.weights
+    pub fn matches(&self, metadata: &RequestMetadata) -> bool {
+        let same_incarnation = metadata.incarnation.is_none_or(|i| i == self.incarnation);
+        same_incarnation && metadata.weights == self.weights
     }
 
     /// Accepts a request and queues it for a slot.
-    pub fn enqueue(&mut self, terms: &RequestTerms, chain: &BlockChain) -> AcceptedRequest {
+    pub fn enqueue(&mut self, metadata: &RequestMetadata, chain: &BlockChain) -> AcceptedRequest {
         let cached = self.cache.cached_tokens(chain.blocks());
         let uncached = chain.tokens().saturating_sub(cached);
         self.accepted_count += 1;
         self.pending += uncached;
-        let (incarnation, number, rank) = (self.incarnation, self.accepted_count, terms.rank);
+        let (incarnation, number, rank) = (self.incarnation, self.accepted_count, metadata.rank);
         self.waiting.insert((rank, number));
         AcceptedRequest {
             incarnation,
--- a/azureway-dev/src/engine/mod.rs
+++ b/azureway-dev/src/engine/mod.rs
@@ -11,7 +11,7 @@
 mod generation;
 mod order_handler;
 mod order_state;
-mod request_terms;
+mod request_metadata;
 
 pub use accepted_request::AcceptedRequest;
 pub use block_cache::BlockCache;
@@ -24,4 +24,4 @@
 pub use generation::Generation;
 pub use order_handler::OrderHandler;
 pub use order_state::OrderState;
-pub use request_terms::RequestTerms;
+pub use request_metadata::RequestMetadata;
--- a/azureway-dev/src/engine/order_state.rs
+++ b/azureway-dev/src/engine/order_state.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Records an order and returns `true`, or `false` if its fencing number is checked and outdated.
+    /// Records an order. Returns `false` if it is refused because its fencing number is outdated.
     pub fn accept(&mut self, weights: WeightsVersion, number: FencingNumber) -> bool {
         if self.fenced && number < self.highest {
             return false;
--- a/azureway-dev/src/engine/request_terms.rs
+++ b/azureway-dev/src/engine/request_metadata.rs
@@ -10,7 +10,7 @@
 
 /// The values that the headers of a request to an engine carry.
 #[derive(Clone, Debug)]
-pub struct RequestTerms {
+pub struct RequestMetadata {
     /// The ID of the attempt.
     pub attempt_id: String,
     /// The salt of the block keys that the request may use.
@@ -27,7 +27,7 @@
     pub import_from: Option<SocketAddr>,
 }
 
-impl RequestTerms {
+impl RequestMetadata {
     /// Reads the headers of a request. Missing or invalid values get a default.
     pub fn new(request: &Request) -> Self {
         let text = |name| Reply::header(request, name);
--- a/azureway-dev/src/http/reply.rs
+++ b/azureway-dev/src/http/reply.rs
@@ -25,7 +25,7 @@
         let _ = request.respond(Response::from_string(text).with_status_code(status));
     }
 
-    /// Returns the value of the header with the lower-case `name`.
+    /// Returns the value of the header `name`, in any case of letters.
     pub fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
         let header = request
             .headers()
--- a/azureway-dev/src/serve/system.rs
+++ b/azureway-dev/src/serve/system.rs
@@ -32,7 +32,7 @@
 }
 
 impl System {
-    /// Starts the simulated services, writes the configuration document and starts the entry daemons.
+    /// Starts the simulated services, writes the document and starts the entry daemons.
     ///
     /// # Errors
     ///
--- a/azureway-dev/tests/engine.rs
+++ b/azureway-dev/tests/engine.rs
@@ -154,7 +154,7 @@
     let mut state = azureway_dev::engine::EngineState::new(&config.with_slots(1));
     let salt = Salt::from_number(7);
     let chain = BlockChain::new(salt, [b"house".as_slice()]);
-    let terms = |rank| azureway_dev::engine::RequestTerms {
+    let metadata = |rank| azureway_dev::engine::RequestMetadata {
         attempt_id: String::new(),
         salt,
         weights: WeightsVersion::new(1),
@@ -163,10 +163,10 @@
         rank,
         import_from: None,
     };
-    let drafting = state.enqueue(&terms(Rank::Drafting), &chain);
-    let waiting = state.enqueue(&terms(Rank::Drafting), &chain);
+    let drafting = state.enqueue(&metadata(Rank::Drafting), &chain);
+    let waiting = state.enqueue(&metadata(Rank::Drafting), &chain);
     expect_true!(state.take_slot(&drafting));
-    let urgent = state.enqueue(&terms(Rank::Urgent), &chain);
+    let urgent = state.enqueue(&metadata(Rank::Urgent), &chain);
     state.remove(&drafting, drafting.uncached);
     expect_false!(state.take_slot(&waiting));
     expect_true!(state.take_slot(&urgent));
