--- a/azureway-dev/src/replay/request_log.rs
+++ b/azureway-dev/src/replay/request_log.rs
@@ -92,8 +92,8 @@
         self.finished && self.ttft.is_some_and(|t| t <= self.ttft_limit)
     }
 
-    /// Returns whether the request was refused without a run because the platform could not grant
-    /// its claim. No policy can serve such a request.
+    /// Returns whether the request was refused without a run because the platform could not be
+    /// asked whether it had run before. No policy can serve such a request.
     pub fn is_unclaimed(&self) -> bool {
         let refusal = self.refusal.as_ref();
         refusal.is_some_and(|r| r.not_run && r.reason == RefusalReason::ClaimUnavailable)
