--- a/azureway-dev/src/platform/platform_service.rs
+++ b/azureway-dev/src/platform/platform_service.rs
@@ -19,7 +19,7 @@
 }
 
 /// The maximum size of an object's value, in bytes.
-const MAX_VALUE_SIZE: usize = 1024 * 1024;
+const VALUE_MAX: usize = 1024 * 1024;
 
 impl Platform {
     /// Creates a platform without objects.
@@ -75,9 +75,9 @@
 
     fn put(&self, mut request: Request, kind: &str, name: &str, expected: u64) {
         let mut value = String::new();
-        let limit = MAX_VALUE_SIZE as u64 + 1;
+        let limit = VALUE_MAX as u64 + 1;
         let result = request.as_reader().take(limit).read_to_string(&mut value);
-        if result.is_err() || value.len() > MAX_VALUE_SIZE {
+        if result.is_err() || value.len() > VALUE_MAX {
             return Reply::text(request, 413, "the value is no text of at most a megabyte");
         }
         let mut state = self.lock();
