--- a/azureway-dev/benches/decisions.rs
+++ b/azureway-dev/benches/decisions.rs
@@ -7,7 +7,7 @@
 };
 use azureway_dev::bench::{FleetSize, RouterFixture};
 use azureway_dev::slopes::{BlockProbe, MembershipProbe};
-use azureway_wire::engine::{CacheEvent, EngineNews};
+use azureway_wire::engine::{CacheEvent, FeedBody};
 use azureway_wire::peer::Heartbeat;
 use divan::{Bencher, black_box};
 use prost::Message;
@@ -154,17 +154,17 @@
 fn news_decode(bencher: Bencher<'_, '_>) {
     let text = serde_json::to_string(&engine_message()).expect("a valid message");
     bencher.bench_local(|| {
-        let decoded: EngineNews = serde_json::from_str(black_box(&text)).expect("a valid message");
+        let decoded: FeedBody = serde_json::from_str(black_box(&text)).expect("a valid message");
         decoded.cache_ops().map(|ops| ops.len())
     });
 }
 
-fn engine_message() -> EngineNews {
+fn engine_message() -> FeedBody {
     let keys = (0..BATCH).map(|n| BlockKey::new(u128::MAX - u128::from(n)));
-    EngineNews {
+    FeedBody {
         incarnation: 1,
         weights: 1,
         events: keys.map(|k| CacheEvent::from(CacheOp::Stored(k))).collect(),
-        ..EngineNews::default()
+        ..FeedBody::default()
     }
 }
--- a/azureway-dev/src/engine/engine_state.rs
+++ b/azureway-dev/src/engine/engine_state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use azureway_core::prelude::*;
-use azureway_wire::engine::{CacheEvent, EngineNews, KvBlocks};
+use azureway_wire::engine::{CacheEvent, FeedBody, KvBlocks};
 
 use super::{AcceptedRequest, BlockCache, EngineConfig, EventLog, OrderState, RequestMetadata};
 
@@ -60,7 +60,7 @@
 
     /// Returns the load with the cache events from number `after` on, or with a snapshot of the
     /// cache.
-    pub fn report(&self, after: u64, snapshot: bool) -> EngineNews {
+    pub fn report(&self, after: u64, snapshot: bool) -> FeedBody {
         let stored: Vec<CacheOp> = self
             .cache
             .keys()
@@ -72,7 +72,7 @@
         } else {
             self.log.since(after)
         };
-        EngineNews {
+        FeedBody {
             incarnation: self.incarnation.get(),
             weights: self.weights.get(),
             running: self.running,
--- a/azureway-dev/src/slopes/cache_event_probe.rs
+++ b/azureway-dev/src/slopes/cache_event_probe.rs
@@ -1,7 +1,7 @@
 //! Growth of an engine's feed message with its cache events.
 
 use azureway_core::prelude::*;
-use azureway_wire::engine::{CacheEvent, EngineNews};
+use azureway_wire::engine::{CacheEvent, FeedBody};
 
 use super::Sample;
 use super::probe::{Probe, mean_nanos};
@@ -23,16 +23,16 @@
         // Real keys are digests, so these are large numbers that encode at full length.
         let keys = (0..size).map(|n| BlockKey::new(u128::MAX - u128::from(n)));
         let events = keys.map(|k| CacheEvent::from(CacheOp::Stored(k)));
-        let message = EngineNews {
+        let message = FeedBody {
             incarnation: 1,
             weights: 1,
             first: 1_000_000,
             events: events.collect(),
-            ..EngineNews::default()
+            ..FeedBody::default()
         };
         let text = serde_json::to_string(&message).unwrap_or_default();
         let time = mean_nanos(MESSAGES, |_| {
-            let decoded: Option<EngineNews> = serde_json::from_str(&text).ok();
+            let decoded: Option<FeedBody> = serde_json::from_str(&text).ok();
             drop(std::hint::black_box(decoded.map(|n| n.cache_ops())));
         });
         Sample {
--- a/azureway-dev/tests/engine.rs
+++ b/azureway-dev/tests/engine.rs
@@ -6,7 +6,7 @@
 use azureway_core::prelude::*;
 use azureway_dev::engine::{Engine, EngineConfig};
 use azureway_dev::http::HttpServer;
-use azureway_wire::engine::{EngineNews, KvBlocks};
+use azureway_wire::engine::{FeedBody, KvBlocks};
 use azureway_wire::header;
 use googletest::prelude::*;
 
@@ -34,7 +34,7 @@
         .expect("an answer")
 }
 
-fn poll(server: &HttpServer, query: &str) -> EngineNews {
+fn poll(server: &HttpServer, query: &str) -> FeedBody {
     let url = format!("http://{}/v1/news?{query}", server.address());
     let answer = minreq::get(url).with_timeout(60).send().expect("an answer");
     serde_json::from_slice(answer.as_bytes()).expect("a report")
--- a/azureway-entry/src/feed/http_feed.rs
+++ b/azureway-entry/src/feed/http_feed.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use azureway_core::prelude::*;
-use azureway_wire::engine::EngineNews;
+use azureway_wire::engine::FeedBody;
 
 use super::{FeedBatch, FeedSource};
 
@@ -33,7 +33,7 @@
         let url = format!("http://{address}/v1/news?after={next}&wait_ms={wait}&whole={snapshot}");
         let answer = minreq::get(url).with_timeout(TIMEOUT).send();
         let answer = answer.map_err(|e| error(ErrorKind::Unavailable, e.to_string()))?;
-        let news: EngineNews = serde_json::from_slice(answer.as_bytes())
+        let news: FeedBody = serde_json::from_slice(answer.as_bytes())
             .map_err(|e| error(ErrorKind::Protocol, e.to_string()))?;
         let ops = news.cache_ops();
         Ok(FeedBatch {
--- a/azureway-wire/src/engine/engine_news.rs
+++ b/azureway-wire/src/engine/feed_body.rs
@@ -9,7 +9,7 @@
 
 /// The answer of an engine to a poll: its load and the events of its prefix cache.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub struct EngineNews {
+pub struct FeedBody {
     /// The incarnation of the engine.
     pub incarnation: u64,
     /// The weights version that the engine has loaded.
@@ -34,7 +34,7 @@
     pub events: Vec<CacheEvent>,
 }
 
-impl EngineNews {
+impl FeedBody {
     /// Returns the sequence number of the first event after these.
     pub fn next_event(&self) -> u64 {
         let len = if self.whole {
--- a/azureway-wire/src/engine/mod.rs
+++ b/azureway-wire/src/engine/mod.rs
@@ -1,9 +1,9 @@
 //! The interface through which model engines report their load and cache.
 
 mod cache_event;
-mod engine_news;
+mod feed_body;
 mod kv_blocks;
 
 pub use cache_event::CacheEvent;
-pub use engine_news::EngineNews;
+pub use feed_body::FeedBody;
 pub use kv_blocks::KvBlocks;
