--- a/azureway-entry/src/logs/mod.rs
+++ b/azureway-entry/src/logs/mod.rs
@@ -1,15 +1,15 @@
 //! Non-blocking, rate-limited logs.
 //!
-//! A [`LogRing`] accepts lines from every duty without blocking, up to a rate limit, and a
+//! A [`LogSender`] accepts lines from every duty without blocking, up to a rate limit, and a
 //! [`LogWriter`] writes them to standard output. Dropped lines are counted, and the count is
 //! logged as a line of its own.
 
 mod flusher;
-mod ring;
+mod sender;
 mod writer;
 
 pub use flusher::LogFlusher;
-pub use ring::LogRing;
+pub use sender::LogSender;
 pub use writer::LogWriter;
 
 /// Starts the logs of a process at `level`, unless the environment sets another filter, and
@@ -19,11 +19,11 @@
 ///
 /// Returns an error if the system cannot create the writer's thread.
 pub fn start(level: &str) -> Result<LogFlusher, azureway_core::prelude::Error> {
-    let (ring, writer, flusher) = LogRing::new();
+    let (sender, writer, flusher) = LogSender::new();
     crate::daemon::spawn("logs", move || writer.run(&mut std::io::stdout()))?;
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(level))
         .format_timestamp_millis()
-        .target(env_logger::Target::Pipe(Box::new(ring)))
+        .target(env_logger::Target::Pipe(Box::new(sender)))
         .init();
     Ok(flusher)
 }
--- a/azureway-entry/src/logs/ring.rs
+++ b/azureway-entry/src/logs/sender.rs
@@ -12,7 +12,7 @@
 /// The sending side of the logs. A line beyond the rate limit or the ring's capacity is dropped
 /// and counted.
 #[derive(Debug)]
-pub struct LogRing {
+pub struct LogSender {
     lines: Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
     available: u32,
@@ -20,28 +20,28 @@
 }
 
 /// The capacity of the ring in lines, about one second's worth.
-const RING_SIZE: usize = 1_024;
+const CHANNEL_CAPACITY: usize = 1_024;
 /// The maximum number of lines per period. It allows several for each request that a small
 /// instance serves at its peak, and costs little.
 const LINES_PER_PERIOD: u32 = 1_000;
 /// The period of the rate limit.
 const PERIOD: Duration = Duration::from_secs(1);
 
-impl LogRing {
+impl LogSender {
     /// Creates the ring, the writer that empties it, and the flusher of both.
     pub fn new() -> (Self, LogWriter, LogFlusher) {
-        let (lines, receiver) = flume::bounded(RING_SIZE);
+        let (lines, receiver) = flume::bounded(CHANNEL_CAPACITY);
         let dropped = Arc::new(AtomicU64::new(0));
         let (flushed, flush_signal) = flume::bounded(1);
         let writer = LogWriter::new(receiver, Arc::clone(&dropped), flushed);
         let flusher = LogFlusher::new(lines.clone(), flush_signal);
-        let ring = Self {
+        let sender = Self {
             lines,
             dropped,
             available: LINES_PER_PERIOD,
             period_start: Instant::now(),
         };
-        (ring, writer, flusher)
+        (sender, writer, flusher)
     }
 
     /// Returns whether the rate limit allows one more line, and counts it.
@@ -55,7 +55,7 @@
     }
 }
 
-impl Write for LogRing {
+impl Write for LogSender {
     /// Queues a line. It never blocks and never fails, so that logging cannot delay a duty.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if !self.allows() || self.lines.try_send(line.to_vec()).is_err() {
--- a/azureway-entry/tests/logs.rs
+++ b/azureway-entry/tests/logs.rs
@@ -2,16 +2,16 @@
 
 use std::io::Write;
 
-use azureway_entry::logs::LogRing;
+use azureway_entry::logs::LogSender;
 use googletest::prelude::*;
 
 #[gtest]
 fn lines_are_written_in_order() {
-    let (mut ring, writer, _) = LogRing::new();
+    let (mut sender, writer, _) = LogSender::new();
     for number in 0..5 {
-        writeln!(ring, "line {number}").expect("a ring takes every line");
+        writeln!(sender, "line {number}").expect("a sender takes every line");
     }
-    drop(ring);
+    drop(sender);
     let mut out = Vec::new();
     writer.run(&mut out);
     let text = String::from_utf8(out).expect("text");
@@ -19,15 +19,17 @@
     expect_that!(text.find("line 1"), lt(text.find("line 4")));
 }
 
-/// Nothing empties the ring during the flood, so a blocking write would hang the test.
+/// Nothing empties the channel during the flood, so a blocking write would hang the test.
 #[gtest]
 fn flood_is_limited_and_counted_without_blocking() {
-    let (mut ring, writer, _) = LogRing::new();
+    let (mut sender, writer, _) = LogSender::new();
     let flood = 100_000;
     for _ in 0..flood {
-        ring.write_all(b"flood\n").expect("a ring takes every line");
+        sender
+            .write_all(b"flood\n")
+            .expect("a sender takes every line");
     }
-    drop(ring);
+    drop(sender);
     let mut out = Vec::new();
     writer.run(&mut out);
     let text = String::from_utf8(out).expect("text");
@@ -39,15 +41,17 @@
 
 #[gtest]
 fn flush_waits_for_the_last_line() {
-    let (mut ring, writer, flusher) = LogRing::new();
+    let (mut sender, writer, flusher) = LogSender::new();
     let thread = std::thread::spawn(move || {
         let mut out = Vec::new();
         writer.run(&mut out);
         out
     });
-    ring.write_all(b"last\n").expect("a ring takes every line");
+    sender
+        .write_all(b"last\n")
+        .expect("a sender takes every line");
     flusher.flush();
-    drop(ring);
+    drop(sender);
     let out = thread.join().expect("the writer ends");
     expect_that!(out, eq(&b"last\n".to_vec()));
 }
