--- a/azureway-core/src/config/accepted_change.rs
+++ b/azureway-core/src/config/accepted_change.rs
@@ -1,4 +1,4 @@
-//! An accepted change.
+//! The items of the audit trail.
 
 use super::ChangeRecord;
 use crate::domain::ConfigVersion;
--- a/azureway-core/src/config/change_metadata.rs
+++ b/azureway-core/src/config/change_metadata.rs
@@ -1,4 +1,4 @@
-//! The metadata of a change.
+//! The part of a change's record that is fixed before the change is written.
 
 use super::{ChangeId, ChangeTime, TeamId};
 
--- a/azureway-core/src/config/change_record.rs
+++ b/azureway-core/src/config/change_record.rs
@@ -1,14 +1,14 @@
-//! The record of a change in the audit trail.
+//! The audit record that is stored in the same write as the changed document.
 
 use super::{ChangeMetadata, Delta};
 use crate::domain::ConfigVersion;
 
-/// The record of a change: its metadata, the version that it was made to and what it changed.
+/// The record of a change: its metadata, the version that it was applied to and what it changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeRecord {
     /// Who made the change, when and why.
     pub metadata: ChangeMetadata,
-    /// The version that the change was made to.
+    /// The version of the document that the change was applied to.
     pub from: ConfigVersion,
     /// What the change did to each section.
     pub delta: Delta,
--- a/azureway-core/src/config/change_time.rs
+++ b/azureway-core/src/config/change_time.rs
@@ -1,4 +1,4 @@
-//! The time of a change.
+//! The wall-clock time in an audit record, and its display in UTC.
 
 use std::fmt;
 
--- a/azureway-core/src/config/conditional_write.rs
+++ b/azureway-core/src/config/conditional_write.rs
@@ -1,4 +1,4 @@
-//! A conditional write of the document.
+//! The compare-and-swap that replaces the document and the record of its last change.
 
 use super::ChangeRecord;
 use crate::domain::ConfigVersion;
--- a/azureway-core/src/config/delta.rs
+++ b/azureway-core/src/config/delta.rs
@@ -1,4 +1,4 @@
-//! The difference between two documents.
+//! Section-wise differences between documents: computing, rebasing, applying and reverting.
 
 use std::collections::HashMap;
 
--- a/azureway-core/src/config/document_check.rs
+++ b/azureway-core/src/config/document_check.rs
@@ -1,4 +1,4 @@
-//! The validation of a whole document.
+//! The interface through which an edit validates a document before it writes it.
 
 /// Validates a whole document before it is written.
 pub trait DocumentCheck {
--- a/azureway-core/src/config/edit.rs
+++ b/azureway-core/src/config/edit.rs
@@ -1,4 +1,4 @@
-//! The state machine of one change of the document.
+//! The protocol that rebases, validates and writes one change of the document.
 
 use super::edit_state::EditState;
 use super::{
@@ -24,8 +24,8 @@
     failures_left: u32,
 }
 
-/// The number of failed steps, writes that met another version among them, after which an edit
-/// ends.
+/// The number of failed steps after which an edit ends. A write that finds another version of the
+/// document counts as a failed step.
 const MAX_FAILURES: u32 = 16;
 
 impl<C: DocumentCheck> Edit<C> {
@@ -91,7 +91,7 @@
                 EditState::Done(EditOutcome::Accepted(version))
             }
             (EditState::Finding(current), EditReply::Found(None)) => {
-                // The document has moved past the version that the earlier write expects, so that
+                // The document no longer has the version that the earlier write expects, so that
                 // write can never take effect.
                 self.unconfirmed = None;
                 self.prepare(&current)
--- a/azureway-core/src/config/edit_outcome.rs
+++ b/azureway-core/src/config/edit_outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of an edit.
+//! What the author of a change learns when the edit ends.
 
 use super::SectionChange;
 use crate::domain::ConfigVersion;
--- a/azureway-core/src/config/edit_reply.rs
+++ b/azureway-core/src/config/edit_reply.rs
@@ -1,4 +1,4 @@
-//! The result of a step of an edit.
+//! The input of an edit: what the store answered to a step.
 
 use super::Snapshot;
 use crate::domain::ConfigVersion;
--- a/azureway-core/src/config/edit_state.rs
+++ b/azureway-core/src/config/edit_state.rs
@@ -1,4 +1,4 @@
-//! The state of an edit.
+//! The states of an edit, with the data that each step needs.
 
 use super::{AcceptedChange, ConditionalWrite, EditOutcome, Snapshot};
 
--- a/azureway-core/src/config/edit_step.rs
+++ b/azureway-core/src/config/edit_step.rs
@@ -1,4 +1,4 @@
-//! The next step of an edit.
+//! The output of an edit: the next operation on the store.
 
 use super::{AcceptedChange, ChangeMetadata, ConditionalWrite};
 
--- a/azureway-core/src/config/history.rs
+++ b/azureway-core/src/config/history.rs
@@ -1,4 +1,4 @@
-//! The audit trail of changes.
+//! The audit trail, from which older versions of the document are reconstructed.
 
 use std::collections::BTreeMap;
 
--- a/azureway-core/src/config/section_change.rs
+++ b/azureway-core/src/config/section_change.rs
@@ -1,4 +1,4 @@
-//! The change of one section.
+//! The part of a delta that concerns one section, and the teams that may make it.
 
 use super::{SectionView, TeamId};
 
--- a/azureway-core/src/config/section_view.rs
+++ b/azureway-core/src/config/section_view.rs
@@ -1,4 +1,4 @@
-//! A borrowed view of one section of the document.
+//! A section within the text of the document, and the team that owns it.
 
 use super::TeamId;
 
--- a/azureway-core/src/config/sections.rs
+++ b/azureway-core/src/config/sections.rs
@@ -1,4 +1,4 @@
-//! The document split into its sections.
+//! The parser that splits a document into its sections without validating them.
 
 use std::collections::HashMap;
 
@@ -35,7 +35,8 @@
         });
         let has_content = |s: &SectionView<'_>| !s.name.is_empty() || !s.text.trim().is_empty();
         let sections: Vec<_> = sections.filter(has_content).collect();
-        // If two sections have the same name, which the check refuses, the first one is used.
+        // Of several sections with the same name, the first one is used. The document check rejects
+        // such a document.
         let indices = sections.iter().enumerate().rev();
         let indices = indices.map(|(index, s)| (s.name, index)).collect();
         Self { sections, indices }
--- a/azureway-core/src/config/snapshot.rs
+++ b/azureway-core/src/config/snapshot.rs
@@ -1,4 +1,4 @@
-//! A snapshot of the document.
+//! What a read of the document returns, and what an edit starts from.
 
 use super::{AcceptedChange, ChangeId, ChangeRecord};
 use crate::domain::ConfigVersion;
@@ -32,7 +32,7 @@
         self
     }
 
-    /// Returns the last change as an entry of the audit trail, if it has a record.
+    /// Returns the last change as an item of the audit trail, if it has a record.
     pub fn last_change(&self) -> Option<AcceptedChange> {
         let record = self.record.clone()?;
         let version = self.version;
--- a/azureway-core/src/config/team_id.rs
+++ b/azureway-core/src/config/team_id.rs
@@ -1,4 +1,4 @@
-//! The name of a team.
+//! The names of the teams that own the sections of the document.
 
 name_type! {
     /// The name of a team of operators.
--- a/azureway-core/src/config/version_gate.rs
+++ b/azureway-core/src/config/version_gate.rs
@@ -1,8 +1,9 @@
-//! The versions of the document that were accepted or rejected.
+//! The rule by which an entry takes over only newer, valid versions of the document.
 
 use crate::domain::ConfigVersion;
 
-/// Decides which versions of the document may come into force: only newer ones, each judged once.
+/// Decides which versions of the document may come into force. Only versions newer than all judged
+/// ones may, so that each is judged once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionGate {
     accepted: ConfigVersion,
--- a/azureway-core/src/domain/account_id.rs
+++ b/azureway-core/src/domain/account_id.rs
@@ -1,4 +1,4 @@
-//! The name of a client account.
+//! The names by which limits, shares and cache isolation refer to client accounts.
 
 name_type! {
     /// The name of a client account.
--- a/azureway-core/src/domain/attempt.rs
+++ b/azureway-core/src/domain/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to serve a request at one backend server.
+//! The identifier by which the answers of backend servers are related to requests.
 
 use std::fmt;
 
--- a/azureway-core/src/domain/availability_zone.rs
+++ b/azureway-core/src/domain/availability_zone.rs
@@ -1,4 +1,4 @@
-//! An availability zone and its region.
+//! The zones and regions by which routing tells local traffic from remote traffic.
 
 use super::ZoneId;
 
--- a/azureway-core/src/domain/backend_server.rs
+++ b/azureway-core/src/domain/backend_server.rs
@@ -1,4 +1,4 @@
-//! A backend server as the configuration describes it.
+//! The configured properties of a backend server, such as its address and capacity.
 
 use std::net::SocketAddr;
 
@@ -30,9 +30,9 @@
     pub listed: Option<ListedState>,
 }
 
-/// The slots of a server for which the document sets none.
+/// The number of slots of a server if the document sets none.
 const DEFAULT_SLOTS: u32 = 8;
-/// The prefill rate, in tokens per second, of a server for which the document sets none.
+/// The prefill rate of a server, in tokens per second, if the document sets none.
 const DEFAULT_PREFILL: TokenRate = TokenRate::new(8_000);
 
 impl BackendServer {
--- a/azureway-core/src/domain/backend_server_pool.rs
+++ b/azureway-core/src/domain/backend_server_pool.rs
@@ -1,4 +1,4 @@
-//! A pool of backend servers.
+//! The pools that services run on, each with its bound on concurrent loads.
 
 use super::PoolId;
 
@@ -11,7 +11,7 @@
     pub max_loads: u32,
 }
 
-/// The bound on concurrent loads of a pool for which the document sets none.
+/// The bound on a pool's concurrent loads if the document sets none.
 const DEFAULT_LOADS: u32 = 2;
 
 impl BackendServerPool {
--- a/azureway-core/src/domain/caller_limits.rs
+++ b/azureway-core/src/domain/caller_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on the size and the arrival time of callers' requests.
+//! The limits that an entry enforces while it reads callers' requests.
 
 use std::time::Duration;
 
--- a/azureway-core/src/domain/client_account.rs
+++ b/azureway-core/src/domain/client_account.rs
@@ -1,4 +1,4 @@
-//! A client account as the configuration describes it.
+//! The configured properties of a client account, such as its keys and rate limit.
 
 use smallvec::SmallVec;
 
@@ -22,7 +22,7 @@
     pub priority: Option<(Rank, u8)>,
 }
 
-/// The rate limit, in tokens per second, of an account for which the document sets none.
+/// The rate limit of an account, in tokens per second, if the document sets none.
 const DEFAULT_LIMIT: TokenRate = TokenRate::new(1_000_000);
 
 impl ClientAccount {
--- a/azureway-core/src/domain/config_version.rs
+++ b/azureway-core/src/domain/config_version.rs
@@ -1,4 +1,4 @@
-//! The version of the configuration document.
+//! The version numbers by which entries find the newest configuration.
 
 number_type! {
     /// A version of the configuration document; later versions are greater.
--- a/azureway-core/src/domain/deadline.rs
+++ b/azureway-core/src/domain/deadline.rs
@@ -1,4 +1,4 @@
-//! The time by which the first token of an answer must arrive.
+//! First-token deadlines, which admission and retries check.
 
 use std::time::Duration;
 
--- a/azureway-core/src/domain/incarnation.rs
+++ b/azureway-core/src/domain/incarnation.rs
@@ -1,7 +1,7 @@
-//! The number of a process's run between two starts.
+//! The number that tells a restarted process from its earlier runs.
 
 number_type! {
-    /// An incarnation number. A process that restarts, and so loses its memory, takes a greater
-    /// one.
+    /// An incarnation number. A process that restarts has lost its state, and takes a greater
+    /// number.
     Incarnation
 }
--- a/azureway-core/src/domain/instance.rs
+++ b/azureway-core/src/domain/instance.rs
@@ -1,4 +1,4 @@
-//! An entry instance as its peers know it.
+//! The name, zone and address under which peers reach an entry instance.
 
 use std::net::SocketAddr;
 
--- a/azureway-core/src/domain/instance_id.rs
+++ b/azureway-core/src/domain/instance_id.rs
@@ -1,4 +1,4 @@
-//! The name of an instance.
+//! The names of entry instances, for peers and for the holder of a lease.
 
 name_type! {
     /// The name of an instance, unique across all availability zones.
--- a/azureway-core/src/domain/key_hash.rs
+++ b/azureway-core/src/domain/key_hash.rs
@@ -1,4 +1,4 @@
-//! The digest under which an API key is stored.
+//! API keys in the form in which the configuration stores them.
 
 use std::fmt;
 
@@ -29,7 +29,7 @@
         Some(Self(bytes))
     }
 
-    /// Returns whether the digests are equal, in a time that does not depend on where they differ.
+    /// Returns whether the digests are equal. The time taken does not depend on where they differ.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
--- a/azureway-core/src/domain/listed_state.rs
+++ b/azureway-core/src/domain/listed_state.rs
@@ -1,4 +1,4 @@
-//! The state of a backend server in the platform's list.
+//! What the platform's list says about a running backend server.
 
 use super::{Incarnation, WeightsVersion};
 
--- a/azureway-core/src/domain/rank.rs
+++ b/azureway-core/src/domain/rank.rs
@@ -1,4 +1,4 @@
-//! The rank of a request: urgent or drafting.
+//! The two ranks of requests, which decide the order of service.
 
 use std::fmt;
 
--- a/azureway-core/src/domain/refusal.rs
+++ b/azureway-core/src/domain/refusal.rs
@@ -1,4 +1,4 @@
-//! The refusal of a request.
+//! What a caller learns about a request that is not served.
 
 use std::time::Duration;
 
--- a/azureway-core/src/domain/refusal_reason.rs
+++ b/azureway-core/src/domain/refusal_reason.rs
@@ -1,4 +1,4 @@
-//! Why a request was refused.
+//! The reasons for refusals, their codes and the delay before a retry.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
     Unauthorized,
     /// The named service does not exist.
     UnknownService,
-    /// The body is larger than the entry accepts.
+    /// The request body is larger than the entry accepts.
     TooLarge,
-    /// The head is larger than the entry accepts.
+    /// The request head is larger than the entry accepts.
     HeadTooLarge,
-    /// The request did not arrive in time.
+    /// The request did not arrive in full within the time limit.
     TooSlow,
     /// The deadline has passed or cannot be met.
     Deadline,
--- a/azureway-core/src/domain/request.rs
+++ b/azureway-core/src/domain/request.rs
@@ -19,7 +19,7 @@
     pub rank: Rank,
     /// Whether the request may run more than once.
     pub kind: RequestKind,
-    /// The worth of an answer in time.
+    /// The worth of an answer that meets the deadline, for the metrics.
     pub worth: Worth,
     /// The time by which the first token must arrive.
     pub deadline: Deadline,
--- a/azureway-core/src/domain/request_id.rs
+++ b/azureway-core/src/domain/request_id.rs
@@ -1,4 +1,4 @@
-//! The identity of a request within the system.
+//! The identifiers that entries assign to requests without coordination.
 
 use std::fmt;
 
--- a/azureway-core/src/domain/request_kind.rs
+++ b/azureway-core/src/domain/request_kind.rs
@@ -1,4 +1,4 @@
-//! Whether a request may run more than once.
+//! Whether a request is repeatable or must run at most once.
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/azureway-core/src/domain/rollout.rs
+++ b/azureway-core/src/domain/rollout.rs
@@ -1,4 +1,4 @@
-//! The rollout of a service to newer weights.
+//! Which older weights may still answer while a service changes to newer ones.
 
 use std::time::Duration;
 
@@ -21,12 +21,13 @@
     pub grace: Duration,
 }
 
-/// How long answers from older weights keep their full worth after newer ones are named, which
-/// gives the rollout time to start.
+/// How long after newer weights are named the answers from older ones keep their full worth. The
+/// rollout needs this time to start.
 const FULL_WORTH_TIME: Duration = Duration::from_millis(1_500);
 
 impl Rollout {
-    /// Returns whether answers from weights `loaded` have lost part of their worth at `now`.
+    /// Returns whether answers from weights `loaded` are worth less than their full worth at `now`,
+    /// because newer weights were named some time ago.
     pub fn is_outdated(&self, loaded: WeightsVersion, now: Timestamp) -> bool {
         self.superseded_at(loaded)
             .is_some_and(|at| now >= at + FULL_WORTH_TIME)
--- a/azureway-core/src/domain/route.rs
+++ b/azureway-core/src/domain/route.rs
@@ -1,4 +1,4 @@
-//! A route from request paths to services.
+//! The routes that map the hosts and paths of requests to services.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     pub priority: u8,
     /// The largest number of attempts for one request, each at a backend server.
     pub max_attempts: u32,
-    /// The longest time that a caller is kept waiting.
+    /// The longest time that a caller waits for an answer.
     pub timeout: Duration,
     /// The time within which an answer, or the first event of a stream, is on time.
     pub target_latency: Duration,
--- a/azureway-core/src/domain/route_id.rs
+++ b/azureway-core/src/domain/route_id.rs
@@ -1,4 +1,4 @@
-//! The name of a route.
+//! The names under which the configuration defines routes.
 
 name_type! {
     /// The name of a route.
--- a/azureway-core/src/domain/service_kind.rs
+++ b/azureway-core/src/domain/service_kind.rs
@@ -1,4 +1,4 @@
-//! The kind of a service.
+//! The distinction between language models and plain services.
 
 /// Whether a language model or a plain service answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/azureway-core/src/domain/token_count.rs
+++ b/azureway-core/src/domain/token_count.rs
@@ -1,4 +1,4 @@
-//! A number of tokens.
+//! Token counts, in which the cost of requests and the size of prefixes are measured.
 
 use std::ops::{Add, AddAssign};
 
--- a/azureway-core/src/domain/token_rate.rs
+++ b/azureway-core/src/domain/token_rate.rs
@@ -1,4 +1,4 @@
-//! A rate in tokens per second.
+//! Token rates, in which account limits and prefill speeds are measured.
 
 use std::time::Duration;
 
--- a/azureway-core/src/domain/zone_id.rs
+++ b/azureway-core/src/domain/zone_id.rs
@@ -1,4 +1,4 @@
-//! The name of an availability zone.
+//! The names by which entries and backend servers refer to their availability zone.
 
 name_type! {
     /// The name of an availability zone.
--- a/azureway-core/src/error/kind.rs
+++ b/azureway-core/src/error/kind.rs
@@ -1,4 +1,4 @@
-//! The kinds of errors, for programs to act on.
+//! The classes of errors, by which callers of the library decide what to do next.
 
 /// The kind of an [`Error`](super::Error), for programs to act on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/azureway-core/src/error/report.rs
+++ b/azureway-core/src/error/report.rs
@@ -1,4 +1,4 @@
-//! The error type of the library.
+//! The error that names the failed step, the peer and the cause.
 
 use std::fmt;
 
--- a/azureway-core/src/error/step.rs
+++ b/azureway-core/src/error/step.rs
@@ -1,4 +1,4 @@
-//! The step of an operation at which an error occurred.
+//! The names of operations, by which an error says what failed.
 
 use std::fmt;
 
--- a/azureway-core/src/event/action.rs
+++ b/azureway-core/src/event/action.rs
@@ -1,4 +1,4 @@
-//! The side effects that the router asks its driver to carry out.
+//! The output of the router: the side effects that its driver carries out.
 
 use super::Dispatch;
 use crate::claim::{ClaimCommand, ShortAnswer};
--- a/azureway-core/src/event/dispatch.rs
+++ b/azureway-core/src/event/dispatch.rs
@@ -1,4 +1,4 @@
-//! The instruction to send a request to a backend server.
+//! What a driver needs to know to send an attempt to a backend server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/azureway-core/src/event/failure.rs
+++ b/azureway-core/src/event/failure.rs
@@ -1,4 +1,4 @@
-//! The failure of an attempt.
+//! What a driver reports about an attempt that failed.
 
 use super::{FailureKind, SendState};
 use crate::domain::{Attempt, StreamPosition};
--- a/azureway-core/src/event/failure_kind.rs
+++ b/azureway-core/src/event/failure_kind.rs
@@ -1,4 +1,4 @@
-//! The ways in which an attempt can fail.
+//! The classes of failed attempts, by which server health and strikes are decided.
 
 /// The way in which an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -13,7 +13,7 @@
     Broken,
     /// The connection delivered no data within its timeout.
     Silent,
-    /// The server answered with an error that says nothing about its health.
+    /// The server answered with an error that does not indicate a fault of the server.
     Declined,
     /// The server answered with an error or violated its protocol.
     Faulty,
--- a/azureway-core/src/event/finish.rs
+++ b/azureway-core/src/event/finish.rs
@@ -1,4 +1,4 @@
-//! The successful end of an attempt.
+//! What a driver reports about an attempt that completed.
 
 use crate::domain::{Attempt, TokenCount};
 
--- a/azureway-core/src/event/input.rs
+++ b/azureway-core/src/event/input.rs
@@ -1,4 +1,4 @@
-//! The events that the router handles.
+//! The input of the router: everything that its driver reports.
 
 use super::{Failure, Finish};
 use crate::admit::Demand;
@@ -32,11 +32,11 @@
     LoadSample(&'a LoadSample),
     /// A version of the configuration was read.
     Configured(&'a Fleet),
-    /// The number of live entry instances in this availability zone changed. It includes this
-    /// instance.
+    /// The number of live entry instances in this availability zone, including this instance,
+    /// changed.
     ZoneEntries(u32),
     /// The number of entry instances that the platform lists in all availability zones changed.
-    /// It includes this instance and instances that send no heartbeats.
+    /// This instance is included, and so are instances that send no heartbeats.
     ListedEntries(u32),
     /// Another entry instance reported the demand of client accounts there.
     Demand(&'a Demand),
--- a/azureway-core/src/lease/config.rs
+++ b/azureway-core/src/lease/config.rs
@@ -1,4 +1,4 @@
-//! The timing of a lease.
+//! The times at which a lease is renewed, used and taken over.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     /// How long before the end of the term the holder stops sending orders to servers that check
     /// no fencing number.
     pub margin: Duration,
-    /// How long a server that checks no fencing number gets no orders between those of two
-    /// holders.
+    /// How long a new holder waits after the last possible order of the previous holder before it
+    /// sends orders to servers that check no fencing number.
     pub cooldown: Duration,
     /// Whether an instance runs one process at a time, so that a process may take over the lease
     /// of an earlier process of its instance.
@@ -24,8 +24,8 @@
 const DEFAULT_MARGIN: Duration = Duration::from_secs(5);
 /// The number of renewals per term.
 const RENEWALS_PER_TERM: u32 = 3;
-/// The fraction of a term, as a divisor, that other entries wait in addition to it, because clocks
-/// run at different speeds.
+/// Other entries wait a term and this fraction of it, given as a divisor, before they take a lease
+/// over, because clocks run at different speeds.
 const DRIFT_DIVISOR: u32 = 10;
 
 impl LeaseConfig {
@@ -46,16 +46,17 @@
         self
     }
 
-    /// Sets how long a server that checks no fencing number gets no orders between those of two
-    /// holders, so that a late order of the first has completed when the second sends one.
+    /// Sets how long a new holder waits after the last possible order of the previous holder before
+    /// it sends orders to servers that check no fencing number. A late order of the previous holder
+    /// has completed by then.
     #[must_use]
     pub const fn with_cooldown(mut self, cooldown: Duration) -> Self {
         self.cooldown = cooldown;
         self
     }
 
-    /// Lets a process take over at once the lease of an earlier process of its instance. The
-    /// platform has to run one process of an instance at a time.
+    /// Allows a process to take over the lease of an earlier process of its instance at once. This
+    /// is safe only if the platform runs one process of an instance at a time.
     #[must_use]
     pub const fn with_single_process(mut self) -> Self {
         self.single_process = true;
--- a/azureway-core/src/lease/holder.rs
+++ b/azureway-core/src/lease/holder.rs
@@ -1,12 +1,13 @@
-//! The lease state machine of one entry.
+//! The lease protocol, which an entry's order duty drives.
 
 use super::{LeaseConfig, LeaseRecord, LeaseReply, LeaseState, LeaseStep, LeaseWrite};
 use crate::domain::{FencingNumber, InstanceId, Timestamp};
 
 /// The state machine by which one entry acquires and renews a lease.
 ///
-/// The holder measures its term from before it sent the write, and the other entries measure it
-/// from after they read the write. Thus the holder stops before another one starts, by any clock.
+/// The holder measures its term from a time before it sent the write, and the other entries from a
+/// time after they read it. Therefore the holder stops before another entry takes over, although
+/// their clocks show different times.
 #[derive(Clone, Debug)]
 pub struct Lease {
     config: LeaseConfig,
@@ -16,7 +17,7 @@
     state: LeaseState,
     write: Option<LeaseWrite>,
     next_call: Timestamp,
-    /// Until when servers that check no fencing number get no orders.
+    /// The time before which servers that check no fencing number get no orders.
     cooldown_end: Timestamp,
 }
 
@@ -50,8 +51,8 @@
             LeaseState::Observed(version, number, since) => {
                 let expiry = since + self.config.takeover_delay();
                 if now >= expiry {
-                    // The previous holder wrote at `since` at the latest, and sent orders until
-                    // the margin of that term.
+                    // The previous holder wrote at `since` at the latest. It stops sending orders
+                    // one margin before the end of the term that began then.
                     let last_order = since + self.config.term.saturating_sub(self.config.margin);
                     self.cooldown_end = last_order + self.config.cooldown;
                     return self.start_write(version, number.next(), now);
@@ -103,7 +104,7 @@
         (last_order < ends && !cooling_down).then_some(number)
     }
 
-    /// Gives the lease up, because a server has received a higher fencing number.
+    /// Gives up the lease because a server has received a higher fencing number.
     pub fn step_down(&mut self, now: Timestamp) {
         self.write = None;
         self.next_call = now;
@@ -169,7 +170,8 @@
             LeaseState::Observed(observed, number, since) if observed == version => {
                 LeaseState::Observed(version, number, since)
             }
-            // Nobody else has acquired it since, so a new number can be written at once.
+            // No other entry has acquired the lease since this one held it, so this entry can write
+            // a new number at once.
             _ if same_process || same_instance => LeaseState::Reclaimable(version, record.number),
             _ => LeaseState::Observed(version, record.number, now),
         };
--- a/azureway-core/src/lease/mod.rs
+++ b/azureway-core/src/lease/mod.rs
@@ -1,4 +1,5 @@
-//! A lease that one entry holds through an object of the platform, without synchronized clocks.
+//! The lease whose holder sends load orders, kept in an object of the platform. It needs no
+//! synchronized clocks.
 
 mod config;
 mod holder;
--- a/azureway-core/src/lease/record.rs
+++ b/azureway-core/src/lease/record.rs
@@ -1,4 +1,4 @@
-//! The stored record of a lease.
+//! The content of the lease object, by which entries learn who holds the lease.
 
 use std::time::Duration;
 
@@ -9,13 +9,17 @@
 pub struct LeaseRecord {
     /// The instance that holds the lease.
     pub holder: InstanceId,
-    /// The identifier of the holder's process. A restarted holder does not recognize its lease,
-    /// unless its instance runs one process at a time.
+    /// The identifier of the holder's process. A restarted process has another identifier and takes
+    /// over the lease of its predecessor early only with [`LeaseConfig::single_process`].
+    ///
+    /// [`LeaseConfig::single_process`]: super::LeaseConfig::single_process
     pub process_id: u64,
-    /// The number of the write, by which the holder recognizes it after a lost response.
+    /// The sequence number of the write. After a lost response, the holder reads it to find out
+    /// whether the write took effect.
     pub sequence: u64,
     /// The fencing number, higher for each new holder.
     pub number: FencingNumber,
-    /// How long after the write servers that check no fencing number still get no orders.
+    /// The rest of the holder's cooldown at the time of the write. Until it ends, the holder sends
+    /// no orders to servers that check no fencing number.
     pub cooldown: Duration,
 }
--- a/azureway-core/src/lease/reply.rs
+++ b/azureway-core/src/lease/reply.rs
@@ -1,4 +1,4 @@
-//! The platform's reply to a lease step.
+//! The input of the lease protocol: what the platform answered to a step.
 
 use super::LeaseRecord;
 
--- a/azureway-core/src/lease/state.rs
+++ b/azureway-core/src/lease/state.rs
@@ -1,4 +1,4 @@
-//! The state of a lease as one entry knows it.
+//! The states of the lease protocol, with what is known about the lease object in each.
 
 use crate::domain::{FencingNumber, Timestamp};
 
@@ -9,8 +9,8 @@
     Unknown,
     /// Nobody has held it yet.
     Free,
-    /// Another process holds it or held it: the object's version, its fencing number, and when
-    /// that version was first read.
+    /// Another process holds the lease or held it last: the object's version, its fencing number,
+    /// and when this entry first read that version.
     Observed(u64, FencingNumber, Timestamp),
     /// This entry held it last and may acquire it again at once: the object's version and its
     /// fencing number.
--- a/azureway-core/src/lease/step.rs
+++ b/azureway-core/src/lease/step.rs
@@ -1,4 +1,4 @@
-//! The next step for a lease.
+//! The output of the lease protocol: the next platform call, or a wait.
 
 use super::LeaseRecord;
 use crate::domain::Timestamp;
--- a/azureway-core/src/lease/write.rs
+++ b/azureway-core/src/lease/write.rs
@@ -1,13 +1,13 @@
-//! A lease write without a response.
+//! What an entry keeps about a lease write until it knows whether the write took effect.
 
 use crate::domain::{FencingNumber, Timestamp};
 
 /// A lease write whose response is pending or was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseWrite {
-    /// When the write was decided on, before it was sent.
+    /// A time before the write was sent, from which its term is measured.
     pub started: Timestamp,
-    /// The number of the write.
+    /// The sequence number of the write.
     pub sequence: u64,
     /// The fencing number in the written record.
     pub number: FencingNumber,
--- a/azureway-core/src/member/broadcast.rs
+++ b/azureway-core/src/member/broadcast.rs
@@ -1,4 +1,4 @@
-//! Updates that originate at this instance.
+//! The membership methods that publish updates originating at this instance.
 
 use super::{GossipUpdate, Heartbeat, LoadNotice, Membership, PeerAction};
 use crate::domain::Timestamp;
--- a/azureway-core/src/member/config_fetcher.rs
+++ b/azureway-core/src/member/config_fetcher.rs
@@ -1,4 +1,4 @@
-//! Fetching a newer configuration from peers.
+//! Selection of the peers from which the membership fetches a newer configuration.
 
 use std::time::Duration;
 
--- a/azureway-core/src/member/gossip.rs
+++ b/azureway-core/src/member/gossip.rs
@@ -1,4 +1,4 @@
-//! The updates that instances gossip to one another.
+//! The updates that the membership knows, and the queue of those that it still passes on.
 
 use super::{GossipUpdate, Liveness, MemberUpdate, PeerTable, PendingUpdates, SeenUpdates};
 use crate::domain::Timestamp;
--- a/azureway-core/src/member/gossip_update.rs
+++ b/azureway-core/src/member/gossip_update.rs
@@ -1,4 +1,4 @@
-//! The updates that heartbeats carry.
+//! The union of all kinds of updates that heartbeats carry.
 
 use super::{LoadNotice, MemberUpdate, ServerUpdate};
 use crate::quarantine::Strike;
--- a/azureway-core/src/member/heartbeat.rs
+++ b/azureway-core/src/member/heartbeat.rs
@@ -1,4 +1,4 @@
-//! The gossip message between peers.
+//! The message that membership rounds exchange: updates, configuration versions and demand.
 
 use super::GossipUpdate;
 use crate::domain::{AccountId, ConfigVersion, Instance, TokenRate};
--- a/azureway-core/src/member/liveness.rs
+++ b/azureway-core/src/member/liveness.rs
@@ -1,4 +1,4 @@
-//! The liveness states of an instance.
+//! The ordered liveness states, by which instances resolve conflicting updates.
 
 /// The liveness that is assumed of an instance.
 ///
--- a/azureway-core/src/member/load_notice.rs
+++ b/azureway-core/src/member/load_notice.rs
@@ -1,4 +1,4 @@
-//! The notice that a backend server is about to load weights.
+//! The notice before a load order, which keeps peers from sending the server requests.
 
 use std::time::Duration;
 
--- a/azureway-core/src/member/member_state.rs
+++ b/azureway-core/src/member/member_state.rs
@@ -1,4 +1,4 @@
-//! The state of one peer.
+//! The part of the peer table that is kept for each peer.
 
 use super::MemberUpdate;
 use crate::domain::Timestamp;
--- a/azureway-core/src/member/member_update.rs
+++ b/azureway-core/src/member/member_update.rs
@@ -1,4 +1,4 @@
-//! A gossip update about an instance.
+//! The gossip update by which instances agree on the liveness of one of them.
 
 use super::Liveness;
 use crate::domain::Instance;
--- a/azureway-core/src/member/membership.rs
+++ b/azureway-core/src/member/membership.rs
@@ -1,4 +1,4 @@
-//! The membership state machine of one instance.
+//! The membership protocol, which an entry's peer duty drives.
 
 use super::{
     ConfigFetcher, Gossip, GossipUpdate, Heartbeat, Liveness, MemberUpdate, MembershipConfig,
@@ -79,7 +79,8 @@
         self.update_live_count(out);
     }
 
-    /// Returns when the next event has to be handled at the latest, a tick if there is no other.
+    /// Returns the time of the next timer. The caller must pass a tick then if no other event came
+    /// first.
     pub fn next_wakeup(&self) -> Timestamp {
         if self.left {
             return Timestamp::MAX;
--- a/azureway-core/src/member/membership_config.rs
+++ b/azureway-core/src/member/membership_config.rs
@@ -1,4 +1,4 @@
-//! The timing and size limits of the membership.
+//! The intervals, timeouts and size limits of gossip and of failure detection.
 
 use std::time::Duration;
 
--- a/azureway-core/src/member/peer_action.rs
+++ b/azureway-core/src/member/peer_action.rs
@@ -1,4 +1,4 @@
-//! The actions of the membership.
+//! The output of the membership: what the peer duty must send or pass on.
 
 use super::{GossipUpdate, Heartbeat, LoadNotice, ServerUpdate};
 use crate::admit::Demand;
--- a/azureway-core/src/member/peer_event.rs
+++ b/azureway-core/src/member/peer_event.rs
@@ -1,4 +1,4 @@
-//! The events that the membership handles.
+//! The input of the membership: messages from peers and changes at this entry.
 
 use super::{Heartbeat, LoadNotice, ServerUpdate};
 use crate::admit::Demand;
@@ -24,12 +24,12 @@
     Demand(&'a Demand),
     /// This entry observed that a backend server fails or is leaving.
     Server(&'a ServerUpdate),
-    /// A request of this entry was running when a backend server crashed, or was cleared.
+    /// A strike against a request of this entry was recorded, confirmed or cleared.
     Strike(&'a Strike),
     /// This entry is about to order a backend server to load weights.
     Loading(&'a LoadNotice),
     /// This instance is shutting down.
     Leaving,
-    /// No event but the time: timers that are due run.
+    /// Nothing happened except that time passed, so timers may be due.
     Tick,
 }
--- a/azureway-core/src/member/peer_table.rs
+++ b/azureway-core/src/member/peer_table.rs
@@ -1,4 +1,4 @@
-//! The table of peers.
+//! The known peers with their liveness, from which heartbeat targets are selected.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -32,7 +32,8 @@
     /// Merges an update. Returns whether it was new.
     pub fn merge(&mut self, update: &MemberUpdate, now: Timestamp) -> bool {
         let Some(member) = self.members.get_mut(&update.instance.id) else {
-            // An unknown instance that is gone may have been removed here just before.
+            // This instance may have removed a peer that is gone; a late update must not add it
+            // again.
             if update.liveness.is_gone() {
                 return false;
             }
--- a/azureway-core/src/member/pending_updates.rs
+++ b/azureway-core/src/member/pending_updates.rs
@@ -1,4 +1,4 @@
-//! The queue of updates to pass on.
+//! The queue from which heartbeats take the updates that they carry.
 
 use std::collections::VecDeque;
 
@@ -15,7 +15,7 @@
 
 /// The capacity of the queue; beyond it, the update passed on most often is dropped.
 const ITEMS_MAX: usize = 1_024;
-/// How often an update is passed on, as a multiple of the logarithm of the group's size.
+/// The number of times that an update is passed on, per unit of the logarithm of the group's size.
 const RETRANSMIT_FACTOR: u32 = 3;
 
 impl PendingUpdates {
--- a/azureway-core/src/member/round_timer.rs
+++ b/azureway-core/src/member/round_timer.rs
@@ -1,4 +1,4 @@
-//! The timer of heartbeat rounds.
+//! When the membership sends its next round of heartbeats.
 
 use std::time::Duration;
 
--- a/azureway-core/src/member/seen_updates.rs
+++ b/azureway-core/src/member/seen_updates.rs
@@ -1,4 +1,4 @@
-//! The known updates about backend servers and requests.
+//! Deduplication of updates about backend servers and requests.
 
 use std::time::Duration;
 
@@ -17,7 +17,8 @@
 
 /// The largest number of updates that are kept.
 const ITEMS_MAX: usize = 1_024;
-/// How long an update about a backend server is kept: as long as a server takes to leave.
+/// How long an update about a backend server is kept, which covers the time that a server takes to
+/// leave.
 const SERVER_RETENTION: Duration = Duration::from_secs(600);
 
 impl SeenUpdates {
--- a/azureway-core/src/member/server_status.rs
+++ b/azureway-core/src/member/server_status.rs
@@ -1,4 +1,4 @@
-//! The reported status of a backend server.
+//! The reasons that entries report for sending a backend server no requests.
 
 /// Why a backend server should get no requests.
 ///
--- a/azureway-core/src/member/server_update.rs
+++ b/azureway-core/src/member/server_update.rs
@@ -1,4 +1,4 @@
-//! A gossip update about a backend server.
+//! The gossip update by which entries report a failed or leaving backend server.
 
 use super::ServerStatus;
 use crate::domain::{Incarnation, ServerId};
--- a/azureway-core/src/member/sync_timer.rs
+++ b/azureway-core/src/member/sync_timer.rs
@@ -1,4 +1,4 @@
-//! The timer of full syncs.
+//! When the membership requests all updates of a peer instead of only recent ones.
 
 use std::time::Duration;
 
--- a/azureway-core/src/member/target_selector.rs
+++ b/azureway-core/src/member/target_selector.rs
@@ -1,4 +1,4 @@
-//! Selection of the peers that get a heartbeat.
+//! Heartbeat targets: peers of the own zone, ends of zone links and peers that are not live.
 
 use super::{LinkSelector, MemberState, MembershipConfig, PeerTable};
 use crate::domain::{Instance, InstanceId, ZoneId};
@@ -17,7 +17,7 @@
     round: u64,
 }
 
-/// The number of rounds from one heartbeat over a link, or to a non-live peer, to the next.
+/// The period, in rounds, of the heartbeats over zone links and to peers that are not live.
 const LINK_ROUNDS: u64 = 2;
 
 impl TargetSelector {
@@ -72,8 +72,8 @@
         chosen
     }
 
-    /// Returns an instance at the other end of the link to `zone`: one of those with the fewest
-    /// missed heartbeats, so that one that replies is preferred.
+    /// Returns an instance at the other end of the link to `zone`. Those with the fewest missed
+    /// heartbeats are preferred, since they are the most likely to reply.
     fn select_remote(
         &mut self,
         peers: &PeerTable,
--- a/azureway-core/src/member/top_demand.rs
+++ b/azureway-core/src/member/top_demand.rs
@@ -1,4 +1,4 @@
-//! The client accounts with the highest demand.
+//! The part of an entry's demand that its heartbeats report.
 
 use crate::admit::Demand;
 use crate::domain::{AccountId, TokenRate};
--- a/azureway-core/src/order/config.rs
+++ b/azureway-core/src/order/config.rs
@@ -1,4 +1,4 @@
-//! The limits of load orders.
+//! The rate, the timeouts and the load mode that load orders are planned with.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 pub struct OrderConfig {
     /// The rate of loads that the weight store can serve, per second over all pools.
     pub store_rate: u32,
-    /// How long a load counts as pending if its end is not reported.
+    /// The time after which a load no longer counts as pending if its end is not reported.
     pub load_timeout: Duration,
-    /// How long a load occupies one of its pool's load slots if its end is not reported.
+    /// The time after which a load frees its pool's load slot if its end is not reported.
     pub slot_timeout: Duration,
     /// How a server treats its running requests when it loads weights.
     pub mode: LoadMode,
@@ -19,7 +19,7 @@
 
 /// The default rate of loads per second.
 const DEFAULT_STORE_RATE: u32 = 4;
-/// The default timeout of a load.
+/// The default time after which a load no longer counts as pending and frees its slot.
 const DEFAULT_LOAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl OrderConfig {
@@ -40,7 +40,7 @@
         self
     }
 
-    /// Sets how long a load occupies a load slot if its end is not reported.
+    /// Sets the time after which a load frees its load slot if its end is not reported.
     #[must_use]
     pub const fn with_slot_timeout(mut self, slot_timeout: Duration) -> Self {
         self.slot_timeout = slot_timeout;
--- a/azureway-core/src/order/load_mode.rs
+++ b/azureway-core/src/order/load_mode.rs
@@ -1,4 +1,4 @@
-//! The treatment of running requests during a load.
+//! Whether a server completes or pauses its running requests when it loads weights.
 
 /// How a server treats its running requests when it loads weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/azureway-core/src/order/load_order.rs
+++ b/azureway-core/src/order/load_order.rs
@@ -1,4 +1,4 @@
-//! An order to a backend server to load weights.
+//! The order that the holder of the lease sends to a backend server.
 
 use std::net::SocketAddr;
 
--- a/azureway-core/src/order/pending_load.rs
+++ b/azureway-core/src/order/pending_load.rs
@@ -1,4 +1,4 @@
-//! A load that was ordered and has not ended yet.
+//! What the planner keeps about a load until its end is reported.
 
 use crate::domain::{Timestamp, WeightsVersion};
 
--- a/azureway-core/src/order/planner.rs
+++ b/azureway-core/src/order/planner.rs
@@ -1,4 +1,4 @@
-//! Planning of load orders.
+//! The decision which server loads which weights next, and when.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 };
 use crate::fleet::{Fleet, LoadReport};
 
-/// The delay before a failed order is sent again. A server that replies late has replied by then;
-/// one that crashed needs longer to restart.
+/// The delay before a failed order is sent again. By then, a server that is merely slow has
+/// replied. A server that crashed needs longer than this to restart.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Plans load orders, one at a time, by comparing the weights that the configuration requires with
@@ -93,7 +93,8 @@
             self.loads.remove(server);
             self.changed = true;
         }
-        // A server that now reports no weights is loading, possibly on an earlier holder's order.
+        // A server that no longer reports weights is loading some, possibly because the previous
+        // holder of the lease ordered it to.
         if weights == WeightsVersion::ZERO && previous != Some(weights) {
             let expires = now + self.config.load_timeout;
             let slot_until = now + self.config.slot_timeout;
--- a/azureway-core/src/order/pool_view.rs
+++ b/azureway-core/src/order/pool_view.rs
@@ -1,4 +1,4 @@
-//! The weights of one pool: required, loaded and being loaded.
+//! Selection of the next load within one pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,10 +20,10 @@
     /// Returns the server that gets the next order, and the weights that it is to load.
     pub fn next_load(&self) -> Option<(&'a BackendServer, WeightsVersion)> {
         let missing = self.required.iter().filter(|w| self.missing_count(**w) > 0);
-        // Weights that the fewest servers will have go first.
+        // The missing weights that the fewest servers have or are loading come first.
         let weights = *missing.min_by_key(|w| self.expected_count(**w))?;
         let replaceable = self.idle().filter(|(_, loaded)| self.can_replace(*loaded));
-        // Servers whose weights no service requires are replaced first, the oldest weights leading.
+        // Weights that no service requires are replaced first, and of these the oldest.
         let server =
             replaceable.min_by_key(|(s, loaded)| (self.required.contains(loaded), *loaded, &s.id));
         server.map(|(server, _)| (server, weights))
--- a/azureway-core/src/order/store_limiter.rs
+++ b/azureway-core/src/order/store_limiter.rs
@@ -1,4 +1,4 @@
-//! The rate limit of the weight store.
+//! The spacing of loads that keeps the weight store within its rate.
 
 use crate::domain::Timestamp;
 
--- a/azureway-core/src/site/document.rs
+++ b/azureway-core/src/site/document.rs
@@ -1,4 +1,4 @@
-//! The configuration of a site, without its servers.
+//! The part of a site's state that the configuration defines.
 
 use super::SiteService;
 use crate::domain::{CallerLimits, ClientAccount, ConfigVersion};
@@ -13,7 +13,7 @@
     pub routes: RouteTable,
     /// The services of the site.
     pub services: Vec<SiteService>,
-    /// The client accounts; if there are none, requests need no key.
+    /// The client accounts. If there are none, requests need no API key.
     pub accounts: Vec<ClientAccount>,
     /// The size and time limits of callers' requests.
     pub limits: CallerLimits,
--- a/azureway-core/src/site/listed_server.rs
+++ b/azureway-core/src/site/listed_server.rs
@@ -1,4 +1,4 @@
-//! A backend server in the platform's list.
+//! The part of a site's state that the platform lists for each backend server.
 
 use std::net::SocketAddr;
 
--- a/azureway-core/src/site/named_weights.rs
+++ b/azureway-core/src/site/named_weights.rs
@@ -1,4 +1,4 @@
-//! Weights that an operator named for a model.
+//! The operator's choice of weights, which starts a rollout.
 
 use crate::domain::{ModelId, WeightsVersion};
 
--- a/azureway-core/src/site/service.rs
+++ b/azureway-core/src/site/service.rs
@@ -1,4 +1,4 @@
-//! A service of a site.
+//! The definition from which a site's model services and plain services are built.
 
 use std::net::SocketAddr;
 
--- a/azureway-core/src/site/state.rs
+++ b/azureway-core/src/site/state.rs
@@ -1,4 +1,4 @@
-//! The latest state of a site.
+//! The configuration, the servers and the named weights, combined into a site's fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,27 +23,27 @@
     /// The servers that were no longer listed when the platform came back, with the time at which
     /// they count as removed.
     missing: BTreeMap<ServerId, Timestamp>,
-    named: BTreeMap<ModelId, Named>,
+    named: BTreeMap<ModelId, NamedVersions>,
     revision: ConfigVersion,
 }
 
 /// The versions of a model's weights in the order in which they were named, each with the earliest
 /// time at which it can have been named.
-type Named = SmallVec<[(WeightsVersion, Timestamp); 4]>;
+type NamedVersions = SmallVec<[(WeightsVersion, Timestamp); 4]>;
 
-/// The number of versions that are kept per model: more than are named within the time for which
-/// older weights may serve requests.
+/// The number of named versions that are kept per model. It exceeds the number of versions that are
+/// named while the oldest of them may still serve requests.
 const NAMED_MAX: usize = 32;
-/// How long a server whose registration expired while the platform was unavailable may take to be
-/// listed again, as guaranteed by the platform.
+/// The time within which the platform guarantees to list a server again whose registration expired
+/// while the platform was unavailable.
 const RELIST_TIMEOUT: Duration = Duration::from_secs(2);
 /// The client account of requests without a key, on routes that require none.
 pub const ANONYMOUS: &str = "";
 /// The limit of every account, in tokens per second. It exceeds the capacity of any site, because
 /// the platform's configuration defines no limits.
 const UNLIMITED: TokenRate = TokenRate::new(1 << 40);
-/// The number of rounds in which a pool changes to new weights. A round of orders and loads takes
-/// about a second, and the rollout has to end within the platform's limit of some seconds.
+/// The number of rounds of concurrent loads in which a pool changes to new weights. A round takes
+/// about a second, and the platform requires a rollout to end within some seconds.
 const LOAD_ROUNDS: usize = 5;
 /// The smallest number of servers of a pool that may load concurrently.
 const MIN_LOADS: u32 = 2;
@@ -87,9 +87,9 @@
         self.servers.insert(server.id.clone(), server);
     }
 
-    /// Removes a server that is no longer listed. If the platform became available again at
-    /// `reconnected`, the registration may merely have expired during the outage: unless the
-    /// server was leaving, it is kept until it has had time to be listed again.
+    /// Removes a server that is no longer listed. If the platform was unavailable until
+    /// `reconnected`, the server's registration may have expired during the outage. A server that
+    /// was not leaving is therefore kept until the platform has had time to list it again.
     pub fn remove_server(&mut self, id: &ServerId, reconnected: Option<Timestamp>, now: Timestamp) {
         let until = reconnected
             .map(|at| at + RELIST_TIMEOUT)
@@ -123,7 +123,7 @@
         servers.into_iter().for_each(|s| self.update_server(s));
     }
 
-    /// Adds weights that an operator named, at `since` at the earliest. Returns whether they are
+    /// Adds weights that an operator named no earlier than at `since`. Returns whether they are
     /// newer than the known ones.
     pub fn add_named(&mut self, named: NamedWeights, since: Timestamp) -> bool {
         let known = self.named.entry(named.model).or_default();
@@ -136,9 +136,9 @@
         newer
     }
 
-    /// Returns the time since which weights count as named that a process finds when it starts at
-    /// `start`. The process cannot know when they were named, so older weights may serve
-    /// requests for another `grace_left`.
+    /// Returns the time at which weights count as named if a process finds them when it starts at
+    /// `start`. The process cannot know when they were named. The returned time lets older weights
+    /// serve requests for another `grace_left`.
     pub fn named_since(&self, start: Timestamp, grace_left: Duration) -> Timestamp {
         let grace = u64::try_from(self.grace.as_micros()).unwrap_or(u64::MAX);
         Timestamp::from_micros((start + grace_left).as_micros().saturating_sub(grace))
--- a/azureway-core/src/stream/delivery.rs
+++ b/azureway-core/src/stream/delivery.rs
@@ -1,4 +1,4 @@
-//! How a received stream event is handled.
+//! Whether a received stream event is forwarded, is dropped or shows a gap.
 
 /// How a received stream event is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/azureway-core/src/stream/progress.rs
+++ b/azureway-core/src/stream/progress.rs
@@ -1,4 +1,4 @@
-//! The position up to which a stream was forwarded.
+//! Detection of duplicate and missing events in a stream that several attempts may serve.
 
 use super::Delivery;
 use crate::domain::{Attempt, StreamPosition};
--- a/azureway-core/src/tally/open_request.rs
+++ b/azureway-core/src/tally/open_request.rs
@@ -1,4 +1,4 @@
-//! The properties of a request that its outcome is counted by.
+//! What the tally keeps about a request until it ends.
 
 use crate::domain::{Deadline, Rank, Request, RequestKind, Timestamp, Worth};
 
--- a/azureway-core/src/tally/outcome.rs
+++ b/azureway-core/src/tally/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcomes of a request.
+//! The ways in which a request can end, as the metrics count them.
 
 /// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/azureway-core/src/tally/outcome_count.rs
+++ b/azureway-core/src/tally/outcome_count.rs
@@ -1,4 +1,4 @@
-//! The number of requests with one outcome and the sum of their worth.
+//! The counter for one combination of rank, kind and outcome.
 
 use crate::domain::Worth;
 
--- a/azureway-core/src/tally/outcome_tally.rs
+++ b/azureway-core/src/tally/outcome_tally.rs
@@ -1,4 +1,4 @@
-//! Counts of requests by rank, kind and outcome.
+//! The counters behind the outcome metrics, and the requests that are not counted yet.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/azureway-core/src/util/truncated_sha256.rs
+++ b/azureway-core/src/util/truncated_sha256.rs
@@ -1,4 +1,4 @@
-//! A truncated SHA-256 digest of several parts.
+//! The digest that block keys, salts, claim names and fingerprints are computed with.
 
 use sha2::{Digest, Sha256};
 
--- a/azureway-core/src/util/xorshift.rs
+++ b/azureway-core/src/util/xorshift.rs
@@ -1,4 +1,4 @@
-//! A xorshift pseudo-random number generator.
+//! The seeded random numbers behind jitter and random selection.
 
 /// A xorshift generator of pseudo-random numbers.
 #[derive(Clone, Debug)]
--- a/azureway-core/src/watch/entry_selector.rs
+++ b/azureway-core/src/watch/entry_selector.rs
@@ -1,4 +1,4 @@
-//! Selection of the entries that carry out a task for their zone.
+//! Selection of the entries that watch the platform, or do another task, for their zone.
 
 use crate::domain::{InstanceId, PrefixKey, ServerId};
 use crate::route::Rendezvous;
--- a/azureway-core/src/watch/watch_schedule.rs
+++ b/azureway-core/src/watch/watch_schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of an entry's calls to the platform.
+//! When an entry lists, watches or checks the platform's configuration.
 
 use std::time::Duration;
 
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Sets how long the platform holds a watch call open, the delay before the next watch in
-    /// which changes accumulate, and the longest delay after a failure.
+    /// Sets how long the platform holds a watch call open, how long changes accumulate before the
+    /// next watch, and the longest delay after a failure.
     #[must_use]
     pub fn with_timing(
         mut self,
@@ -79,8 +79,8 @@
         }
         match self.version {
             None => WatchStep::List,
-            // After a failure, the platform may accept a call and never respond. A call without a
-            // poll timeout ends sooner, so that a recovery is noticed sooner.
+            // A platform that has just failed may accept a call and never respond. A call without a
+            // poll timeout fails sooner then, so the entry notices a recovery sooner.
             Some(version) if self.selected && !self.failing => {
                 WatchStep::Watch(version, self.poll_timeout)
             }
@@ -100,14 +100,15 @@
         };
     }
 
-    /// Records a failed call. Unless the platform was unavailable or limited the rate, it may not
-    /// know the version, so the next call lists all objects.
+    /// Records a failed call. If the platform was neither unavailable nor limiting the rate, it may
+    /// no longer know the version, so the next call lists all objects.
     pub fn record_failure(&mut self, kind: ErrorKind, now: Timestamp) {
         self.failing = true;
         if !matches!(kind, ErrorKind::Unavailable | ErrorKind::Limited) {
             self.version = None;
         }
-        // An entry that only checks leaves the capacity of the platform to those that watch.
+        // An entry that only checks for missed changes retries slowly, to leave the capacity of the
+        // platform to the entries that watch.
         let checks_only = !self.selected && self.version.is_some();
         let delay = if checks_only {
             self.check_timer.next_delay()
--- a/azureway-core/src/watch/watch_step.rs
+++ b/azureway-core/src/watch/watch_step.rs
@@ -1,4 +1,4 @@
-//! The next call to the platform.
+//! The output of the watch schedule: the next platform call, or a wait.
 
 use std::time::Duration;
 
--- a/azureway-core/tests/floods.rs
+++ b/azureway-core/tests/floods.rs
@@ -1,4 +1,4 @@
-//! Floods of each rank and of one account, and early refusals.
+//! Tests of shares, limits and early refusals while requests flood one entry.
 
 mod support;
 
@@ -19,7 +19,7 @@
 const COST: u64 = 200;
 /// The length of a flood, in milliseconds.
 const FLOOD_MS: u64 = 10_000;
-/// The length of a flood, in seconds, plus the two seconds of tokens that a full bucket holds.
+/// The length of a flood in seconds, plus two, since a full bucket holds two seconds of tokens.
 const SPAN_SECONDS: u64 = FLOOD_MS / 1_000 + 2;
 
 /// The tokens that were served and the requests that were refused, by rank and account.
--- a/azureway-core/tests/leaving.rs
+++ b/azureway-core/tests/leaving.rs
@@ -27,8 +27,9 @@
     }
 }
 
-/// Each row: the incarnation known here, the incarnation in the peer's update, the incarnation of
-/// a later report by the server itself, if any, and whether the server then receives requests.
+/// Each row holds the incarnation that the router knows, the incarnation in the peer's update, the
+/// incarnation in a later report by the server itself, if any, and whether the server then receives
+/// requests.
 #[gtest]
 fn a_peer_s_leaving_update_holds_until_the_server_reports() {
     let rows = [
@@ -67,7 +68,8 @@
     expect_that!(fixture.handle(Event::Load(&report(2, true))), is_empty());
 }
 
-/// The platform's list lags behind, so it can add a leaving mark but clears only its own.
+/// The platform's list lags behind. It can mark a server as leaving, but it can clear only a mark
+/// that it set itself.
 #[gtest]
 fn the_platform_list_clears_only_its_own_leaving_marks() {
     let listed = [ServerId::new("engine-1")];
--- a/azureway-core/tests/precedence.rs
+++ b/azureway-core/tests/precedence.rs
@@ -1,4 +1,4 @@
-//! The precedence of a request from the priorities of its account and its route.
+//! Tests of request precedence: the account's priority goes before the route's.
 
 use std::time::Duration;
 
--- a/azureway-core/tests/quarantine.rs
+++ b/azureway-core/tests/quarantine.rs
@@ -14,8 +14,8 @@
 const SERVERS: usize = 8;
 const POISON: &str = "poison";
 
-/// Each row gives the number of entries, the number of submissions, whether they are concurrent
-/// through all entries, whether entries exchange strikes, and the crashes that are allowed.
+/// Each row gives the number of entries, the number of requests, whether they are concurrent
+/// through all entries, whether entries exchange strikes, and the largest number of crashes.
 #[gtest]
 fn a_poison_request_crashes_a_bounded_number_of_servers() {
     let cases = CASES
@@ -26,8 +26,8 @@
         let number = |index: usize| parts[index].parse::<usize>().expect("a number");
         let mut cluster = Cluster::new(number(2), SERVERS);
         let concurrent = parts[4] == "at once";
-        for submission in 0..number(3) {
-            cluster.send(submission % number(2), POISON);
+        for request in 0..number(3) {
+            cluster.send(request % number(2), POISON);
             if !concurrent {
                 cluster.crash_all(POISON);
             }
@@ -47,8 +47,8 @@
 fn listed_incarnations_quarantine_a_request_that_crashes_servers() {
     let mut cluster = Cluster::new(3, SERVERS);
     cluster.list_all();
-    for submission in 0..6 {
-        cluster.send(submission % 3, POISON);
+    for request in 0..6 {
+        cluster.send(request % 3, POISON);
         cluster.crash_one(POISON);
         cluster.list_all();
         cluster.share_strikes();
@@ -209,7 +209,7 @@
             if shared {
                 cluster.share_strikes();
             }
-            // Copies that were running at the second crash keep running.
+            // Attempts that were running at the second crash keep running.
             if cluster.crashes == 2 && copies.is_none() {
                 copies = Some(cluster.count_running(POISON));
             }
--- a/azureway-core/tests/retries.rs
+++ b/azureway-core/tests/retries.rs
@@ -1,4 +1,4 @@
-//! The retry budget that all entries share without a common counter.
+//! Tests of the retry budget, which all entries share without a common counter.
 
 use std::time::Duration;
 
--- a/azureway-core/tests/router.rs
+++ b/azureway-core/tests/router.rs
@@ -1,4 +1,4 @@
-//! The actions that the router returns for sequences of events.
+//! Tests of the actions that the router returns for sequences of events.
 
 mod support;
 
--- a/azureway-core/tests/routing/engine.rs
+++ b/azureway-core/tests/routing/engine.rs
@@ -1,4 +1,4 @@
-//! A simulated model engine that checks the owner of every cached block that it reuses.
+//! The fake model engine of the routing tests, with its cache and its event log.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
 
 use std::collections::BTreeMap;
--- a/azureway-core/tests/routing/world.rs
+++ b/azureway-core/tests/routing/world.rs
@@ -1,4 +1,4 @@
-//! A simulation of two entries and two engines that records the result of each request.
+//! The simulation that carries out the steps of the routing tests and checks invariants.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
 
 use std::collections::BTreeMap;
--- a/azureway-core/tests/sharing.rs
+++ b/azureway-core/tests/sharing.rs
@@ -112,7 +112,7 @@
         let start = start.iter().map(|f| f % (slots + 1));
         let mut in_flight: Vec<u32> = start.take(entries as usize).collect();
         in_flight.resize(entries as usize, 0);
-        // A report lags by one reporting interval.
+        // Reports are one reporting interval old.
         let mut lagged = in_flight.clone();
         for round in 1..=40_u64 {
             let now = Timestamp::from_millis(round * 250);
@@ -120,7 +120,7 @@
             lagged.clone_from(&in_flight);
             for (share, own) in shares.iter_mut().zip(&mut in_flight) {
                 share.apply_report(&report, *own, now);
-                // Requests above the share end; free slots below it are filled.
+                // The entry runs as many requests as its share allows.
                 *own = share.limit(now);
                 prop_assert!(*own <= slots, "more than all slots");
             }
--- a/azureway-core/tests/site.rs
+++ b/azureway-core/tests/site.rs
@@ -1,4 +1,4 @@
-//! The state of a site: the list of servers, the configuration and its routes.
+//! Tests of the state of a site: the list of servers, the configuration and the routes.
 
 use std::time::Duration;
 
@@ -195,7 +195,7 @@
         (2_000, 0, true),
         (2_000, 1_999, true),
         (2_000, 2_000, false),
-        // No longer than if the naming itself had been observed.
+        // The grace period ends no later than for a process that saw the weights being named.
         (6_000, 6_000, false),
     ] {
         let state = SiteState::new(Vec::new(), grace);
--- a/azureway-core/tests/site_runs/entry.rs
+++ b/azureway-core/tests/site_runs/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: its router and its view of the site.
+//! One entry of the simulated site: a router and its view of the site.
 
 use std::time::Duration;
 
--- a/azureway-core/tests/site_runs/server.rs
+++ b/azureway-core/tests/site_runs/server.rs
@@ -1,4 +1,4 @@
-//! An in-memory fake of a backend server.
+//! The fake backend server of the site runs, with its registration and its prefix cache.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 
 use crate::store::SERVICE;
 
-/// What a server caches a prompt under: the salt and the weights version that the attempt carried.
+/// The key under which a server caches prompts: the salt and the weights version of the attempt.
 type CacheKey = (u128, u64);
 
-/// The time between two updates of a server's entry in the store.
+/// The time between two updates of a server's registration in the store.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// A fake of a backend server with its prefix cache.
@@ -22,7 +22,7 @@
     pub incarnation: u64,
     pub weights: WeightsVersion,
     pub leaving: bool,
-    /// The time when it updates its entry in the store next.
+    /// The time when it next updates its registration in the store.
     pub next_heartbeat: Timestamp,
     /// The time when it is up again after a crash; `None` while it is up.
     pub down_until: Option<Timestamp>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns the server's entry in the platform's list.
+    /// Returns the server as the platform lists it.
     pub fn listed(&self) -> ListedServer {
         ListedServer {
             id: self.id.clone(),
--- a/azureway-core/tests/site_runs/step.rs
+++ b/azureway-core/tests/site_runs/step.rs
@@ -1,4 +1,4 @@
-//! A step of a run.
+//! The steps of a site run: their text form and the strategy that generates them.
 
 use std::str::FromStr;
 
--- a/azureway-core/tests/site_runs/store.rs
+++ b/azureway-core/tests/site_runs/store.rs
@@ -1,4 +1,4 @@
-//! An in-memory fake of the platform's store.
+//! The fake store that the entries and servers of a site run share.
 
 use std::collections::BTreeMap;
 
--- a/azureway-core/tests/site_runs/world/faults.rs
+++ b/azureway-core/tests/site_runs/world/faults.rs
@@ -1,4 +1,4 @@
-//! The faults and operations of a run.
+//! The faults of a run, and the operations of operators and servers.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 use crate::entry::Entry;
 use crate::server::Server;
 
-/// How long a server's entry in the list lasts without a heartbeat.
-const ENTRY_TTL: Duration = Duration::from_secs(3);
+/// How long a server's registration lasts without a heartbeat.
+const REGISTRATION_TTL: Duration = Duration::from_secs(3);
 /// How long a server is down after a crash.
 const RESTART_TIME: Duration = Duration::from_secs(2);
 
@@ -66,7 +66,7 @@
     pub(super) fn expire_list(&mut self) -> Result<(), TestCaseError> {
         self.store.unavailable = true;
         let start = self.now;
-        while self.now.since(start) < ENTRY_TTL {
+        while self.now.since(start) < REGISTRATION_TTL {
             self.advance(READ_GAP)?;
         }
         self.store.servers.clear();
--- a/azureway-core/tests/site_runs/world/mod.rs
+++ b/azureway-core/tests/site_runs/world/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated site of a run.
+//! The simulated site on which steps are carried out: entries, servers and requests.
 
 mod faults;
 mod rules;
@@ -225,7 +225,7 @@
         (0..ENTRIES).try_for_each(|at| self.handle(at, Event::Tick))
     }
 
-    /// Updates a server's entry in the store if the server is up and its heartbeat is due.
+    /// Updates a server's registration in the store if the server is up and its heartbeat is due.
     fn heartbeat(&mut self, which: usize) {
         let server = &mut self.servers[which];
         server.down_until = server.down_until.filter(|at| *at > self.now);
--- a/azureway-core/tests/site_runs/world/rules.rs
+++ b/azureway-core/tests/site_runs/world/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that are checked after every event.
+//! The rules of the users' platform, which are checked after every event of a run.
 
 use std::time::Duration;
 
--- a/azureway-core/tests/support_config/race.rs
+++ b/azureway-core/tests/support_config/race.rs
@@ -1,4 +1,4 @@
-//! Operators that edit one document concurrently.
+//! The simulation of concurrent edits, and the invariants that its schedules must keep.
 
 use std::collections::BTreeMap;
 
--- a/azureway-core/tests/support_config/store.rs
+++ b/azureway-core/tests/support_config/store.rs
@@ -1,4 +1,4 @@
-//! An in-memory store that can lose answers.
+//! The fake store of the edit tests, which carries out steps and can lose their answers.
 
 use std::collections::BTreeMap;
 
--- a/azureway-core/tests/watch_schedule.rs
+++ b/azureway-core/tests/watch_schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of an entry's calls to the platform, and their poll timeouts.
+//! Tests of when an entry watches the platform with a poll timeout, and when without one.
 
 use std::time::Duration;
 
--- a/azureway-core/tests/weights.rs
+++ b/azureway-core/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Which weights version serves requests during a rollout: the fault table.
+//! Tests of which weights version serves requests during a rollout, under faults.
 
 mod support;
 
@@ -55,7 +55,7 @@
 
     fn apply(&mut self, step: &str) {
         let words: Vec<&str> = step.split_whitespace().collect();
-        let number = |place: usize| words[place].parse::<u64>().expect("a number");
+        let number = |index: usize| words[index].parse::<u64>().expect("a number");
         match words[0] {
             "name" => {
                 let named = NamedWeights {
@@ -110,7 +110,7 @@
         self.fixture.handle(Event::Loading(&notice));
     }
 
-    /// Submits a request. Returns its dispatch if it is sent at once.
+    /// Handles a new request. Returns its dispatch if it is sent at once.
     fn submit(&mut self) -> Option<Dispatch> {
         let mut request = self.fixture.request("", &["house"]);
         request.service = ServiceId::new("advice");
