--- a/azureway-dev/benches/decisions.rs
+++ b/azureway-dev/benches/decisions.rs
@@ -12,7 +12,7 @@
 use divan::{Bencher, black_box};
 use prost::Message;
 
-/// The number of slots per replica.
+/// The number of slots per server.
 const SLOTS: u32 = 16;
 /// The number of events in one cache update.
 const BATCH: u64 = 100;
@@ -21,10 +21,10 @@
     divan::main();
 }
 
-/// Routes and finishes a request among the replicas of one pool in one zone.
+/// Routes and finishes a request among the servers of one pool in one zone.
 #[divan::bench(args = [9, 100, 1_600])]
-fn route(bencher: Bencher<'_, '_>, replicas: usize) {
-    let mut fixture = RouterFixture::new(FleetSize::new(replicas), SLOTS);
+fn route(bencher: Bencher<'_, '_>, servers: usize) {
+    let mut fixture = RouterFixture::new(FleetSize::new(servers), SLOTS);
     bencher.bench_local(|| {
         let dispatch = fixture.submit().expect("a free slot");
         fixture.finish(&dispatch)
@@ -79,7 +79,7 @@
     });
 }
 
-/// Looks up a prompt of 6 blocks at one replica.
+/// Looks up a prompt of 6 blocks at one server.
 #[divan::bench(args = [10_000, 100_000, 1_000_000])]
 fn index_lookup(bencher: Bencher<'_, '_>, blocks: u64) {
     let mut index = BlockProbe::index(blocks);
--- a/azureway-dev/src/bench/fleet_size.rs
+++ b/azureway-dev/src/bench/fleet_size.rs
@@ -7,8 +7,8 @@
 /// The dimensions of a generated fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// The number of replicas over all pools.
-    pub replicas: usize,
+    /// The number of backend servers over all pools.
+    pub servers: usize,
     /// The number of availability zones.
     pub zones: usize,
     /// The number of client accounts.
@@ -20,16 +20,16 @@
 impl FleetSize {
     /// The fleet size that the router is designed for.
     pub const DESIGN: Self = Self {
-        replicas: 1_600,
+        servers: 1_600,
         zones: 7,
         accounts: 350,
         models: 23,
     };
 
     /// Creates the size of a fleet with one pool in one zone and eight client accounts.
-    pub const fn new(replicas: usize) -> Self {
+    pub const fn new(servers: usize) -> Self {
         Self {
-            replicas,
+            servers,
             zones: 1,
             accounts: 8,
             models: 1,
@@ -50,7 +50,7 @@
         self
     }
 
-    /// Creates the fleet at a configuration version, each replica with `slots` slots.
+    /// Creates the fleet at a configuration version, each server with `slots` slots.
     pub fn fleet(&self, version: u64, slots: u32) -> Fleet {
         let mut fleet = Fleet::new().with_version(ConfigVersion::new(version));
         for number in 0..self.models {
@@ -62,7 +62,7 @@
         for number in 0..self.accounts {
             fleet = fleet.with_account(ClientAccount::new(account_id(number)));
         }
-        for number in 0..self.replicas {
+        for number in 0..self.servers {
             fleet = fleet.with_server(self.backend_server(number).with_slots(slots));
         }
         fleet
@@ -81,7 +81,7 @@
             let key = KeyHash::of(name.as_str());
             let _ = write!(text, "[account {name}]\nkeys = {key}\n");
         }
-        for number in 0..self.replicas {
+        for number in 0..self.servers {
             let server = self.backend_server(number);
             let (id, pool, zone, address) = (server.id, server.pool, server.zone, server.address);
             let _ = writeln!(text, "[server {id}]\npool = {pool}");
@@ -95,7 +95,7 @@
         let id = server_id(number);
         let [high, low] = u16::try_from(number).unwrap_or(u16::MAX).to_be_bytes();
         let address = ([10, 0, high, low], 8_000).into();
-        // Dividing by the number of zones first gives each pool replicas in each zone.
+        // Dividing by the number of zones first gives each pool servers in each zone.
         let pool = pool_id(number / self.zones % self.models);
         BackendServer::new(id, pool, zone, address)
     }
--- a/azureway-dev/src/bench/router_fixture.rs
+++ b/azureway-dev/src/bench/router_fixture.rs
@@ -30,7 +30,7 @@
 const PREFIXES: u64 = 64;
 
 impl RouterFixture {
-    /// Creates a router configured with the fleet of `size`, each replica with `slots` slots.
+    /// Creates a router configured with the fleet of `size`, each server with `slots` slots.
     pub fn new(size: FleetSize, slots: u32) -> Self {
         let config = RouterConfig::new(ZoneId::new("zone-0")).with_queue_limit(usize::MAX);
         let mut fixture = Self {
--- a/azureway-dev/src/plain/plain_service.rs
+++ b/azureway-dev/src/plain/plain_service.rs
@@ -34,7 +34,7 @@
 
     /// Creates another server of the same service, which shares the run counts.
     #[must_use]
-    pub fn replica(&self) -> Self {
+    pub fn another_server(&self) -> Self {
         Self {
             state: Arc::clone(&self.state),
             deduplicates: self.deduplicates,
--- a/azureway-dev/src/serve/system.rs
+++ b/azureway-dev/src/serve/system.rs
@@ -129,7 +129,7 @@
             self.engines.push(engine);
         }
         let plain = match (layout.deduplicates, self.plain_services.first()) {
-            (true, Some(first)) => first.replica(),
+            (true, Some(first)) => first.another_server(),
             (true, None) => PlainService::deduplicating(),
             (false, _) => PlainService::new(),
         };
--- a/azureway-dev/src/slopes/command.rs
+++ b/azureway-dev/src/slopes/command.rs
@@ -4,7 +4,7 @@
 
 use super::{
     AccountProbe, BlockProbe, CacheEventProbe, DemandProbe, DocumentProbe, HeartbeatProbe,
-    InFlightProbe, LookupProbe, MembershipProbe, Probe, QueueProbe, ReplicaProbe, Slope,
+    InFlightProbe, LookupProbe, MembershipProbe, Probe, QueueProbe, ServerProbe, Slope,
 };
 
 /// The number of nanoseconds in a microsecond.
@@ -22,7 +22,7 @@
         "| by | sizes | memory B a unit | message B at the smallest, a unit | operation | time, us, at each size |"
     );
     println!("|---|---|---:|---:|---|---|");
-    print::<ReplicaProbe>();
+    print::<ServerProbe>();
     print::<AccountProbe>();
     print::<QueueProbe>();
     print::<InFlightProbe>();
--- a/azureway-dev/src/slopes/document_probe.rs
+++ b/azureway-dev/src/slopes/document_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of the configuration document with its replicas.
+//! Growth of the configuration document with its servers.
 
 use azureway_core::prelude::*;
 
@@ -6,7 +6,7 @@
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
-/// Measures a configuration document with 350 accounts and 23 models by the number of replicas: the
+/// Measures a configuration document with 350 accounts and 23 models by the number of servers: the
 /// size of its text, the memory of the parsed fleet, and the time to parse and apply a change.
 #[derive(Clone, Copy, Debug)]
 pub struct DocumentProbe;
@@ -15,14 +15,14 @@
 const CHANGES: u32 = 10;
 
 impl Probe for DocumentProbe {
-    const UNIT: &'static str = "replica in the document";
+    const UNIT: &'static str = "server in the document";
     const OPERATION: &'static str = "parse and adopt a changed document";
     const SIZES: [u64; 3] = [100, 400, 1_600];
 
     fn measure(size: u64) -> Sample {
-        let replicas = usize::try_from(size).unwrap_or(0);
+        let servers = usize::try_from(size).unwrap_or(0);
         let fleet_size = FleetSize {
-            replicas,
+            servers,
             ..FleetSize::DESIGN
         };
         let text = fleet_size.document();
--- a/azureway-dev/src/slopes/in_flight_probe.rs
+++ b/azureway-dev/src/slopes/in_flight_probe.rs
@@ -10,7 +10,7 @@
 
 /// The number of timed requests.
 const REQUESTS: u32 = 500;
-/// The number of slots per replica, high enough that no request is queued.
+/// The number of slots per server, high enough that no request is queued.
 const SLOTS: u32 = 100_000;
 
 impl Probe for InFlightProbe {
--- a/azureway-dev/src/slopes/lookup_probe.rs
+++ b/azureway-dev/src/slopes/lookup_probe.rs
@@ -21,7 +21,7 @@
 
 impl Probe for LookupProbe {
     const UNIT: &'static str = "cached block";
-    const OPERATION: &'static str = "look a prompt of 6 blocks up at one replica";
+    const OPERATION: &'static str = "look up a prompt of 6 blocks at one server";
     const SIZES: [u64; 3] = [10_000, 100_000, 1_000_000];
 
     fn measure(size: u64) -> Sample {
--- a/azureway-dev/src/slopes/mod.rs
+++ b/azureway-dev/src/slopes/mod.rs
@@ -13,8 +13,8 @@
 mod membership_probe;
 mod probe;
 mod queue_probe;
-mod replica_probe;
 mod sample;
+mod server_probe;
 mod slope;
 
 pub use account_probe::AccountProbe;
@@ -30,6 +30,6 @@
 pub use membership_probe::MembershipProbe;
 pub use probe::Probe;
 pub use queue_probe::QueueProbe;
-pub use replica_probe::ReplicaProbe;
 pub use sample::Sample;
+pub use server_probe::ServerProbe;
 pub use slope::Slope;
--- a/azureway-dev/src/slopes/replica_probe.rs
+++ b/azureway-dev/src/slopes/server_probe.rs
@@ -1,21 +1,21 @@
-//! Growth of an entry's state with the replicas of a pool.
+//! Growth of an entry's state with the backend servers of a pool.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
-/// Measures the state of an entry and the time to route a request by the number of replicas to
+/// Measures the state of an entry and the time to route a request by the number of servers to
 /// choose from.
 #[derive(Clone, Copy, Debug)]
-pub struct ReplicaProbe;
+pub struct ServerProbe;
 
 /// The number of timed requests.
 const REQUESTS: u32 = 500;
-/// The number of slots per replica.
+/// The number of slots per server.
 const SLOTS: u32 = 16;
 
-impl Probe for ReplicaProbe {
-    const UNIT: &'static str = "replica of one zone and pool";
+impl Probe for ServerProbe {
+    const UNIT: &'static str = "server of one zone and pool";
     const OPERATION: &'static str = "route and finish a request";
     const SIZES: [u64; 3] = [9, 100, 1_600];
 
--- a/azureway-dev/tests/slopes.rs
+++ b/azureway-dev/tests/slopes.rs
@@ -22,7 +22,7 @@
 #[gtest]
 fn a_size_gives_the_same_fleet_through_its_document() {
     let size = FleetSize {
-        replicas: 70,
+        servers: 70,
         zones: 7,
         accounts: 35,
         models: 5,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -35,8 +35,8 @@
 //!
 //! let rendezvous = Rendezvous::new(PrefixKey::new(7));
 //! let servers = ["a", "b", "c"].map(ServerId::new);
-//! let replica = servers.iter().max_by_key(|s| rendezvous.weight(s)).unwrap();
-//! assert!(servers.contains(replica));
+//! let preferred = servers.iter().max_by_key(|s| rendezvous.weight(s)).unwrap();
+//! assert!(servers.contains(preferred));
 //! ```
 //!
 //! A retry budget, which limits retries to a percentage of the requests.
