--- a/azureway-config/src/document/checker.rs
+++ b/azureway-config/src/document/checker.rs
@@ -1,4 +1,4 @@
-//! The check of a changed document before it is written.
+//! The check that commands apply to a changed document before they write it.
 
 use azureway_core::config::DocumentCheck;
 use azureway_core::prelude::ConfigVersion;
@@ -6,8 +6,8 @@
 use super::parse;
 use crate::ini::Faults;
 
-/// The check of a changed document before it is written. Entries check a new version in the same
-/// way.
+/// The check of a changed document before it is written. Entry instances check a new version in
+/// the same way.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Checker;
 
--- a/azureway-config/src/document/name.rs
+++ b/azureway-config/src/document/name.rs
@@ -1,4 +1,4 @@
-//! The format of names in the document.
+//! Validation of the names in the document, which appear in logs, metric labels and paths.
 
 /// The format of a name, as stated in faults.
 pub(super) const NAME_FORMAT: &str = "a name of 1 to 64 letters, digits, `.`, `_` or `-`";
--- a/azureway-config/src/document/section_edit.rs
+++ b/azureway-config/src/document/section_edit.rs
@@ -1,6 +1,6 @@
-//! Edits of the text of one section.
+//! Editing of one section's text that preserves comments and the order of lines.
 
-/// The text of one section, whose entries can be set and removed. Comments and the order of lines
+/// The text of one section, whose keys can be set and removed. Comments and the order of lines
 /// are preserved.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SectionEdit {
@@ -15,18 +15,19 @@
         }
     }
 
-    /// Creates an edit of a new section without entries.
+    /// Creates an edit of a new section without keys.
     pub fn empty(name: &str) -> Self {
         Self::new(&format!("[{name}]"))
     }
 
-    /// Returns the value of the first entry with `key`.
+    /// Returns the value on the first line with `key`.
     pub fn get(&self, key: &str) -> Option<&str> {
         let line = self.lines.iter().find(|l| has_key(l, key))?;
         line.split_once('=').map(|(_, value)| value.trim())
     }
 
-    /// Sets an entry: replaces its line if it exists, and appends it to the section otherwise.
+    /// Sets the value of `key`: replaces its line if there is one, and appends a line to the
+    /// section otherwise.
     #[must_use]
     pub fn with_entry(mut self, key: &str, value: &str) -> Self {
         let entry = format!("{key} = {value}");
@@ -37,7 +38,7 @@
         self
     }
 
-    /// Removes an entry.
+    /// Removes a key with its value.
     #[must_use]
     pub fn without_entry(mut self, key: &str) -> Self {
         self.lines.retain(|l| !has_key(l, key));
--- a/azureway-config/src/ini/entry.rs
+++ b/azureway-config/src/ini/entry.rs
@@ -1,12 +1,12 @@
-//! An entry of a section.
+//! The parsed form of a line with a key and a value.
 
-/// An entry of a section: a line with a key and a value, borrowed from the text.
+/// A line of a section with a key and a value, borrowed from the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry<'a> {
     /// The line number, starting at 1.
     pub line: u32,
-    /// The key of the entry.
+    /// The text before the `=`.
     pub key: &'a str,
-    /// The value of the entry, empty if the line has no `=`.
+    /// The text after the `=`, or an empty text if the line has no `=`.
     pub value: &'a str,
 }
--- a/azureway-config/src/ini/fault.rs
+++ b/azureway-config/src/ini/fault.rs
@@ -1,4 +1,4 @@
-//! A fault in an INI text.
+//! Describes one fault of a text and where it is.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
     pub line: u32,
     /// The name of the section, empty before the first header.
     pub section: Box<str>,
-    /// The key of the entry, if the fault concerns one.
+    /// The key, if the fault concerns one.
     pub key: Option<Box<str>>,
     /// What is wrong, or what was expected and found.
     pub detail: Box<str>,
--- a/azureway-config/src/ini/faults.rs
+++ b/azureway-config/src/ini/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of an INI text.
+//! Collects the faults of a text, so that all of them are reported at once.
 
 use std::fmt;
 
--- a/azureway-config/src/ini/mod.rs
+++ b/azureway-config/src/ini/mod.rs
@@ -1,4 +1,4 @@
-//! Parsing of INI text into sections and entries with their line numbers.
+//! Parsing of INI text into sections, keys and values with their line numbers.
 
 mod entry;
 mod fault;
--- a/azureway-config/src/ini/parse.rs
+++ b/azureway-config/src/ini/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing of INI text into sections.
+//! The parser of INI text, which the document and the settings share.
 
 use ini_core::{Item, Parser};
 
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 ///
-/// Returns a fault for each line with a malformed header, each entry before the first header and
+/// Returns a fault for each line with a malformed header, each key before the first header and
 /// each key that appears again in the same section.
 pub fn parse(text: &str) -> Result<Vec<Section<'_>>, Faults> {
     let mut sections: Vec<Section<'_>> = Vec::new();
--- a/azureway-config/src/ini/reader.rs
+++ b/azureway-config/src/ini/reader.rs
@@ -1,4 +1,4 @@
-//! A reader of the typed values of a section.
+//! Converts the values of a section to their types and collects the faults.
 
 use std::str::FromStr;
 
--- a/azureway-config/src/ini/section.rs
+++ b/azureway-config/src/ini/section.rs
@@ -1,15 +1,15 @@
-//! A section of an INI text.
+//! The parsed form of a section.
 
 use super::Entry;
 
-/// A section of an INI text with its entries, borrowed from the text.
+/// A section of an INI text with its keys and values, borrowed from the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section<'a> {
     /// The line number of the header, starting at 1.
     pub line: u32,
     /// The text between the brackets of the header.
     pub name: &'a str,
-    /// The entries in the order of the text.
+    /// The keys and values in the order of the text.
     pub entries: Vec<Entry<'a>>,
 }
 
@@ -21,7 +21,7 @@
         (kind.trim(), name.trim())
     }
 
-    /// Returns the last entry with `key`.
+    /// Returns the last line with `key`.
     pub fn get(&self, key: &str) -> Option<&Entry<'a>> {
         self.entries.iter().rev().find(|e| e.key == key)
     }
--- a/azureway-config/src/settings/bounds.rs
+++ b/azureway-config/src/settings/bounds.rs
@@ -1,4 +1,4 @@
-//! The resource limits and timeouts of an entry daemon.
+//! The `[bounds]` section of the settings: limits and timeouts, with their defaults.
 
 use std::time::Duration;
 
--- a/azureway-config/src/settings/entry_settings.rs
+++ b/azureway-config/src/settings/entry_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one entry daemon.
+//! The parsed settings that an entry daemon is started with.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -19,7 +19,7 @@
     pub peer: SocketAddr,
     /// The address to listen on for operators.
     pub admin: SocketAddr,
-    /// The digest of the operators' key, if the entry requires one.
+    /// The digest of the operators' key, if the daemon requires one.
     pub operator_key: Option<KeyHash>,
     /// The address of the platform's object API.
     pub platform: SocketAddr,
@@ -27,7 +27,7 @@
     pub peers: Vec<Instance>,
     /// The resource limits and timeouts.
     pub bounds: Bounds,
-    /// The settings of the site that the entry serves, if it serves one.
+    /// The settings of the site that the daemon serves, if it serves one.
     pub site: Option<SiteSettings>,
 }
 
--- a/azureway-config/src/settings/mod.rs
+++ b/azureway-config/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of the entry daemon.
+//! The settings file of the entry daemon: its types and its parser.
 
 mod bounds;
 mod entry_settings;
--- a/azureway-config/src/settings/parse.rs
+++ b/azureway-config/src/settings/parse.rs
@@ -59,7 +59,7 @@
         SectionReader::new(&absent, &mut faults).add_fault(None, "missing section".to_owned());
     }
     let settings = faults.into_result(entry)?;
-    // A missing or invalid entry section has added a fault, which was returned above.
+    // A missing or invalid `[entry]` section has added a fault, which was returned above.
     let mut settings = settings.expect("the entry section was read");
     settings.bounds = bounds;
     settings.peers = peers;
--- a/azureway-config/src/settings/site_settings.rs
+++ b/azureway-config/src/settings/site_settings.rs
@@ -1,11 +1,12 @@
-//! The settings of an entry that serves a site of the platform.
+//! The additional settings of an entry daemon on the users' platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use azureway_core::prelude::AvailabilityZone;
 
-/// The settings of an entry that serves a site: the guarantees and requirements of the platform.
+/// The settings of an entry daemon that serves a site: the guarantees and requirements of the
+/// platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SiteSettings {
     /// The address that serves readiness and metrics.
@@ -14,13 +15,13 @@
     pub zones: Vec<AvailabilityZone>,
     /// The allowed retries, in percent of the requests of a service.
     pub retry_percent: u32,
-    /// The number of retries beyond the percentage that all entries together may make within the
-    /// retry window.
+    /// The number of retries beyond the percentage that all entry instances together may make
+    /// within the retry window.
     pub retry_slack: u32,
     /// The time window to which the retry slack applies.
     pub retry_window: Duration,
-    /// How long the instance that gives orders must have been silent before another one may give
-    /// any.
+    /// How long the instance that sends load orders must have been silent before another instance
+    /// may send any.
     pub lease_term: Duration,
     /// The time within which newly named weights must serve all requests.
     pub rollout_timeout: Duration,
--- a/azureway-config/tests/settings.rs
+++ b/azureway-config/tests/settings.rs
@@ -96,7 +96,7 @@
 /// The number of keys of the `[bounds]` section.
 const BOUNDS_KEYS: usize = 10;
 
-/// Checks the values that are read from a valid `[site]` section, then replaces one entry per row
+/// Checks the values that are read from a valid `[site]` section, then replaces one value per row
 /// and checks the fault.
 #[gtest]
 fn site_settings_are_read_and_checked() {
--- a/azureway-objects/src/call_counter.rs
+++ b/azureway-objects/src/call_counter.rs
@@ -1,4 +1,4 @@
-//! A counter of platform calls.
+//! Counts the calls to the platform, which the entry daemon reports as a metric.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/azureway-objects/src/http_objects.rs
+++ b/azureway-objects/src/http_objects.rs
@@ -1,4 +1,4 @@
-//! A client of the object API over HTTP.
+//! The HTTP client of the platform's object API, which works with every codec.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,8 @@
 const DEFAULT_TIMEOUT: u64 = 2;
 
 impl HttpObjects {
-    /// Creates a client of the platform at `address` with [`PlainCodec`] and a timeout of 2 s a call.
+    /// Creates a client of the platform at `address` with [`PlainCodec`] and a timeout of 2 s a
+    /// call.
     pub fn new(address: SocketAddr) -> Self {
         Self::with_codec(address, PlainCodec)
     }
--- a/azureway-objects/src/object_api.rs
+++ b/azureway-objects/src/object_api.rs
@@ -1,4 +1,4 @@
-//! The interface of the platform's object API.
+//! The trait of the platform's object API, which tests implement with an in-memory fake.
 
 use std::time::Duration;
 
@@ -13,14 +13,16 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the platform does not answer, rejects the call or limits the rate of calls.
+    /// Returns an error if the platform does not answer, rejects the call or limits the rate of
+    /// calls.
     fn get(&self, kind: &str, name: &str) -> Result<Option<ObjectBody>, Error>;
 
     /// Returns all objects of a kind.
     ///
     /// # Errors
     ///
-    /// Returns an error if the platform does not answer, rejects the call or limits the rate of calls.
+    /// Returns an error if the platform does not answer, rejects the call or limits the rate of
+    /// calls.
     fn list(&self, kind: &str) -> Result<ObjectList, Error>;
 
     /// Writes an object if it has the expected version, and returns the new version.
@@ -43,6 +45,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the platform does not answer, rejects the call or limits the rate of calls.
+    /// Returns an error if the platform does not answer, rejects the call or limits the rate of
+    /// calls.
     fn watch(&self, kind: &str, after: u64, wait: Duration) -> Result<ObjectList, Error>;
 }
--- a/azureway-objects/src/object_call.rs
+++ b/azureway-objects/src/object_call.rs
@@ -1,4 +1,4 @@
-//! An encoded call of an object API.
+//! The encoded form of a call, which a codec builds and the HTTP client sends.
 
 /// A call of an object API, as a codec encodes it for HTTP.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/azureway-objects/src/object_codec.rs
+++ b/azureway-objects/src/object_codec.rs
@@ -1,4 +1,4 @@
-//! The HTTP encoding of an object API.
+//! The trait that adapts the HTTP client to a platform's URLs and bodies.
 
 use std::time::Duration;
 
@@ -15,7 +15,8 @@
     /// Returns the call that reads an object.
     fn get(&self, kind: &str, name: &str) -> ObjectCall;
 
-    /// Returns the call that lists the objects of a kind, or only those whose names sort after `after`.
+    /// Returns the call that lists the objects of a kind, or only those whose names sort after
+    /// `after`.
     fn list(&self, kind: &str, after: Option<&str>) -> ObjectCall;
 
     /// Returns the call that writes an object if it has the expected version.
--- a/azureway-objects/src/plain_codec.rs
+++ b/azureway-objects/src/plain_codec.rs
@@ -1,4 +1,4 @@
-//! The encoding of azureway's own object API.
+//! The codec of azureway's own object API, which the simulated platform serves.
 
 use std::time::Duration;
 
--- a/azureway-objects/src/put.rs
+++ b/azureway-objects/src/put.rs
@@ -1,4 +1,4 @@
-//! A conditional write of an object.
+//! The arguments of a conditional write.
 
 /// A conditional write of an object, which fails if the object has another version.
 #[derive(Clone, Copy, Debug)]
--- a/azureway-wire/src/admin/count_body.rs
+++ b/azureway-wire/src/admin/count_body.rs
@@ -1,4 +1,4 @@
-//! The number of requests with one outcome.
+//! The request counts in the state of an entry instance.
 
 use azureway_core::prelude::{Outcome, OutcomeCount, Rank, RequestKind};
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/admin/explain_body.rs
+++ b/azureway-wire/src/admin/explain_body.rs
@@ -1,4 +1,4 @@
-//! The explanation of a routing decision.
+//! The answer of the admin interface that explains a routing decision.
 
 use serde::{Deserialize, Serialize};
 
--- a/azureway-wire/src/admin/mod.rs
+++ b/azureway-wire/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The admin interface of an entry instance.
+//! The paths and bodies of an entry instance's admin interface.
 
 mod count_body;
 mod explain_body;
--- a/azureway-wire/src/admin/option_body.rs
+++ b/azureway-wire/src/admin/option_body.rs
@@ -1,4 +1,4 @@
-//! One candidate server in the explanation of a routing decision.
+//! The part of a routing explanation that describes one candidate server.
 
 use azureway_core::prelude::RouteOption;
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/admin/server_body.rs
+++ b/azureway-wire/src/admin/server_body.rs
@@ -1,4 +1,4 @@
-//! The state of a backend server as an entry instance knows it.
+//! The part of an entry instance's state that describes one backend server.
 
 use azureway_core::prelude::{ServerState, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,7 @@
     pub weights: Option<u64>,
     /// The number of requests that the server runs at once.
     pub slots: u32,
-    /// The number of this entry's requests in flight at the server.
+    /// The number of this entry instance's requests in flight at the server.
     pub flights: u32,
     /// The number of requests that the server runs or has queued, as far as known.
     pub load: u32,
--- a/azureway-wire/src/admin/status_body.rs
+++ b/azureway-wire/src/admin/status_body.rs
@@ -1,4 +1,4 @@
-//! The state of an entry instance.
+//! The answer of the admin interface that describes an entry instance.
 
 use azureway_core::prelude::{Overview, Rank};
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/change/change_body.rs
+++ b/azureway-wire/src/change/change_body.rs
@@ -1,4 +1,4 @@
-//! The record of a change to the operators' document.
+//! The audit record of one change, in JSON.
 
 use azureway_core::config::{
     AcceptedChange, ChangeId, ChangeMetadata, ChangeRecord, ChangeTime, Delta, TeamId,
--- a/azureway-wire/src/change/section_body.rs
+++ b/azureway-wire/src/change/section_body.rs
@@ -1,4 +1,4 @@
-//! The change of one section of the operators' document.
+//! The part of an audit record that describes the change of one section.
 
 use azureway_core::config::SectionChange;
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/change/stored_document.rs
+++ b/azureway-wire/src/change/stored_document.rs
@@ -1,4 +1,4 @@
-//! The stored form of the operators' document.
+//! Joins the document and its last audit record into one stored value, and splits it.
 
 use azureway_core::config::{ChangeRecord, Sections, Snapshot};
 use azureway_core::prelude::ConfigVersion;
--- a/azureway-wire/src/chat/chat_content.rs
+++ b/azureway-wire/src/chat/chat_content.rs
@@ -1,4 +1,4 @@
-//! The content of a chat message.
+//! The two forms of a chat message's content.
 
 use std::borrow::Cow;
 
--- a/azureway-wire/src/chat/chat_message.rs
+++ b/azureway-wire/src/chat/chat_message.rs
@@ -1,4 +1,4 @@
-//! A message of a chat-completions request.
+//! One message of a request, which forms one level of the nested prefix.
 
 use std::borrow::Cow;
 
--- a/azureway-wire/src/chat/chat_part.rs
+++ b/azureway-wire/src/chat/chat_part.rs
@@ -1,4 +1,4 @@
-//! A part of a chat message's content.
+//! One part of a message with several parts, such as text and images.
 
 use serde::Deserialize;
 
--- a/azureway-wire/src/chat/chat_request.rs
+++ b/azureway-wire/src/chat/chat_request.rs
@@ -1,4 +1,4 @@
-//! A chat-completions request.
+//! The fields of a chat-completions request that the entry daemon needs.
 
 use std::borrow::Cow;
 
--- a/azureway-wire/src/chat/usage.rs
+++ b/azureway-wire/src/chat/usage.rs
@@ -1,4 +1,4 @@
-//! The token usage of a request.
+//! The token counts in an answer.
 
 use serde::{Deserialize, Serialize};
 
--- a/azureway-wire/src/chat/usage_details.rs
+++ b/azureway-wire/src/chat/usage_details.rs
@@ -1,4 +1,4 @@
-//! The breakdown of the prompt tokens.
+//! The number of cached prompt tokens in an answer.
 
 use serde::{Deserialize, Serialize};
 
--- a/azureway-wire/src/chat/usage_frame.rs
+++ b/azureway-wire/src/chat/usage_frame.rs
@@ -1,4 +1,4 @@
-//! The part of an answer that states the token usage.
+//! Finds the token usage in an answer or in an event of a stream, ignoring other fields.
 
 use serde::Deserialize;
 
--- a/azureway-wire/src/claim/claim_answer.rs
+++ b/azureway-wire/src/claim/claim_answer.rs
@@ -1,4 +1,4 @@
-//! The answer that is stored with a claim.
+//! The stored answer of a request that has run, which repeated requests get.
 
 use azureway_core::prelude::ShortAnswer;
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 /// The answer that is stored with a claim, to be returned to repeated requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ClaimAnswer {
-    /// The HTTP status code of the answer.
+    /// The response status.
     pub status: u16,
     /// The media type of the body.
     pub media: String,
--- a/azureway-wire/src/claim/claim_body.rs
+++ b/azureway-wire/src/claim/claim_body.rs
@@ -1,4 +1,4 @@
-//! The stored form of a claim.
+//! The claim on an idempotency key as the platform stores it, in JSON.
 
 use azureway_core::prelude::{
     ClaimNonce, ClaimRecord, ClaimState, Error, ErrorKind, Fingerprint, Step,
--- a/azureway-wire/src/engine/cache_event.rs
+++ b/azureway-wire/src/engine/cache_event.rs
@@ -1,4 +1,4 @@
-//! An event of an engine's prefix cache.
+//! The stored and evicted blocks that an engine reports.
 
 use azureway_core::prelude::{BlockKey, CacheOp};
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/engine/feed_body.rs
+++ b/azureway-wire/src/engine/feed_body.rs
@@ -1,4 +1,4 @@
-//! The answer of an engine to a poll for its load and cache events.
+//! The answer to a poll, from which an entry instance updates load and cache index.
 
 use azureway_core::prelude::{
     CacheOp, Incarnation, LoadReport, ServerId, TokenCount, WeightsVersion,
--- a/azureway-wire/src/error/error_body.rs
+++ b/azureway-wire/src/error/error_body.rs
@@ -1,4 +1,4 @@
-//! The body of an error response.
+//! The outer JSON object of every error that callers get.
 
 use azureway_core::prelude::Refusal;
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/error/error_detail.rs
+++ b/azureway-wire/src/error/error_detail.rs
@@ -1,4 +1,4 @@
-//! The description of an error in a response.
+//! What an error response tells the caller: code, explanation and whether the request ran.
 
 use azureway_core::prelude::Refusal;
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/error/reason_phrase.rs
+++ b/azureway-wire/src/error/reason_phrase.rs
@@ -1,4 +1,4 @@
-//! The reason phrases of HTTP status codes.
+//! Reason phrases for the status lines that azureway writes.
 
 /// Returns the reason phrase of an HTTP status code, or `Status` for one that azureway does not
 /// send.
--- a/azureway-wire/src/header.rs
+++ b/azureway-wire/src/header.rs
@@ -14,7 +14,7 @@
 pub const WORTH: &str = "azureway-worth";
 /// Whether the request may run more than once: `repeatable` or `at-most-once`.
 pub const KIND: &str = "azureway-kind";
-/// The identifier of the request, in answers.
+/// The identifier of the request, in responses.
 pub const REQUEST_ID: &str = "azureway-request-id";
 /// The identifier of an attempt at a request, in requests to backend servers.
 pub const ATTEMPT: &str = "azureway-attempt";
--- a/azureway-wire/src/instance/instance_body.rs
+++ b/azureway-wire/src/instance/instance_body.rs
@@ -1,4 +1,4 @@
-//! An instance in the platform's list.
+//! The object by which an instance is listed in the platform.
 
 use std::net::SocketAddr;
 
--- a/azureway-wire/src/instance/instance_role.rs
+++ b/azureway-wire/src/instance/instance_role.rs
@@ -1,4 +1,4 @@
-//! The role of an instance.
+//! Tells entry daemons from backend servers in the platform's list.
 
 use serde::{Deserialize, Serialize};
 
--- a/azureway-wire/src/instance/mod.rs
+++ b/azureway-wire/src/instance/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances.
+//! The platform's list of instances, by which entry instances and backend servers are found.
 
 mod instance_body;
 mod instance_role;
--- a/azureway-wire/src/object/object_body.rs
+++ b/azureway-wire/src/object/object_body.rs
@@ -1,4 +1,4 @@
-//! An object in the platform's store.
+//! One object in the answers of the platform's object API.
 
 use serde::{Deserialize, Serialize};
 
--- a/azureway-wire/src/object/object_list.rs
+++ b/azureway-wire/src/object/object_list.rs
@@ -1,4 +1,4 @@
-//! The objects that a list or watch request returns.
+//! The answer to a list or watch request.
 
 use serde::{Deserialize, Serialize};
 
--- a/azureway-wire/src/order/lease_body.rs
+++ b/azureway-wire/src/order/lease_body.rs
@@ -1,4 +1,4 @@
-//! The stored form of a lease.
+//! The lease to give orders as the platform stores it, in JSON.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
     pub beat: u64,
     /// The fencing number, higher for each new holder.
     pub number: u64,
-    /// How long after the write servers that check no fencing number still get no orders, in
-    /// milliseconds, rounded up.
+    /// The time after the write during which no orders are sent to servers that check no fencing
+    /// number, in milliseconds, rounded up.
     #[serde(default)]
     pub rest: u64,
 }
--- a/azureway-wire/src/order/order_body.rs
+++ b/azureway-wire/src/order/order_body.rs
@@ -1,10 +1,9 @@
-//! The body of a load order.
+//! The request body of an order to load weights.
 
 use azureway_core::prelude::{FencingNumber, LoadOrder};
 use serde::{Deserialize, Serialize};
 
-/// The body of an order to load weights. It states the desired state, not a
-/// change.
+/// The body of an order to load weights. It states the desired state, not a change.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct OrderBody {
     /// The weights version to load.
--- a/azureway-wire/src/peer/invalid_field.rs
+++ b/azureway-wire/src/peer/invalid_field.rs
@@ -1,4 +1,4 @@
-//! The error of a peer message with an invalid field.
+//! The error that the conversions of peer messages return.
 
 use azureway_core::prelude::{Error, ErrorKind, Step};
 
--- a/azureway-wire/src/sse/line.rs
+++ b/azureway-wire/src/sse/line.rs
@@ -1,4 +1,4 @@
-//! A line of a server-sent event stream.
+//! Parses one line of a server-sent event stream.
 
 /// A line of a server-sent event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
