--- a/azureway-cli/src/account/mod.rs
+++ b/azureway-cli/src/account/mod.rs
@@ -1,4 +1,4 @@
-//! The commands on client accounts.
+//! Dispatch of `account` to its subcommands, and the edit of an account's section that they share.
 
 mod keys;
 mod list;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Returns the section with the entries that the options set.
+/// Returns the section with the keys set that the options give values for.
 fn set_entries(mut edit: SectionEdit, matches: &ArgMatches) -> SectionEdit {
     for key in ["limit", "weight"] {
         if let Some(value) = matches.get_one::<String>(key) {
--- a/azureway-cli/src/admin/drain.rs
+++ b/azureway-cli/src/admin/drain.rs
@@ -1,4 +1,4 @@
-//! The command `drain`.
+//! The command `drain`, for entry instances and backend servers.
 
 use std::io::Write;
 
--- a/azureway-cli/src/admin/entry_client.rs
+++ b/azureway-cli/src/admin/entry_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the operators' interface.
+//! The HTTP client through which `status`, `explain` and `drain` reach an entry instance.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
     key: Option<String>,
 }
 
-/// The time limit of a request, in seconds.
+/// How long an entry instance may take to answer, in seconds.
 const TIMEOUT_SECS: u64 = 5;
 
 impl EntryClient {
--- a/azureway-cli/src/admin/explain.rs
+++ b/azureway-cli/src/admin/explain.rs
@@ -1,4 +1,4 @@
-//! The command `explain`.
+//! The command `explain`, which asks entry instances to route a request without running it.
 
 use std::io::Write;
 
--- a/azureway-cli/src/admin/mod.rs
+++ b/azureway-cli/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The commands on entry instances and backend servers.
+//! Dispatch of `status`, `explain` and `drain`, and the clients of the entry instances named.
 
 mod drain;
 mod entry_client;
--- a/azureway-cli/src/admin/status.rs
+++ b/azureway-cli/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! The command `status`.
+//! The command `status`, which reads the entry instances and the leases in the platform.
 
 use std::io::Write;
 use std::net::SocketAddr;
--- a/azureway-cli/src/app/account_command.rs
+++ b/azureway-cli/src/app/account_command.rs
@@ -1,4 +1,4 @@
-//! The command line of `account`.
+//! Definition of `account` and its subcommands for the command-line parser.
 
 use clap::{Arg, Command};
 
@@ -24,7 +24,7 @@
                     option(
                         "weight",
                         "NUMBER",
-                        "Its share relative to other accounts with requests of the same rank",
+                        "The account's share relative to others with requests of the same rank",
                     ),
                     add_flag(),
                     reason_option(),
--- a/azureway-cli/src/app/config_command.rs
+++ b/azureway-cli/src/app/config_command.rs
@@ -1,4 +1,4 @@
-//! The command line of `config`.
+//! Definition of `config` and its subcommands for the command-line parser.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 
@@ -31,8 +31,8 @@
 }
 
 fn edit() -> Command {
-    let set = option("set", "KEY=VALUE", "Sets an entry").action(ArgAction::Append);
-    let unset = option("unset", "KEY", "Removes an entry").action(ArgAction::Append);
+    let set = option("set", "KEY=VALUE", "Sets a key of the section").action(ArgAction::Append);
+    let unset = option("unset", "KEY", "Removes a key of the section").action(ArgAction::Append);
     let remove = Arg::new("remove")
         .long("remove")
         .action(ArgAction::SetTrue)
--- a/azureway-cli/src/app/mod.rs
+++ b/azureway-cli/src/app/mod.rs
@@ -1,4 +1,4 @@
-//! The definition of the command line and the dispatch to its commands.
+//! The command line: the definitions of the commands, and the dispatch to the code that runs them.
 
 mod account_command;
 mod admin_command;
--- a/azureway-cli/src/app/runner.rs
+++ b/azureway-cli/src/app/runner.rs
@@ -1,4 +1,4 @@
-//! The dispatch of a parsed command line to its command.
+//! Runs a parsed command line by dispatching it to the code of its command.
 
 use std::io::Write;
 
--- a/azureway-cli/src/config/mod.rs
+++ b/azureway-cli/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The commands on the configuration document.
+//! Dispatch of `config` to its subcommands, and the helpers that they share.
 
 mod base;
 mod change;
--- a/azureway-cli/src/exit.rs
+++ b/azureway-cli/src/exit.rs
@@ -1,4 +1,4 @@
-//! The exit codes of the program.
+//! The exit codes of the program, by which scripts tell apart why a command failed.
 
 use std::process::ExitCode;
 
--- a/azureway-cli/src/failure.rs
+++ b/azureway-cli/src/failure.rs
@@ -1,4 +1,4 @@
-//! An error with its own exit code.
+//! The error with an exit code of its own, which commands return instead of a plain error.
 
 use std::fmt;
 
--- a/azureway-cli/src/printer.rs
+++ b/azureway-cli/src/printer.rs
@@ -1,4 +1,4 @@
-//! The output of a command.
+//! Writes the reports of every command, in the output format that the operator chose.
 
 use std::fmt::Display;
 use std::io::Write;
--- a/azureway-cli/src/report/account_report.rs
+++ b/azureway-cli/src/report/account_report.rs
@@ -1,4 +1,4 @@
-//! The report on a client account.
+//! The report of `account list` on one client account.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/check_report.rs
+++ b/azureway-cli/src/report/check_report.rs
@@ -1,4 +1,4 @@
-//! The report of `config check`.
+//! The report of `config check`, which lists the faults of a document.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/diff_report.rs
+++ b/azureway-cli/src/report/diff_report.rs
@@ -1,4 +1,4 @@
-//! The report on the difference between two documents.
+//! The report of `config diff`, also a part of the reports on conflicts and on past changes.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/document_report.rs
+++ b/azureway-cli/src/report/document_report.rs
@@ -1,4 +1,4 @@
-//! The report of `config get`.
+//! The text that `config get` prints and `config put` reads, with its version line.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/drain_report.rs
+++ b/azureway-cli/src/report/drain_report.rs
@@ -1,4 +1,4 @@
-//! The report of `drain` on an entry instance.
+//! The report of `drain` on an entry instance that has started to drain.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/azureway-cli/src/report/edit_report.rs
+++ b/azureway-cli/src/report/edit_report.rs
@@ -1,4 +1,4 @@
-//! The report on the outcome of an edit.
+//! The report of every command that changes the document.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/explain_report.rs
+++ b/azureway-cli/src/report/explain_report.rs
@@ -1,4 +1,4 @@
-//! The report of `explain` on one entry instance.
+//! The report of `explain` on one entry instance, with its estimates for each server.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/azureway-cli/src/report/fault_body.rs
+++ b/azureway-cli/src/report/fault_body.rs
@@ -1,4 +1,4 @@
-//! A fault of a document in a report.
+//! The form of a document's fault in reports.
 
 use azureway_config::ini::Fault;
 use serde::Serialize;
--- a/azureway-cli/src/report/history_report.rs
+++ b/azureway-cli/src/report/history_report.rs
@@ -1,4 +1,4 @@
-//! The report on a change of the audit trail.
+//! The report of `config history` on one change.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/key_report.rs
+++ b/azureway-cli/src/report/key_report.rs
@@ -1,4 +1,4 @@
-//! The report on a new API key.
+//! The report of `account add-key`, the only place where the new API key is shown.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/lease_report.rs
+++ b/azureway-cli/src/report/lease_report.rs
@@ -1,4 +1,4 @@
-//! The report on a lease.
+//! The part of the report of `status` that shows a lease.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/line_diff.rs
+++ b/azureway-cli/src/report/line_diff.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Returns a table whose entry `[i][j]` is the length of the longest common subsequence of
+/// Returns a table whose cell `[i][j]` is the length of the longest common subsequence of
 /// `old[i..]` and `new[j..]`.
 fn lcs_lengths(old: &[&str], new: &[&str]) -> Vec<Vec<usize>> {
     let mut lengths = vec![vec![0; new.len() + 1]; old.len() + 1];
--- a/azureway-cli/src/report/report_list.rs
+++ b/azureway-cli/src/report/report_list.rs
@@ -1,4 +1,4 @@
-//! A list of reports.
+//! Wraps the reports of a command that prints several.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/status_report.rs
+++ b/azureway-cli/src/report/status_report.rs
@@ -1,4 +1,4 @@
-//! The report of `status` on one entry instance.
+//! The part of the report of `status` that shows one entry instance.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/azureway-cli/src/report/system_report.rs
+++ b/azureway-cli/src/report/system_report.rs
@@ -1,4 +1,4 @@
-//! The report of `status`.
+//! The report of `status` on all queried entry instances and the leases.
 
 use std::fmt;
 
--- a/azureway-cli/src/session.rs
+++ b/azureway-cli/src/session.rs
@@ -1,4 +1,4 @@
-//! The operator's identity and the platform, from the options of a command.
+//! Reads the options that all commands share: who the operator is and where the platform is.
 
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/azureway-cli/src/store/document_store.rs
+++ b/azureway-cli/src/store/document_store.rs
@@ -1,4 +1,4 @@
-//! The store of the document and its audit trail.
+//! Access to the document and its audit trail in the platform, for all commands.
 
 use azureway_core::config::{
     AcceptedChange, ChangeMetadata, ChangeTime, ConditionalWrite, EditReply, History, Snapshot,
--- a/azureway-cli/src/store/edit_driver.rs
+++ b/azureway-cli/src/store/edit_driver.rs
@@ -1,4 +1,4 @@
-//! The driver of an edit.
+//! Carries out an edit of the document: executes its steps and retries those that fail.
 
 use std::thread;
 use std::time::Duration;
--- a/azureway-cli/tests/entries.rs
+++ b/azureway-cli/tests/entries.rs
@@ -125,7 +125,7 @@
     system.wait_ready();
     let (exit, printed) = run_command(&system, "drain");
     expect_that!(exit, eq(Exit::Done), "{printed}");
-    // Returns only after the drained entry has stopped too.
+    // Returns only after the drained entry instance has stopped too.
     let url = format!("http://{}/readyz", system.addresses()[1]);
     let ready = minreq::get(url).with_timeout(TEST_TIMEOUT).send();
     expect_that!(ready.expect("an answer").status_code, eq(200));
--- a/azureway-cli/tests/support/mod.rs
+++ b/azureway-cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! The fixture of the command tests.
+//! A platform on a loopback port and a runner of commands, shared by the command tests.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -167,6 +167,6 @@
 //! * `azureway-objects`: the client of the platform's object API;
 //! * `azureway-entry`: the daemon that routes requests from callers to backend servers;
 //! * `azureway-cli`: the operators' command line;
-//! * `azureway-dev`: stand-ins, replay and benchmarks, never linked into a daemon.
+//! * `azureway-dev`: simulated services, replay and benchmarks, never linked into a daemon.
 
 pub use azureway_core::*;
