--- a/azureway-dev/benches/document.rs
+++ b/azureway-dev/benches/document.rs
@@ -46,7 +46,7 @@
     format!("key of client {number}")
 }
 
-/// Parses and validates the document, as each entry does on every change.
+/// Parses and validates the document, as each entry instance does on every change.
 #[divan::bench]
 fn parse(bencher: Bencher<'_, '_>) {
     let text = document_text();
--- a/azureway-dev/src/bench/fleet_size.rs
+++ b/azureway-dev/src/bench/fleet_size.rs
@@ -1,4 +1,4 @@
-//! The dimensions of a generated fleet.
+//! Generates fleets and documents of a given size for the benches and the slopes.
 
 use std::fmt::Write as _;
 
@@ -95,7 +95,7 @@
         let id = server_id(number);
         let [high, low] = u16::try_from(number).unwrap_or(u16::MAX).to_be_bytes();
         let address = ([10, 0, high, low], 8_000).into();
-        // Dividing by the number of zones first gives each pool servers in each zone.
+        // Dividing by the number of zones first spreads each pool over all zones.
         let pool = pool_id(number / self.zones % self.models);
         BackendServer::new(id, pool, zone, address)
     }
--- a/azureway-dev/src/bench/router_fixture.rs
+++ b/azureway-dev/src/bench/router_fixture.rs
@@ -1,4 +1,4 @@
-//! A router with a simulated clock.
+//! Drives a router with generated requests for the benches and the slopes.
 
 use std::time::Duration;
 
--- a/azureway-dev/src/bench_relay/caller.rs
+++ b/azureway-dev/src/bench_relay/caller.rs
@@ -1,4 +1,4 @@
-//! A blocking HTTP client of an engine or an entry.
+//! The client by which the relay benchmark calls engines and entry instances.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,7 +9,7 @@
 
 use super::Timing;
 
-/// A blocking HTTP client of an engine or an entry.
+/// A blocking HTTP client of an engine or an entry instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller {
     address: SocketAddr,
--- a/azureway-dev/src/bench_relay/command.rs
+++ b/azureway-dev/src/bench_relay/command.rs
@@ -38,7 +38,7 @@
     Command::new("relay").about("Measures the relay path over loopback against direct calls")
 }
 
-/// Measures direct calls and calls through an entry, and prints the results.
+/// Measures direct calls and calls through an entry instance, and prints the results.
 ///
 /// # Errors
 ///
--- a/azureway-dev/src/bench_relay/mod.rs
+++ b/azureway-dev/src/bench_relay/mod.rs
@@ -1,4 +1,4 @@
-//! A benchmark of the relay path over loopback against direct calls to an engine.
+//! The `relay` subcommand, which compares calls through an entry with direct ones.
 
 mod caller;
 mod command;
--- a/azureway-dev/src/bench_relay/resident_memory.rs
+++ b/azureway-dev/src/bench_relay/resident_memory.rs
@@ -1,4 +1,4 @@
-//! The resident memory of this process.
+//! Reads the memory of this process, for the memory per held stream.
 
 use std::fs;
 
--- a/azureway-dev/src/bench_relay/timing.rs
+++ b/azureway-dev/src/bench_relay/timing.rs
@@ -1,4 +1,4 @@
-//! The latencies of one streamed answer.
+//! The latencies that the relay benchmark records for one stream.
 
 use std::time::Duration;
 
--- a/azureway-dev/src/engine/accepted_request.rs
+++ b/azureway-dev/src/engine/accepted_request.rs
@@ -1,4 +1,4 @@
-//! A request that an engine accepted.
+//! What the simulated engine records of a request on acceptance.
 
 use azureway_core::prelude::{Incarnation, Rank, TokenCount};
 
--- a/azureway-dev/src/engine/block_cache.rs
+++ b/azureway-dev/src/engine/block_cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of an engine.
+//! The prefix cache of the engine that serves HTTP.
 
 use azureway_core::prelude::{Block, BlockKey, CacheOp, TokenCount};
 
@@ -36,7 +36,8 @@
     /// Stores `blocks` and returns the blocks that were added and evicted.
     pub fn store(&mut self, blocks: &[Block]) -> Vec<CacheOp> {
         let mut ops = Vec::new();
-        // Blocks are touched from the last to the first, so that a chain is evicted from its end.
+        // Blocks are marked as used from the last to the first, so that a chain is evicted from its
+        // end.
         for block in blocks.iter().rev() {
             match self.keys.iter().position(|k| *k == block.key) {
                 Some(index) => drop(self.keys.remove(index)),
--- a/azureway-dev/src/engine/chat_event.rs
+++ b/azureway-dev/src/engine/chat_event.rs
@@ -1,4 +1,4 @@
-//! The events of a streamed answer.
+//! Formats the events of a streamed answer as JSON.
 
 use azureway_wire::chat::Usage;
 use serde_json::json;
--- a/azureway-dev/src/engine/chat_handler.rs
+++ b/azureway-dev/src/engine/chat_handler.rs
@@ -1,4 +1,4 @@
-//! The processing of one chat request.
+//! Runs one chat request in the simulated engine, on the thread of the request.
 
 use std::io;
 use std::time::Duration;
--- a/azureway-dev/src/engine/engine_config.rs
+++ b/azureway-dev/src/engine/engine_config.rs
@@ -1,4 +1,4 @@
-//! The size and speed of an engine.
+//! The settings of the engine that serves HTTP.
 
 use std::time::Duration;
 
--- a/azureway-dev/src/engine/engine_service.rs
+++ b/azureway-dev/src/engine/engine_service.rs
@@ -46,7 +46,8 @@
         self.update(EngineState::restart);
     }
 
-    /// Stalls every open connection: it stays open but sends nothing more. New ones work.
+    /// Stalls every open connection: it stays open but nothing more is sent on it. Connections that
+    /// are opened later work.
     pub fn stall_connections(&self) {
         self.update(|s| s.stalled = s.accepted_count);
     }
--- a/azureway-dev/src/engine/engine_state.rs
+++ b/azureway-dev/src/engine/engine_state.rs
@@ -1,4 +1,4 @@
-//! The state of the simulated engine.
+//! The state that the threads of the simulated engine share.
 
 use std::collections::BTreeSet;
 
--- a/azureway-dev/src/engine/event_log.rs
+++ b/azureway-dev/src/engine/event_log.rs
@@ -1,4 +1,4 @@
-//! The log of an engine's cache events.
+//! Keeps the newest cache events for polls, which detect a gap by the numbers.
 
 use azureway_core::prelude::CacheOp;
 
--- a/azureway-dev/src/engine/generation.rs
+++ b/azureway-dev/src/engine/generation.rs
@@ -1,4 +1,4 @@
-//! The tokens of an answer.
+//! Generates the tokens of an answer from its prompt alone, so that any engine can resume it.
 
 use azureway_core::prelude::{BlockChain, BlockKey, TokenCount};
 
--- a/azureway-dev/src/engine/order_handler.rs
+++ b/azureway-dev/src/engine/order_handler.rs
@@ -1,4 +1,4 @@
-//! The processing of one order to load weights.
+//! Carries out one order to load weights in the simulated engine.
 
 use azureway_core::prelude::{FencingNumber, WeightsVersion};
 use azureway_wire::order::OrderBody;
--- a/azureway-dev/src/engine/request_metadata.rs
+++ b/azureway-dev/src/engine/request_metadata.rs
@@ -1,4 +1,4 @@
-//! The headers of a request to an engine.
+//! Reads the headers that the entry sets on requests to engines.
 
 use std::net::SocketAddr;
 
--- a/azureway-dev/src/generate/burst.rs
+++ b/azureway-dev/src/generate/burst.rs
@@ -1,4 +1,4 @@
-//! A burst of additional requests.
+//! Additional requests over a part of a trace, for the cases with load peaks.
 
 use std::ops::Range;
 
--- a/azureway-dev/src/generate/command.rs
+++ b/azureway-dev/src/generate/command.rs
@@ -1,4 +1,4 @@
-//! The `generate` subcommand.
+//! The `generate` subcommand, which writes the traces of the replay.
 
 use std::fs;
 use std::path::Path;
@@ -23,7 +23,7 @@
             Arg::new("seed")
                 .long("seed")
                 .value_parser(value_parser!(u64))
-                .help("The seed; the committed traces use the place of their case"),
+                .help("The seed; by default, that of the committed trace of the case"),
         )
 }
 
--- a/azureway-dev/src/generate/generator.rs
+++ b/azureway-dev/src/generate/generator.rs
@@ -1,4 +1,4 @@
-//! The trace generator.
+//! Generates the trace of a case from a seed.
 
 use std::ops::Range;
 
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Picks the engine of an entry that knows only the prefix, by rendezvous hashing. A share of
-    /// the requests gets a random engine.
+    /// Picks the engine as an entry instance does that knows only the prefix, by rendezvous
+    /// hashing. A share of the requests gets a random engine.
     fn pick_engine<'a>(&mut self, servers: &'a [ServerId], request: &TraceRequest) -> &'a ServerId {
         let is_random = self.rng.f64() < RANDOM_SHARE;
         let hash = if is_random {
--- a/azureway-dev/src/generate/mod.rs
+++ b/azureway-dev/src/generate/mod.rs
@@ -1,4 +1,4 @@
-//! The seeded generator of traces for the replay.
+//! The seeded generator of the traces that the replay reads.
 
 mod burst;
 mod case;
--- a/azureway-dev/src/generate/population.rs
+++ b/azureway-dev/src/generate/population.rs
@@ -1,4 +1,4 @@
-//! The client accounts of a generated trace.
+//! Draws random requests of client accounts and their shops for a trace.
 
 use fastrand::Rng;
 
--- a/azureway-dev/src/generate/workload.rs
+++ b/azureway-dev/src/generate/workload.rs
@@ -1,4 +1,4 @@
-//! The workload of a generated trace.
+//! The parameters of each case, such as request rates, bursts and incidents.
 
 use super::{Burst, Case};
 use crate::trace::{Incident, WorkKind};
--- a/azureway-dev/src/http/event_writer.rs
+++ b/azureway-dev/src/http/event_writer.rs
@@ -1,4 +1,4 @@
-//! Streams of server-sent events.
+//! Writes streamed answers as server-sent events.
 
 use std::io::{self, Write};
 
--- a/azureway-dev/src/http/query.rs
+++ b/azureway-dev/src/http/query.rs
@@ -1,4 +1,4 @@
-//! The path and query of a URL.
+//! Reads the path and query of a request's URL.
 
 /// The path and query of a request's URL.
 #[derive(Clone, Copy, Debug)]
--- a/azureway-dev/src/http/reply.rs
+++ b/azureway-dev/src/http/reply.rs
@@ -1,4 +1,4 @@
-//! Answers that are not streamed.
+//! Reads request headers and writes answers that are not streamed.
 
 use serde::Serialize;
 use tiny_http::{Header, Request, Response};
--- a/azureway-dev/src/http/request_handler.rs
+++ b/azureway-dev/src/http/request_handler.rs
@@ -1,4 +1,4 @@
-//! The handling of requests to a simulated service.
+//! The trait by which the HTTP server passes requests to a simulated service.
 
 use tiny_http::Request;
 
--- a/azureway-dev/src/main.rs
+++ b/azureway-dev/src/main.rs
@@ -32,7 +32,7 @@
 
 fn command() -> Command {
     Command::new("azureway-dev")
-        .about("Stand-ins and trials for developers of azureway")
+        .about("Simulated services, replay and measurements for developers of azureway")
         .subcommand_required(true)
         .subcommand(generate::command())
         .subcommand(bench_relay::command())
--- a/azureway-dev/src/outcome/bound.rs
+++ b/azureway-dev/src/outcome/bound.rs
@@ -1,4 +1,4 @@
-//! A bound on a measure.
+//! One bound of an outcome file, and the check of a replay's measures against it.
 
 use super::{Limit, Measure, Relation, Shortfall};
 use crate::replay::Summary;
--- a/azureway-dev/src/outcome/known_shortfalls.rs
+++ b/azureway-dev/src/outcome/known_shortfalls.rs
@@ -1,11 +1,11 @@
-//! The known shortfalls of a trace, as listed in KNOWN-RED.txt.
+//! Reads from KNOWN-RED.txt which shortfalls do not fail a replay.
 
 use super::{Measure, Shortfall};
 
 /// The shortfalls of a trace that KNOWN-RED.txt lists, which do not fail a replay.
 ///
-/// An entry starts with the line `replay NAME: MEASURE...`. Its other lines are for readers and
-/// are ignored.
+/// An item of the list starts with the line `replay NAME: MEASURE...`. Its other lines are for
+/// readers and are ignored.
 #[derive(Clone, Debug, Default)]
 pub struct KnownShortfalls {
     measures: Vec<Measure>,
--- a/azureway-dev/src/outcome/limit.rs
+++ b/azureway-dev/src/outcome/limit.rs
@@ -1,4 +1,4 @@
-//! The limit of a bound.
+//! The right-hand side of a bound: a number, a measure or the baselines.
 
 use super::Measure;
 
--- a/azureway-dev/src/outcome/measure.rs
+++ b/azureway-dev/src/outcome/measure.rs
@@ -1,4 +1,4 @@
-//! The measures of a replay.
+//! The names of the measures in outcome files and reports, and their values in a summary.
 
 use std::fmt;
 
--- a/azureway-dev/src/outcome/outcomes.rs
+++ b/azureway-dev/src/outcome/outcomes.rs
@@ -1,4 +1,4 @@
-//! The bounds of a trace.
+//! The parsed outcome file of a trace.
 
 use std::str::FromStr;
 
--- a/azureway-dev/src/outcome/relation.rs
+++ b/azureway-dev/src/outcome/relation.rs
@@ -1,4 +1,4 @@
-//! The relation of a measure to its limit.
+//! The comparison operators of bounds.
 
 use std::fmt;
 
--- a/azureway-dev/src/outcome/shortfall.rs
+++ b/azureway-dev/src/outcome/shortfall.rs
@@ -1,4 +1,4 @@
-//! A bound that a replay does not meet.
+//! The result of a bound that does not hold, for the report of a replay.
 
 use std::fmt;
 
--- a/azureway-dev/src/plain/run_counts.rs
+++ b/azureway-dev/src/plain/run_counts.rs
@@ -1,4 +1,4 @@
-//! The number of runs of each call.
+//! Counts how often each call ran, so that tests can check that it ran at most once.
 
 use std::collections::BTreeMap;
 
--- a/azureway-dev/src/platform/faults.rs
+++ b/azureway-dev/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! The injected faults of the simulated platform.
+//! Faults that tests inject into the simulated platform.
 
 /// The injected faults of the simulated platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/azureway-dev/src/platform/platform_service.rs
+++ b/azureway-dev/src/platform/platform_service.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of the simulated platform.
+//! The simulated platform as an HTTP server, with injected faults.
 
 use std::io::Read;
 use std::sync::{Condvar, Mutex, MutexGuard};
--- a/azureway-dev/src/platform/store.rs
+++ b/azureway-dev/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The objects of the simulated platform.
+//! The versioned object store behind the simulated platform.
 
 use std::collections::BTreeMap;
 
--- a/azureway-dev/src/replay/command.rs
+++ b/azureway-dev/src/replay/command.rs
@@ -1,4 +1,4 @@
-//! The `replay` subcommand.
+//! The `replay` subcommand, which checks traces against their outcome files.
 
 use std::fs;
 use std::path::Path;
@@ -15,7 +15,7 @@
     let output = Arg::new("output").long("output").default_value("text");
     let known = Arg::new("known").long("known").value_name("FILE");
     Command::new("replay")
-        .about("Replays traces under each policy and judges them by their stated outcomes")
+        .about("Replays traces under each policy and checks them against their outcome files")
         .arg(
             Arg::new("FILE")
                 .required(true)
--- a/azureway-dev/src/replay/compare.rs
+++ b/azureway-dev/src/replay/compare.rs
@@ -1,4 +1,4 @@
-//! The comparison of routing policies by replay.
+//! Replays traces under the product's policy and each baseline policy.
 
 use std::io::{IsTerminal, stderr};
 
--- a/azureway-dev/src/replay/engine_model.rs
+++ b/azureway-dev/src/replay/engine_model.rs
@@ -1,4 +1,4 @@
-//! A simulated model engine.
+//! The engine of the replay, which advances in steps of virtual time.
 
 use std::time::Duration;
 
--- a/azureway-dev/src/replay/engine_speed.rs
+++ b/azureway-dev/src/replay/engine_speed.rs
@@ -1,4 +1,4 @@
-//! The speed of a simulated engine.
+//! Computes how long the steps and weight loads of a simulated engine take.
 
 use std::time::Duration;
 
--- a/azureway-dev/src/replay/engine_update.rs
+++ b/azureway-dev/src/replay/engine_update.rs
@@ -1,4 +1,4 @@
-//! A load report and cache events from an engine.
+//! What an engine of the replay reports to the entry: its load and cache events.
 
 use azureway_core::prelude::{CacheOp, CacheUpdate, Incarnation, LoadReport, ServerId};
 
--- a/azureway-dev/src/replay/engines.rs
+++ b/azureway-dev/src/replay/engines.rs
@@ -1,4 +1,4 @@
-//! The engines of a replay.
+//! Looks up the engines of a replay by index, name or cached blocks.
 
 use std::collections::HashMap;
 
--- a/azureway-dev/src/replay/environment.rs
+++ b/azureway-dev/src/replay/environment.rs
@@ -1,4 +1,4 @@
-//! The simulated environment of the core in a replay.
+//! Everything around the core in a replay: the clock, the engines, the links and the platform.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/azureway-dev/src/replay/event_queue.rs
+++ b/azureway-dev/src/replay/event_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of future events.
+//! Orders the future events of a replay by virtual time.
 
 use std::collections::BTreeMap;
 
--- a/azureway-dev/src/replay/generated_token.rs
+++ b/azureway-dev/src/replay/generated_token.rs
@@ -1,4 +1,4 @@
-//! A token that an engine generated.
+//! What a step of a simulated engine yields for one answer.
 
 use super::Owner;
 
--- a/azureway-dev/src/replay/in_flight_attempt.rs
+++ b/azureway-dev/src/replay/in_flight_attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt in flight.
+//! What the environment records of each attempt that the entry has sent.
 
 use azureway_core::prelude::Attempt;
 
--- a/azureway-dev/src/replay/links.rs
+++ b/azureway-dev/src/replay/links.rs
@@ -1,4 +1,4 @@
-//! The links between the entry and the engines.
+//! Delays and outages of the network between the entry and the engines.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/azureway-dev/src/replay/loss.rs
+++ b/azureway-dev/src/replay/loss.rs
@@ -1,4 +1,4 @@
-//! The weighted losses of the users.
+//! Computes from a replay's summary the weighted losses that the users have defined.
 
 use super::Summary;
 
--- a/azureway-dev/src/replay/owner.rs
+++ b/azureway-dev/src/replay/owner.rs
@@ -1,4 +1,4 @@
-//! The receiver of the tokens of a task.
+//! Tells an engine's tasks for the replayed entry from those for other entries.
 
 use azureway_core::prelude::Attempt;
 
--- a/azureway-dev/src/replay/platform_model.rs
+++ b/azureway-dev/src/replay/platform_model.rs
@@ -1,4 +1,4 @@
-//! A simulated platform.
+//! Answers the claim calls of the core in a replay.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 /// The time that an answered call takes.
 const REPLY_DELAY: Duration = Duration::from_millis(4);
-/// The timeout of a call.
+/// The time after which a call fails while the platform is down.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl PlatformModel {
--- a/azureway-dev/src/replay/plot.rs
+++ b/azureway-dev/src/replay/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of the time to first token of each policy.
+//! Draws the comparison of the policies as an SVG file.
 
 use std::path::Path;
 
--- a/azureway-dev/src/replay/prefix_cache.rs
+++ b/azureway-dev/src/replay/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of a simulated engine.
+//! The prefix cache of the replay's engine, which reports its changes as cache events.
 
 use std::collections::{BTreeMap, HashMap};
 
--- a/azureway-dev/src/replay/replay_driver.rs
+++ b/azureway-dev/src/replay/replay_driver.rs
@@ -1,4 +1,4 @@
-//! The driver of a replay.
+//! Runs a core through a trace: the event loop of the replay.
 
 use std::time::Duration;
 
@@ -241,7 +241,7 @@
         let Some(at) = self.router.next_wakeup() else {
             return;
         };
-        // A deadline has passed only when the clock is beyond it, hence one microsecond more.
+        // One microsecond is added because a deadline has passed only when the clock is beyond it.
         let at = at.max(self.environment.now) + Duration::from_micros(1);
         if self.next_wakeup.is_none_or(|w| at < w) {
             self.next_wakeup = Some(at);
--- a/azureway-dev/src/replay/replay_event.rs
+++ b/azureway-dev/src/replay/replay_event.rs
@@ -1,4 +1,4 @@
-//! The events of a replay.
+//! The events that the replay schedules in virtual time.
 
 use azureway_core::claim::ClaimOutcome;
 use azureway_core::prelude::{
--- a/azureway-dev/src/replay/report.rs
+++ b/azureway-dev/src/replay/report.rs
@@ -1,4 +1,4 @@
-//! The report of a replay.
+//! The report of the replay of one trace: measures, bounds and shortfalls.
 
 use std::fmt::{self, Write as _};
 
@@ -53,7 +53,7 @@
         text
     }
 
-    /// Returns the entry for KNOWN-RED.txt, or an empty string if all bounds hold.
+    /// Returns the lines to add to KNOWN-RED.txt, or an empty string if all bounds hold.
     pub fn known_entry(&self) -> String {
         let mut distinct: Vec<&Shortfall> = Vec::new();
         for shortfall in &self.shortfalls {
--- a/azureway-dev/src/replay/request_factory.rs
+++ b/azureway-dev/src/replay/request_factory.rs
@@ -1,4 +1,4 @@
-//! Conversion of the requests of a trace.
+//! Converts the requests of a trace for the core and for the engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/azureway-dev/src/replay/request_log.rs
+++ b/azureway-dev/src/replay/request_log.rs
@@ -1,4 +1,4 @@
-//! The course of a request.
+//! Records what the caller of each request sees, from which the measures are computed.
 
 use std::time::Duration;
 
--- a/azureway-dev/src/replay/summary.rs
+++ b/azureway-dev/src/replay/summary.rs
@@ -1,4 +1,4 @@
-//! The measures of a replay.
+//! Computes the measures of a replay from its counts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/azureway-dev/src/replay/table.rs
+++ b/azureway-dev/src/replay/table.rs
@@ -1,4 +1,4 @@
-//! A table of the measures of several policies.
+//! Prints the measures of the policies side by side.
 
 use std::fmt;
 
--- a/azureway-dev/src/replay/tally.rs
+++ b/azureway-dev/src/replay/tally.rs
@@ -1,4 +1,4 @@
-//! The counts of a replay.
+//! Collects the request logs and counts during a replay.
 
 use std::collections::BTreeMap;
 
--- a/azureway-dev/src/replay/task.rs
+++ b/azureway-dev/src/replay/task.rs
@@ -1,4 +1,4 @@
-//! A request at an engine.
+//! A request as a simulated engine queues and runs it.
 
 use azureway_core::prelude::{BlockChain, Rank, WeightsVersion};
 
--- a/azureway-dev/src/replay/transit.rs
+++ b/azureway-dev/src/replay/transit.rs
@@ -1,4 +1,4 @@
-//! A request in transit to an engine.
+//! A request on its way to an engine, which it reaches after the delay of the link.
 
 use azureway_core::prelude::{Attempt, Incarnation};
 
--- a/azureway-dev/src/replay/violations.rs
+++ b/azureway-dev/src/replay/violations.rs
@@ -1,4 +1,4 @@
-//! The violations of guarantees in a replay.
+//! Counts the violations of the guarantees to callers, which every replay checks.
 
 use serde::Serialize;
 
--- a/azureway-dev/src/serve/layout.rs
+++ b/azureway-dev/src/serve/layout.rs
@@ -1,4 +1,4 @@
-//! The layout of a system on loopback.
+//! Describes the system to start on loopback.
 
 use azureway_core::prelude::KeyHash;
 
--- a/azureway-dev/src/serve/running_entry.rs
+++ b/azureway-dev/src/serve/running_entry.rs
@@ -1,4 +1,4 @@
-//! A running entry daemon.
+//! Runs an entry daemon inside the developers' program and the tests.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
--- a/azureway-dev/src/serve/system.rs
+++ b/azureway-dev/src/serve/system.rs
@@ -1,4 +1,4 @@
-//! The running system on loopback.
+//! Starts and stops a whole system on loopback, for `serve` and the tests over sockets.
 
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
--- a/azureway-dev/src/slopes/account_probe.rs
+++ b/azureway-dev/src/slopes/account_probe.rs
@@ -1,11 +1,11 @@
-//! Growth of an entry's state with the client accounts.
+//! The probe of an entry instance's state by the number of client accounts.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
-/// Measures the state of an entry and the time to route a request by the client accounts that have
-/// sent a request.
+/// Measures the state of an entry instance and the time to route a request by the client accounts
+/// that have sent a request.
 #[derive(Clone, Copy, Debug)]
 pub struct AccountProbe;
 
--- a/azureway-dev/src/slopes/block_probe.rs
+++ b/azureway-dev/src/slopes/block_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of the cache index with the cached blocks.
+//! The probe of the cache index by the number of cached blocks.
 
 use azureway_core::prelude::*;
 
--- a/azureway-dev/src/slopes/cache_event_probe.rs
+++ b/azureway-dev/src/slopes/cache_event_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of an engine's feed message with its cache events.
+//! The probe of an engine's feed message by the number of its cache events.
 
 use azureway_core::prelude::*;
 use azureway_wire::engine::{CacheEvent, FeedBody};
--- a/azureway-dev/src/slopes/command.rs
+++ b/azureway-dev/src/slopes/command.rs
@@ -13,7 +13,7 @@
 /// Returns the subcommand's arguments.
 pub fn command() -> Command {
     Command::new("slopes")
-        .about("Measures how state, messages, processor time and memory grow, as a table")
+        .about("Prints a table of how memory, message sizes and operation times grow with the load")
 }
 
 /// Runs every probe and prints a table with one row for each.
--- a/azureway-dev/src/slopes/demand_probe.rs
+++ b/azureway-dev/src/slopes/demand_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of the demand reports with the peers.
+//! The probe of the demand reports by the number of peers.
 
 use azureway_core::admit::{Demand, LimitShare};
 use azureway_core::prelude::*;
@@ -18,7 +18,7 @@
 const MESSAGES: u32 = 50;
 
 impl Probe for DemandProbe {
-    const UNIT: &'static str = "peer that tells of 350 accounts";
+    const UNIT: &'static str = "peer that reports on 350 accounts";
     const OPERATION: &'static str = "take in one peer's demand";
     const SIZES: [u64; 3] = [8, 60, 360];
 
--- a/azureway-dev/src/slopes/document_probe.rs
+++ b/azureway-dev/src/slopes/document_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of the configuration document with its servers.
+//! The probe of the configuration document by the number of backend servers.
 
 use azureway_core::prelude::*;
 
@@ -16,7 +16,7 @@
 
 impl Probe for DocumentProbe {
     const UNIT: &'static str = "server in the document";
-    const OPERATION: &'static str = "parse and adopt a changed document";
+    const OPERATION: &'static str = "parse and apply a changed document";
     const SIZES: [u64; 3] = [100, 400, 1_600];
 
     fn measure(size: u64) -> Sample {
--- a/azureway-dev/src/slopes/heap.rs
+++ b/azureway-dev/src/slopes/heap.rs
@@ -1,4 +1,4 @@
-//! The heap memory of the process.
+//! Counts the heap memory of the process, from which the probes compute growth.
 
 use std::alloc::System;
 
--- a/azureway-dev/src/slopes/heartbeat_probe.rs
+++ b/azureway-dev/src/slopes/heartbeat_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of a heartbeat with its member updates.
+//! The probe of a heartbeat by the number of its member updates.
 
 use azureway_wire::peer::Heartbeat;
 use prost::Message;
--- a/azureway-dev/src/slopes/in_flight_probe.rs
+++ b/azureway-dev/src/slopes/in_flight_probe.rs
@@ -1,10 +1,11 @@
-//! Growth of an entry's state with the requests in flight.
+//! The probe of an entry instance's state by the number of requests in flight.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
-/// Measures the state of an entry and the time to route a request by the requests in flight.
+/// Measures the state of an entry instance and the time to route a request by the requests in
+/// flight.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightProbe;
 
--- a/azureway-dev/src/slopes/lookup_probe.rs
+++ b/azureway-dev/src/slopes/lookup_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of the cache lookup time with the cached blocks.
+//! The probe of the cache lookup time by the number of cached blocks.
 
 use std::hint::black_box;
 
--- a/azureway-dev/src/slopes/membership_probe.rs
+++ b/azureway-dev/src/slopes/membership_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of the membership state with the known peers.
+//! The probe of the membership state by the number of known peers.
 
 use azureway_core::prelude::*;
 
--- a/azureway-dev/src/slopes/probe.rs
+++ b/azureway-dev/src/slopes/probe.rs
@@ -1,4 +1,4 @@
-//! The interface of a scaling measurement.
+//! The trait of the scaling measurements, which the `slopes` table is made of.
 
 use std::time::Instant;
 
--- a/azureway-dev/src/slopes/queue_probe.rs
+++ b/azureway-dev/src/slopes/queue_probe.rs
@@ -1,4 +1,4 @@
-//! Growth of the queue with the waiting requests.
+//! The probe of the queue by the number of waiting requests.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
@@ -15,7 +15,7 @@
 const ACCOUNTS: usize = 350;
 
 impl Probe for QueueProbe {
-    const UNIT: &'static str = "request that waits";
+    const UNIT: &'static str = "queued request";
     const OPERATION: &'static str = "admit one and take the next";
     const SIZES: [u64; 3] = [400, 1_000, 2_000];
 
--- a/azureway-dev/src/slopes/sample.rs
+++ b/azureway-dev/src/slopes/sample.rs
@@ -1,4 +1,4 @@
-//! One measurement by a probe.
+//! What a probe measures at one size.
 
 /// One measurement by a probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/azureway-dev/src/slopes/server_probe.rs
+++ b/azureway-dev/src/slopes/server_probe.rs
@@ -1,11 +1,11 @@
-//! Growth of an entry's state with the backend servers of a pool.
+//! The probe of an entry instance's state by the number of backend servers in a pool.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
 use crate::bench::{FleetSize, RouterFixture};
 
-/// Measures the state of an entry and the time to route a request by the number of servers to
-/// choose from.
+/// Measures the state of an entry instance and the time to route a request by the number of servers
+/// to choose from.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerProbe;
 
--- a/azureway-dev/src/slopes/slope.rs
+++ b/azureway-dev/src/slopes/slope.rs
@@ -1,4 +1,4 @@
-//! The growth per unit, fitted to samples.
+//! Fits the growth per unit to the samples of a probe.
 
 use super::Sample;
 
--- a/azureway-dev/src/trace/header.rs
+++ b/azureway-dev/src/trace/header.rs
@@ -1,4 +1,4 @@
-//! The header of a trace.
+//! The header of a trace, and the fleet that it describes.
 
 use std::fmt;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 pub struct Header {
     /// The seed of the random choices of a replay.
     pub seed: u64,
-    /// The names of the availability zones; the entry runs in the first.
+    /// The names of the availability zones; the replayed entry runs in the first.
     pub zones: Vec<String>,
     /// The region of each zone, in the order of `zones`.
     pub regions: Vec<String>,
--- a/azureway-dev/src/trace/peer_request.rs
+++ b/azureway-dev/src/trace/peer_request.rs
@@ -1,4 +1,4 @@
-//! A request that another entry sends to an engine.
+//! The requests of other entries, which load the engines of a replay.
 
 use std::fmt;
 
--- a/azureway-dev/src/trace/prompt_levels.rs
+++ b/azureway-dev/src/trace/prompt_levels.rs
@@ -1,4 +1,4 @@
-//! The shared prompt levels of a trace.
+//! Builds the block chains of prompts from the levels that they share.
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/azureway-dev/src/trace/record.rs
+++ b/azureway-dev/src/trace/record.rs
@@ -1,4 +1,4 @@
-//! A record of a trace.
+//! What happens at one point in time of a trace.
 
 use std::fmt;
 
--- a/azureway-dev/src/trace/recorded.rs
+++ b/azureway-dev/src/trace/recorded.rs
@@ -1,4 +1,4 @@
-//! A complete trace.
+//! A parsed or generated trace.
 
 use std::fmt;
 
--- a/azureway-dev/src/trace/trace_request.rs
+++ b/azureway-dev/src/trace/trace_request.rs
@@ -1,4 +1,4 @@
-//! A request of a trace.
+//! The description of one request in a trace.
 
 use std::fmt;
 
--- a/azureway-dev/src/trace/work_kind.rs
+++ b/azureway-dev/src/trace/work_kind.rs
@@ -1,4 +1,4 @@
-//! The kind of work that a request asks for.
+//! The kinds of work in a trace, which determine rank and repeatability.
 
 use std::fmt;
 
--- a/azureway-dev/tests/engine.rs
+++ b/azureway-dev/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Tests that the simulated engine meets the contract on which the entry relies.
+//! Tests that the simulated engine meets the contract on which entry instances rely.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/azureway-dev/tests/listed.rs
+++ b/azureway-dev/tests/listed.rs
@@ -11,8 +11,8 @@
 use googletest::prelude::*;
 use support::{KEY, TEST_TIMEOUT, system};
 
-/// An entry started while the list names the only plain service instance as leaving sends it no
-/// request.
+/// An entry instance must send no request to a plain service that the list names as leaving, even
+/// if it is the only one.
 #[gtest]
 fn plain_service_listed_as_leaving_gets_no_requests() {
     let system = system(1, Duration::ZERO, &Bounds::new());
@@ -20,7 +20,8 @@
     system.platform.seed("instance", "kranj-a-till", body);
     let (instance, zone) = (InstanceId::new("late"), ZoneId::new("kranj-a"));
     let settings = EntrySettings::new(instance, zone, system.platform_address());
-    // The entry reads the list before the document, so the first configuration includes it.
+    // The entry instance reads the list before the document, so the first configuration includes
+    // it.
     let entry = Entry::start(&settings).expect("the entry starts");
     entry.wait_ready();
     let url = format!("http://{}/services/orders/new", entry.address());
--- a/azureway-dev/tests/once.rs
+++ b/azureway-dev/tests/once.rs
@@ -1,5 +1,5 @@
-//! Tests over sockets that a call runs at most once, with entries in two zones, the platform and a
-//! plain service.
+//! Tests over sockets that a call runs at most once, with entry instances in two zones, the
+//! platform and a plain service.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
--- a/azureway-dev/tests/orders.rs
+++ b/azureway-dev/tests/orders.rs
@@ -12,7 +12,7 @@
 use googletest::prelude::*;
 use support::{TEST_TIMEOUT, chat, post};
 
-/// Sends an order to an engine and returns the status of the answer.
+/// Sends an order to an engine and returns the response status.
 fn send_order(engine: &HttpServer, weights: u64, fencing: u64) -> u16 {
     let url = format!("http://{}/v1/orders", engine.address());
     let body = format!(r#"{{"weights":{weights},"fencing":{fencing},"config":1}}"#);
--- a/azureway-dev/tests/outage.rs
+++ b/azureway-dev/tests/outage.rs
@@ -1,4 +1,4 @@
-//! Tests of a platform outage: running entries go on serving, and refusals state truthfully
+//! Tests of a platform outage: running entry instances go on serving, and refusals state truthfully
 //! whether the request ran.
 
 mod support;
@@ -19,7 +19,7 @@
     }
 }
 
-/// Sends a chat request to an entry and returns the status and body of the answer.
+/// Sends a chat request to an entry instance and returns the response status and body.
 fn send_chat(entry: &Entry) -> (u16, String) {
     let url = format!("http://{}/v1/chat/completions", entry.address());
     let request = minreq::post(url).with_timeout(support::TEST_TIMEOUT.as_secs());
--- a/azureway-dev/tests/path.rs
+++ b/azureway-dev/tests/path.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole request path over sockets: caller, entry and simulated server.
+//! Tests of the whole request path over sockets: caller, entry instance and simulated server.
 
 mod support;
 
--- a/azureway-dev/tests/support/mod.rs
+++ b/azureway-dev/tests/support/mod.rs
@@ -77,7 +77,7 @@
 /// Sends bytes, closes the sending side if `shut`, and returns the text of the answer.
 pub fn exchange(system: &System, bytes: &[u8], shut: bool) -> String {
     let mut stream = open(system);
-    // The entry may refuse the request and close before all bytes are sent.
+    // The entry instance may refuse the request and close before all bytes are sent.
     let _ = stream.write_all(bytes);
     if shut {
         let _ = stream.shutdown(Shutdown::Write);
