--- a/azureway-dev/src/engine/engine_service.rs
+++ b/azureway-dev/src/engine/engine_service.rs
@@ -140,7 +140,7 @@
             self.import_blocks(from, &chain, &metadata);
         }
         let Some(accepted) = self.accept(&metadata, &chain) else {
-            return Reply::text(request, 409, "the incarnation or the weights are others");
+            return Reply::text(request, 409, "the incarnation or the weights differ");
         };
         match EventWriter::new(request, &metadata.attempt_id) {
             Ok(writer) => {
