--- a/azureway-entry/src/admin/admin_duty.rs
+++ b/azureway-entry/src/admin/admin_duty.rs
@@ -1,4 +1,4 @@
-//! The duty that serves the operators' interface.
+//! Serving of the operators' interface: status, explanations and drain requests.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     handles: AdminHandles,
 }
 
-/// The timeout of the other duties' replies.
+/// How long an operator's request waits for each reply of another duty before it fails.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// The maximum size of a request body, in bytes.
 const BODY_MAX: u64 = 4 * 1024 * 1024;
--- a/azureway-entry/src/admin/admin_error.rs
+++ b/azureway-entry/src/admin/admin_error.rs
@@ -1,4 +1,4 @@
-//! The error of an operator's request.
+//! The reasons why an operator's request fails, with the HTTP status of each.
 
 use std::fmt;
 
--- a/azureway-entry/src/admin/admin_handles.rs
+++ b/azureway-entry/src/admin/admin_handles.rs
@@ -1,4 +1,4 @@
-//! The handles of the operators' interface to the daemon.
+//! What the operators' interface needs of the daemon: identity, key and rings.
 
 use azureway_core::prelude::{InstanceId, KeyHash, ZoneId};
 use flume::Sender;
@@ -10,9 +10,9 @@
 /// The handles of the operators' interface to the daemon, and the daemon's identity.
 #[derive(Clone, Debug)]
 pub struct AdminHandles {
-    /// The id of the instance.
+    /// The ID of the entry instance.
     pub instance: InstanceId,
-    /// The availability zone of the instance.
+    /// The availability zone of the entry instance.
     pub zone: ZoneId,
     /// The digest of the operators' key, if one is required.
     pub operator_key: Option<KeyHash>,
@@ -22,7 +22,7 @@
     pub decide: Sender<DecideMessage>,
     /// Signalled when an operator wants the daemon to shut down.
     pub shutdown: Sender<()>,
-    /// The generator of request ids.
+    /// The generator of request IDs.
     pub ids: RequestIds,
     /// The clock of the daemon.
     pub clock: Clock,
--- a/azureway-entry/src/admin/explainer.rs
+++ b/azureway-entry/src/admin/explainer.rs
@@ -1,4 +1,4 @@
-//! Explanations of routing decisions.
+//! Explanations of routing decisions for operators, without running a request.
 
 use std::time::Duration;
 
--- a/azureway-entry/src/admit/admitted_request.rs
+++ b/azureway-entry/src/admit/admitted_request.rs
@@ -1,4 +1,4 @@
-//! A request that was admitted.
+//! What the admitting duty hands to the deciding duty for each request.
 
 use azureway_core::prelude::Request;
 use flume::Sender;
--- a/azureway-entry/src/admit/call.rs
+++ b/azureway-entry/src/admit/call.rs
@@ -1,4 +1,4 @@
-//! An HTTP call of a caller.
+//! What a caller's connection hands to the admitting duty: a complete HTTP call.
 
 use azureway_core::prelude::{RequestId, Timestamp};
 use flume::Sender;
@@ -8,11 +8,11 @@
 /// An HTTP call of a caller, completely read and within the size limits.
 #[derive(Debug)]
 pub struct Call {
-    /// The identity that is assigned to its request.
+    /// The ID that is assigned to its request.
     pub id: RequestId,
     /// The request line and the headers.
     pub head: Head,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
     /// The time at which the call arrived.
     pub arrived: Timestamp,
--- a/azureway-entry/src/admit/chat_calls.rs
+++ b/azureway-entry/src/admit/chat_calls.rs
@@ -1,4 +1,4 @@
-//! The reader for the chat-completions interface and plain services.
+//! Admission of calls in the product's own interface, as opposed to calls on a site's routes.
 
 use azureway_core::prelude::{AccountId, Fleet, Refusal, RefusalReason, Request};
 
--- a/azureway-entry/src/admit/explain_call.rs
+++ b/azureway-entry/src/admit/explain_call.rs
@@ -1,4 +1,4 @@
-//! A query for the servers that a request could be sent to.
+//! Operators' queries about routing, as the admitting duty receives them.
 
 use azureway_core::prelude::{AccountId, Refusal, Request, RouteOption};
 use flume::Sender;
--- a/azureway-entry/src/admit/message.rs
+++ b/azureway-entry/src/admit/message.rs
@@ -1,4 +1,4 @@
-//! The messages to the admitting duty.
+//! The input of the admitting duty: calls, configurations and operators' queries.
 
 use std::sync::Arc;
 
--- a/azureway-entry/src/admit/read_call.rs
+++ b/azureway-entry/src/admit/read_call.rs
@@ -1,4 +1,4 @@
-//! Reading of calls into requests.
+//! The part of admission that differs between interfaces: reading calls into requests.
 
 use azureway_core::prelude::{AccountId, Fleet, Refusal, Request};
 
--- a/azureway-entry/src/admit/reader.rs
+++ b/azureway-entry/src/admit/reader.rs
@@ -1,4 +1,4 @@
-//! The reader of one call.
+//! Authentication and parsing of chat-completions calls and plain-service calls.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::{Call, UpstreamRequest};
 
-/// Reads a call against the configuration in effect.
+/// Reads one call against the configuration in effect.
 #[derive(Debug)]
 pub struct CallReader<'a> {
     fleet: &'a Fleet,
@@ -20,7 +20,7 @@
 const CHAT_PATH: &str = "/v1/chat/completions";
 /// The path prefix of plain services, which the name of the service follows.
 const PLAIN_PREFIX: &str = "/services/";
-/// The assumed maximum length of an answer if the caller sets none.
+/// The number of output tokens that admission charges for a request without `max_tokens`.
 const DEFAULT_OUTPUT: TokenCount = TokenCount::new(512);
 
 impl<'a> CallReader<'a> {
@@ -29,7 +29,7 @@
         Self { fleet, call }
     }
 
-    /// Returns the request with identity `id`, and the bytes to send to a backend server.
+    /// Returns the request with ID `id`, and the bytes to send to a backend server.
     ///
     /// # Errors
     ///
--- a/azureway-entry/src/admit/request_ids.rs
+++ b/azureway-entry/src/admit/request_ids.rs
@@ -1,29 +1,29 @@
-//! The generator of request identities.
+//! Request IDs that differ between requests and between processes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use azureway_core::prelude::RequestId;
 
-/// Generates the identities of the requests of this process. Clones share one sequence.
+/// Generates the IDs of the requests of this process. Clones share one sequence.
 #[derive(Clone, Debug)]
 pub struct RequestIds {
-    entry: u64,
+    process_id: u64,
     sequence: Arc<AtomicU64>,
 }
 
 impl RequestIds {
-    /// Creates the generator of the process with the number `entry`.
-    pub fn new(entry: u64) -> Self {
+    /// Creates the generator of a process. `process_id` must differ between processes.
+    pub fn new(process_id: u64) -> Self {
         Self {
-            entry,
+            process_id,
             sequence: Arc::default(),
         }
     }
 
-    /// Returns the next identity.
+    /// Returns the next ID.
     pub fn next(&self) -> RequestId {
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-        RequestId::new(self.entry, sequence)
+        RequestId::new(self.process_id, sequence)
     }
 }
--- a/azureway-entry/src/admit/upstream_request.rs
+++ b/azureway-entry/src/admit/upstream_request.rs
@@ -1,4 +1,4 @@
-//! A request as it is sent to a backend server.
+//! What an attempt sends to a backend server, apart from the routing decision.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     pub account: AccountId,
     /// The idempotency key, by which the backend server may detect duplicates itself.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The body.
+    /// The request body.
     pub body: Arc<[u8]>,
     /// The parts that are forwarded unchanged, if the request arrived on a configured route.
     pub passthrough: Option<Passthrough>,
--- a/azureway-entry/src/caller/answer.rs
+++ b/azureway-entry/src/caller/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to one request on its connection.
+//! Writing of the answer to a caller while attempts start, fail and complete.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -21,7 +21,8 @@
 }
 
 impl<'a> Answer<'a> {
-    /// Creates the answer to a caller. The first attempt says whether the caller asked for a stream.
+    /// Creates the answer to a caller. The update about the first attempt tells whether the caller
+    /// asked for a stream.
     pub fn new(stream: &'a TcpStream) -> Self {
         let completion = CompletionBuilder::new();
         Self {
@@ -145,7 +146,7 @@
         self.write(&format!("event: error\ndata: {body}\n\n"))
     }
 
-    /// Writes text as one HTTP chunk, preceded by the head if it is the first.
+    /// Writes text as one HTTP chunk, preceded by the response head if it is the first.
     fn write(&mut self, text: &str) -> io::Result<()> {
         if self.writer.is_none() {
             self.writer = Some(self.responder().start_stream()?);
--- a/azureway-entry/src/caller/answer_chunk.rs
+++ b/azureway-entry/src/caller/answer_chunk.rs
@@ -1,4 +1,4 @@
-//! Chunks of an answer.
+//! What the thread of an attempt sends to the caller's connection.
 
 use azureway_core::prelude::StreamPosition;
 
@@ -9,9 +9,9 @@
 pub enum AnswerChunk {
     /// The data of an event and its position in the stream.
     Event(StreamPosition, Box<str>),
-    /// A complete answer: status, media type and body.
+    /// A complete answer: response status, media type and body.
     Complete(u16, Box<str>, Vec<u8>),
-    /// The head of a stream whose bytes are forwarded unchanged.
+    /// The response head of a stream whose bytes are forwarded unchanged.
     StreamHead(Box<AnswerHead>),
     /// Bytes of complete events of such a stream.
     StreamBytes(Vec<u8>),
--- a/azureway-entry/src/caller/bad_input.rs
+++ b/azureway-entry/src/caller/bad_input.rs
@@ -1,4 +1,4 @@
-//! Errors in reading a request.
+//! The reasons why a request cannot be read, and the refusal for each.
 
 use azureway_core::prelude::{Refusal, RefusalReason};
 
@@ -9,7 +9,7 @@
     Closed,
     /// The head exceeds its size limit.
     HeadTooLarge,
-    /// The head is not that of an HTTP/1.1 request.
+    /// The bytes are not an HTTP/1.1 request head.
     BadHead,
     /// The length of the body is malformed, given twice or combined with chunked coding.
     BadLength,
--- a/azureway-entry/src/caller/completion_builder.rs
+++ b/azureway-entry/src/caller/completion_builder.rs
@@ -1,4 +1,4 @@
-//! Assembly of a stream into one chat completion.
+//! Non-streamed answers, assembled from the streams that model engines send.
 
 use azureway_wire::chat::UsageFrame;
 use serde_json::{Value, json};
--- a/azureway-entry/src/caller/connection.rs
+++ b/azureway-entry/src/caller/connection.rs
@@ -1,4 +1,4 @@
-//! The duty of a caller's connection.
+//! A caller's connection from its request to the answer, with health checks and metrics.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -21,12 +21,12 @@
     bounds: Bounds,
 }
 
-/// Time for which input is discarded after a malformed request is refused, so that a reset does
-/// not destroy the answer.
+/// How long input is discarded after a malformed request is refused. Without this, the close would
+/// reset the connection, and the caller could lose the answer.
 const DISCARD_TIME: Duration = Duration::from_secs(1);
-/// How long a write to a caller that accepts no bytes may block.
+/// How long a write may block because the caller accepts no bytes.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Capacity of the ring that carries the updates of a request to its connection.
+/// The capacity of the ring that carries the updates of a request to its connection.
 const UPDATE_RING: usize = 16;
 
 impl Connection {
--- a/azureway-entry/src/caller/head.rs
+++ b/azureway-entry/src/caller/head.rs
@@ -1,8 +1,8 @@
-//! The head of an HTTP request.
+//! Parsing of HTTP request heads.
 
 use super::BadInput;
 
-/// The head of an HTTP request.
+/// A request head: the method, the path and the headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// The method.
@@ -12,7 +12,7 @@
     headers: Vec<(Box<str>, Box<str>)>,
 }
 
-/// Most headers that a request may have.
+/// The largest number of headers that a request may have.
 const MAX_HEADERS: usize = 64;
 
 impl Head {
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are not the head of an HTTP/1.1 request, or if it has too many
+    /// Returns an error if the bytes are not an HTTP/1.1 request head, or if it has too many
     /// headers.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, BadInput> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
--- a/azureway-entry/src/caller/head_reader.rs
+++ b/azureway-entry/src/caller/head_reader.rs
@@ -11,7 +11,7 @@
     limit: usize,
 }
 
-/// Most bytes that one call reads.
+/// The largest number of bytes that one read call returns.
 const READ_SIZE: usize = 4 * 1024;
 
 impl HeadReader {
--- a/azureway-entry/src/caller/listener.rs
+++ b/azureway-entry/src/caller/listener.rs
@@ -21,7 +21,7 @@
     stop: Arc<AtomicBool>,
 }
 
-/// Stack size of a connection's thread, in bytes.
+/// The stack size of a connection's thread, in bytes.
 const STACK_SIZE: usize = 128 * 1024;
 
 impl Listener {
--- a/azureway-entry/src/caller/responder.rs
+++ b/azureway-entry/src/caller/responder.rs
@@ -57,7 +57,7 @@
         self.send(status_of(refusal.reason), JSON, &body, &retry_after)
     }
 
-    /// Writes the head of an event stream and returns the writer of its events.
+    /// Writes the response head of an event stream and returns the writer of its events.
     ///
     /// # Errors
     ///
--- a/azureway-entry/src/claim/claim_client.rs
+++ b/azureway-entry/src/claim/claim_client.rs
@@ -1,4 +1,4 @@
-//! The deciding duty's client of the claiming threads.
+//! Submission of claim commands by the deciding duty, which must not wait for the platform.
 
 use azureway_core::prelude::{ClaimCommand, ClaimOutcome, RequestId, ShortAnswer};
 use flume::Sender;
@@ -24,15 +24,15 @@
         }
     }
 
-    /// Offers the answer of a request that has just finished, to be stored if the next command is
-    /// for its claim.
+    /// Keeps the answer of a request that has just finished. It is stored if the next command is
+    /// for the claim of this request, and dropped otherwise.
     pub fn offer_answer(&mut self, id: RequestId, answer: ShortAnswer) {
         self.offered = Some((id, answer));
     }
 
-    /// Submits a command. Returns its outcome at once if the ring is full, since decisions must
-    /// not wait: a claim that cannot be created is not granted, and one that cannot be closed
-    /// stays open.
+    /// Submits a command. Decisions must not wait, so if the ring is full, the command is dropped
+    /// and its outcome returned: a claim to create is not granted, and a claim to close stays
+    /// open at the platform.
     pub fn submit(&mut self, command: ClaimCommand) -> Option<ClaimOutcome> {
         let id = command.id();
         let rejected = match command {
--- a/azureway-entry/src/claim/claim_rings.rs
+++ b/azureway-entry/src/claim/claim_rings.rs
@@ -1,4 +1,4 @@
-//! The rings between the deciding duty and the claiming threads.
+//! The channels by which claiming threads receive tasks and detect the deciding duty's end.
 
 use flume::{Receiver, Sender};
 
--- a/azureway-entry/src/claim/claim_task.rs
+++ b/azureway-entry/src/claim/claim_task.rs
@@ -1,4 +1,4 @@
-//! A task for the claiming threads.
+//! What the deciding duty hands to a claiming thread.
 
 use azureway_core::prelude::{ClaimCommand, ShortAnswer};
 
--- a/azureway-entry/src/claim/claimer.rs
+++ b/azureway-entry/src/claim/claimer.rs
@@ -1,4 +1,4 @@
-//! The claiming duty, which carries out claim commands.
+//! The platform calls that create and close claims, with their retries.
 
 use std::time::Duration;
 
@@ -30,7 +30,8 @@
 const BACKOFF_CAP: Duration = Duration::from_millis(500);
 
 impl<A: ObjectApi> Claimer<A> {
-    /// Creates the duty. Different seeds spread out the retries of entries that fail together.
+    /// Creates the duty. With different seeds, entry instances whose calls fail together retry at
+    /// different times.
     pub fn new(
         api: A,
         rings: &ClaimRings,
@@ -96,7 +97,8 @@
         )
     }
 
-    /// Makes one call to the platform. Returns the outcome as an error if `step` is already one.
+    /// Makes the platform call of `step`. If `step` is an outcome rather than a call, returns it as
+    /// an error.
     fn call(&self, task: &ClaimTask, step: &ClaimStep) -> Result<ClaimReply, ClaimOutcome> {
         let (name, record) = match &task.command {
             ClaimCommand::Create(request) => (request.name, request.record()),
--- a/azureway-entry/src/claim/kind.rs
+++ b/azureway-entry/src/claim/kind.rs
@@ -1,4 +1,4 @@
-//! The kinds of the objects that store claims.
+//! Names of the platform's object kinds that hold claims, one for each shard.
 
 /// Returns the kind of the objects that store the claims of a shard.
 pub(super) fn kind_of(shard: u8) -> String {
--- a/azureway-entry/src/claim/sweeper.rs
+++ b/azureway-entry/src/claim/sweeper.rs
@@ -1,4 +1,4 @@
-//! The deletion of old claims.
+//! Deletion of old claims at the platform, which the ordering duty drives.
 
 use azureway_core::prelude::*;
 use azureway_objects::ObjectApi;
@@ -7,7 +7,8 @@
 
 use super::kind::kind_of;
 
-/// Deletes old claims, one call at a time. The entry that holds the lease of orders runs it.
+/// Deletes old claims, one call at a time. The entry instance that holds the lease of orders runs
+/// it.
 #[derive(Debug)]
 pub struct Sweeper<A> {
     api: A,
@@ -17,7 +18,8 @@
 }
 
 impl<A: ObjectApi> Sweeper<A> {
-    /// Creates a sweeper. `seed` selects the first shard, so that entries begin at different ones.
+    /// Creates a sweeper. `seed` selects the first shard, so that entry instances begin at
+    /// different ones.
     pub fn new(api: A, seed: u64) -> Self {
         let [first, ..] = seed.to_le_bytes();
         Self {
@@ -32,8 +34,8 @@
         self.sweep.due()
     }
 
-    /// Makes the next call, if it is due at `now`. `unix` is the current time in seconds since the
-    /// Unix epoch.
+    /// Makes the next platform call, if it is due at `now`. `unix` is the current time in seconds
+    /// since the Unix epoch.
     pub fn step(&mut self, now: Timestamp, unix: u64) {
         if now < self.sweep.due() {
             return;
--- a/azureway-entry/src/clock.rs
+++ b/azureway-entry/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the daemon.
+//! Time for decisions, which also counts while the machine is suspended.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/azureway-entry/src/daemon/entry.rs
+++ b/azureway-entry/src/daemon/entry.rs
@@ -1,4 +1,4 @@
-//! The entry daemon that serves the product's own interface.
+//! Start and shutdown of the daemon that serves the product's own interface.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -38,10 +38,11 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-/// Number of threads that call the platform for claims. With several, a slow call does not delay
-/// the others.
+/// The number of threads that call the platform for claims. With several, a slow call does not
+/// delay the others.
 const CLAIM_THREADS: u64 = 4;
-/// Timeout of a platform call for a claim, in seconds. The platform answers in milliseconds.
+/// The timeout of a platform call for a claim, in seconds. The platform normally answers in
+/// milliseconds.
 const CLAIM_TIMEOUT: u64 = 1;
 
 impl Entry {
--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -1,4 +1,4 @@
-//! The entry daemon that serves a site.
+//! Start and shutdown of the daemon that serves a site.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -33,43 +33,44 @@
     grace: Duration,
 }
 
-/// Timeout of a platform call, in seconds. The platform answers in milliseconds.
+/// The timeout of a platform call, in seconds. The platform normally answers in milliseconds.
 const CALL_TIMEOUT: u64 = 1;
-/// Time for which changes accumulate before the next watch call. A watch for each single change
-/// would cost a call each, and every bound on a change is seconds long.
+/// The delay before the next watch call, in which changes accumulate. Without it each change
+/// would cost a call of its own, and a change has seconds to come into force.
 const BATCH_DELAY: Duration = Duration::from_millis(200);
-/// Longest backoff before the platform is called again. Changes must be in force within seconds
-/// of its recovery.
+/// The longest backoff before the platform is called again. After it recovers, changes must be in
+/// force within seconds.
 const BACKOFF_CAP: Duration = Duration::from_millis(500);
-/// Capacity of the ring from the site watchers to the site duty, in updates.
+/// The capacity of the ring from the site watchers to the site duty, in updates.
 const SITE_RING: usize = 256;
-/// Time after the stop signal in which requests are still accepted. The balancer polls readiness
-/// each second and removes an instance after two failures. A request that arrives more than three
+/// How long requests are still accepted after the stop signal. The balancer polls readiness each
+/// second and removes an instance after two failures. A request that arrives more than three
 /// seconds after the signal has to end within the grace period.
 const ACCEPT_TIME: Duration = Duration::from_millis(2_900);
-/// Remainder of the grace period at which the last answers are abandoned.
+/// How long before the end of the grace period the last unfinished answers are abandoned.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
-/// Time for reading and refusing a request that arrives just as accepting ends.
+/// The time for reading and refusing a request that arrives at the end of the accepting time.
 const REFUSE_TIME: Duration = Duration::from_millis(50);
-/// Divisor of the lease term that gives the safety margin before expiry. Within the margin the
-/// holder issues no more orders; an order call takes less time than the margin.
+/// The divisor of the lease term that gives the safety margin before the lease expires. Within the
+/// margin the holder sends no more orders. An order call takes less time than the margin.
 const MARGIN_DIVISOR: u32 = 3;
 /// How long a request waits for a server of its own region while another region has a free one.
-/// This is short against every latency target, since the traffic costs less than being late.
+/// This is much shorter than every latency target, since a late answer costs more than the traffic
+/// to another region.
 const REMOTE_DELAY: Duration = Duration::from_millis(25);
-/// Prompt tokens whose traffic to another region costs as much as a second of delay. The traffic
-/// costs little compared with recomputing a prompt.
+/// The number of prompt tokens whose traffic to another region costs as much as a second of delay.
+/// The traffic costs little compared with recomputing a prompt.
 const TRAFFIC_RATE: TokenRate = TokenRate::new(100_000);
 /// How long a load of weights occupies its slot if its end is not reported. When many servers
-/// load at once, one load takes as long as several.
+/// load at once, each load takes several times as long as a single one.
 const SLOT_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Safety margin by which older weights are given up before a rollout's time limit, or before the
-/// limit applies to a process that has just started. A request may wait in a busy server before
-/// it begins.
+/// How long before a rollout's time limit the older weights are given up. For a process that has
+/// just started, the limit applies earlier by the same margin. It covers the time for which a
+/// request may wait in a busy server before it begins.
 const ROLLOUT_MARGIN: Duration = Duration::from_millis(2_000);
 
 impl Gateway {
-    /// Starts every duty of an entry that serves `site`.
+    /// Starts every duty of an entry instance that serves `site`.
     ///
     /// # Errors
     ///
--- a/azureway-entry/src/daemon/handles.rs
+++ b/azureway-entry/src/daemon/handles.rs
@@ -1,4 +1,4 @@
-//! The daemon's side of a caller's connection.
+//! What a caller's connection needs of the daemon: rings, clock and readiness.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/azureway-entry/src/daemon/parts.rs
+++ b/azureway-entry/src/daemon/parts.rs
@@ -11,7 +11,7 @@
 use crate::peer::PeerDuty;
 use crate::watch::SelectionNotifier;
 
-/// Starts the peer duty, which exchanges heartbeats with the other entries.
+/// Starts the peer duty, which exchanges heartbeats with the other entry instances.
 pub(super) fn spawn_peer(
     settings: &EntrySettings,
     rings: &Rings,
--- a/azureway-entry/src/daemon/rings.rs
+++ b/azureway-entry/src/daemon/rings.rs
@@ -1,4 +1,4 @@
-//! The rings between the duties.
+//! Creation of the rings between the duties, and the ends that each duty uses.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -58,8 +58,8 @@
     pub clock: Clock,
 }
 
-/// Capacity of the ring to the watching duty, in messages. They wait while a watch call blocks,
-/// which may take some seconds.
+/// The capacity of the ring to the watching duty, in messages. Messages wait there while a watch
+/// call blocks, which may take some seconds.
 const WATCH_RING: usize = 8;
 
 impl Rings {
--- a/azureway-entry/src/daemon/site.rs
+++ b/azureway-entry/src/daemon/site.rs
@@ -1,4 +1,4 @@
-//! The protocol of a site.
+//! What a site defines to be served: the protocols of its callers, servers and platform.
 
 use crate::exchange::BackendDialect;
 use crate::routed::CallerDialect;
--- a/azureway-entry/src/decide/daemon_status.rs
+++ b/azureway-entry/src/decide/daemon_status.rs
@@ -1,4 +1,4 @@
-//! A snapshot of the deciding duty's state.
+//! The deciding duty's state as operators and metric scrapes read it.
 
 use azureway_core::prelude::{ConfigVersion, Overview, ServerState, Timestamp};
 
@@ -7,7 +7,7 @@
 pub struct DaemonStatus {
     /// The time of the snapshot.
     pub at: Timestamp,
-    /// The counts over the whole state of the router.
+    /// The router's counts of requests, queues and claims.
     pub overview: Overview,
     /// The configuration version that was rejected as invalid, if it is newer than the one in
     /// effect.
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -147,8 +147,8 @@
         self.handle_event(Event::Started(attempt));
     }
 
-    /// Applies an update from other entry instances. After a round of heartbeats, hands over the
-    /// demand at this instance for the next round.
+    /// Applies an update from other entry instances. After a round of heartbeats, sends the demand
+    /// at this instance to the peer duty, for the next round.
     fn handle_peer_update(&mut self, update: &PeerUpdate) {
         self.handle_event(update.event());
         if let PeerUpdate::HeartbeatRound(_) = update {
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Answers a query. The send of the reply fails only if the asker is gone, since its ring has
-    /// room for one.
+    /// Answers a query. The reply's ring has room for one message, so sending fails only if the
+    /// asker no longer waits.
     fn answer_query(&mut self, query: Query) {
         match query {
             Query::AwaitVersion(version, reply) => {
--- a/azureway-entry/src/decide/message.rs
+++ b/azureway-entry/src/decide/message.rs
@@ -1,4 +1,4 @@
-//! The messages to the deciding duty.
+//! The input of the deciding duty, from connections, attempts, feeds, peers and the platform.
 
 use std::sync::Arc;
 
--- a/azureway-entry/src/decide/owned_cache_update.rs
+++ b/azureway-entry/src/decide/owned_cache_update.rs
@@ -1,4 +1,4 @@
-//! An owned run of consecutive cache events.
+//! Cache events on their way from a feed reader to the deciding duty.
 
 use azureway_core::prelude::{CacheOp, CacheUpdate, Incarnation, ServerId};
 
--- a/azureway-entry/src/decide/peer_update.rs
+++ b/azureway-entry/src/decide/peer_update.rs
@@ -1,4 +1,4 @@
-//! Updates from other entry instances.
+//! What the peer duty passes on to the deciding duty.
 
 use azureway_core::prelude::{Demand, Event, LoadNotice, ServerUpdate, Strike};
 
@@ -10,7 +10,7 @@
     /// A round of heartbeats was sent. This many entry instances are known in all availability
     /// zones.
     HeartbeatRound(u32),
-    /// Another entry instance reported the demand of client accounts there.
+    /// Another entry instance reported the demand of the client accounts that call it.
     Demand(Demand),
     /// Another entry instance reported a status change of a backend server.
     Server(ServerUpdate),
--- a/azureway-entry/src/decide/pending_request.rs
+++ b/azureway-entry/src/decide/pending_request.rs
@@ -1,4 +1,4 @@
-//! A request that is not finished, as the deciding duty holds it.
+//! What the deciding duty keeps of an unfinished request besides the router's state.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::caller::RequestUpdate;
 use crate::meter::{FinishedRequest, MetricEvent};
 
-/// A request that is not finished: the bytes and rings that the core never sees, and what logs
+/// The part of an unfinished request that the core never sees: its bytes, its ring, and what logs
 /// and metrics need.
 #[derive(Clone, Debug)]
 pub struct PendingRequest {
@@ -25,7 +25,7 @@
     pub arrived: Timestamp,
     /// The length of the prompt.
     pub prompt: TokenCount,
-    /// The key of the prompt prefix by which the request is placed.
+    /// The key of the prompt prefix by which the request is assigned to a server.
     pub prefix: PrefixKey,
     /// The client account that sent the request.
     pub account: AccountId,
--- a/azureway-entry/src/decide/pending_requests.rs
+++ b/azureway-entry/src/decide/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are not finished.
+//! Lookup of unfinished requests by ID, and the metric events of their progress.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
         self.requests.insert(request.id, pending);
     }
 
-    /// Returns the request with identity `id`.
+    /// Returns the request with ID `id`.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
--- a/azureway-entry/src/decide/query.rs
+++ b/azureway-entry/src/decide/query.rs
@@ -1,4 +1,4 @@
-//! The queries that the deciding duty answers.
+//! Read-only queries to the deciding duty, with the rings for their replies.
 
 use azureway_core::prelude::{ConfigVersion, Request};
 use flume::Sender;
--- a/azureway-entry/src/exchange/answer_head.rs
+++ b/azureway-entry/src/exchange/answer_head.rs
@@ -1,6 +1,6 @@
-//! The status line and headers of a backend server's answer.
+//! Parsing of the response heads of backend servers.
 
-/// The status line and headers of a backend server's answer.
+/// The response status and headers of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerHead {
     /// The status code.
@@ -11,16 +11,16 @@
     pub headers: Vec<(Box<str>, Box<str>)>,
 }
 
-/// The largest number of headers in an answer.
+/// The largest number of response headers.
 const MAX_HEADERS: usize = 64;
 
 impl AnswerHead {
-    /// Parses a head from the start of `bytes`. Returns it with its length in bytes, or `None` if
-    /// it is incomplete.
+    /// Parses a response head from the start of `bytes`. Returns it with its length in bytes, or
+    /// `None` if it is incomplete.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes are not the head of an HTTP/1.1 answer.
+    /// Returns an error if the bytes are not an HTTP/1.1 response head.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, httparse::Error> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut answer = httparse::Response::new(&mut headers);
--- a/azureway-entry/src/exchange/answer_metadata.rs
+++ b/azureway-entry/src/exchange/answer_metadata.rs
@@ -1,4 +1,4 @@
-//! The metadata of an answer.
+//! What a site's headers say of an answer: signature, rejection, load and weights.
 
 use azureway_core::prelude::WeightsVersion;
 
--- a/azureway-entry/src/exchange/backend_dialect.rs
+++ b/azureway-entry/src/exchange/backend_dialect.rs
@@ -1,4 +1,4 @@
-//! The request and answer headers of a site's backend servers.
+//! The part of the exchange in which sites differ: the headers to and from backend servers.
 
 use std::time::Duration;
 
@@ -7,9 +7,10 @@
 use super::{AnswerHead, AnswerMetadata};
 use crate::admit::UpstreamRequest;
 
-/// The site's own headers in requests to backend servers and in their answers.
+/// The site's own request headers to backend servers and response headers from them.
 pub trait BackendDialect: Clone + Send + 'static {
-    /// Appends the headers of an attempt to `out`, one a line. The caller waits for `left`.
+    /// Appends the headers of an attempt to `out`, one a line. `left` is the time for which the
+    /// caller still waits.
     fn write_headers(
         &self,
         dispatch: &Dispatch,
--- a/azureway-entry/src/exchange/body_stream.rs
+++ b/azureway-entry/src/exchange/body_stream.rs
@@ -1,4 +1,4 @@
-//! A reader of an answer's body.
+//! Reading of response bodies, in which a body that is cut short is an error.
 
 use std::io::{self, BufReader, Read, Take};
 use std::net::TcpStream;
--- a/azureway-entry/src/exchange/connection.rs
+++ b/azureway-entry/src/exchange/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a backend server.
+//! Sending and receiving over one connection to a backend server, with timeouts.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -24,7 +24,7 @@
     .with_interval(Duration::from_secs(1));
 /// The size of the read buffer, in bytes.
 const READ_SIZE: usize = 8 * 1024;
-/// The largest head of an answer, in bytes.
+/// The maximum size of a response head, in bytes.
 const MAX_HEAD_SIZE: usize = 64 * 1024;
 
 impl BackendConnection {
@@ -48,7 +48,7 @@
         self.reader.get_ref()
     }
 
-    /// Sends a `GET` request and returns the head and the body of the answer, read into memory.
+    /// Sends a `GET` request and returns the response head and the body, read into memory.
     ///
     /// # Errors
     ///
@@ -84,12 +84,12 @@
         self.stream().set_read_timeout(Some(nonzero(limit)))
     }
 
-    /// Reads the head of the next final answer and skips interim (1xx) ones.
+    /// Reads the response head of the next final answer and skips interim (1xx) ones.
     ///
     /// # Errors
     ///
-    /// Returns an error if no whole head is received, of the kind `UnexpectedEof` if the connection
-    /// closed before its first byte.
+    /// Returns an error if no complete response head is received. Its kind is `UnexpectedEof` if
+    /// the connection closed before the first byte.
     pub fn read_head(&mut self) -> io::Result<AnswerHead> {
         loop {
             let head = self.next_head()?;
@@ -119,14 +119,14 @@
                     return Ok(head);
                 }
                 None if bytes.len() > MAX_HEAD_SIZE => {
-                    return Err(io::Error::other("the head of the answer is too large"));
+                    return Err(io::Error::other("the response head is too large"));
                 }
                 None => self.reader.consume(count),
             }
         }
     }
 
-    /// Returns a reader of the body that follows a head.
+    /// Returns a reader of the body that follows a response head.
     pub fn body(&mut self, framing: Framing) -> BodyStream<'_> {
         BodyStream::new(framing, &mut self.reader)
     }
--- a/azureway-entry/src/exchange/eof_as_error.rs
+++ b/azureway-entry/src/exchange/eof_as_error.rs
@@ -1,4 +1,4 @@
-//! A reader that reports the end of its source as an error.
+//! Detection of response bodies that are cut short.
 
 use std::io::{self, Read};
 
--- a/azureway-entry/src/exchange/exchange_attempt.rs
+++ b/azureway-entry/src/exchange/exchange_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request whose bytes are forwarded unchanged.
+//! One attempt of the exchange, from taking a connection to reporting the outcome.
 
 use std::io::{self, Read};
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     pub chunks: Sender<AnswerChunk>,
     /// The ring to the deciding duty.
     pub decide: Sender<DecideMessage>,
-    /// The headers of the site's backend servers.
+    /// The dialect that writes and reads the headers of the site's backend servers.
     pub dialect: D,
     /// The idle connections to backend servers.
     pub pool: ConnectionPool,
@@ -63,7 +63,8 @@
                 cached: TokenCount::ZERO,
                 output: self.output,
             }),
-            // The caller's connection, or whoever cancelled the attempt, has reported this.
+            // No report is needed: a disconnect is reported by the caller's connection, and whoever
+            // cancelled the attempt has reported why.
             Err(_) if self.handle.is_cancelled() => return,
             Err(AttemptError::CallerDisconnected) => return,
             Err(AttemptError::Server(kind, sent)) => self.failure_message(kind, sent),
--- a/azureway-entry/src/exchange/framing.rs
+++ b/azureway-entry/src/exchange/framing.rs
@@ -1,4 +1,4 @@
-//! The message framing of an answer's body.
+//! Where the body of an answer ends, as its response head determines.
 
 use super::AnswerHead;
 
@@ -14,8 +14,8 @@
 }
 
 impl Framing {
-    /// Returns the framing of the answer to a request with `method`, or `None` if the head is
-    /// ambiguous.
+    /// Returns the framing of the answer to a request with `method`, or `None` if the response head
+    /// is ambiguous.
     pub fn from_head(head: &AnswerHead, method: &str) -> Option<Self> {
         if method == "HEAD" || matches!(head.status, 204 | 304) {
             return Some(Self::Sized(0));
--- a/azureway-entry/src/exchange/idle_connection.rs
+++ b/azureway-entry/src/exchange/idle_connection.rs
@@ -1,4 +1,4 @@
-//! An idle connection in the pool.
+//! What the pool keeps of a connection between two requests.
 
 use std::time::Instant;
 
@@ -11,6 +11,6 @@
     pub connection: BackendConnection,
     /// When the connection became idle.
     pub idle_since: Instant,
-    /// When the connection is no longer used, since the server may close it.
+    /// From when on the connection is no longer used, since the server may close it.
     pub expires: Instant,
 }
--- a/azureway-entry/src/exchange/launcher.rs
+++ b/azureway-entry/src/exchange/launcher.rs
@@ -1,4 +1,4 @@
-//! Starting the attempts of the exchange.
+//! Starting and cancelling the attempts of the exchange.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Weak};
--- a/azureway-entry/src/exchange/pool.rs
+++ b/azureway-entry/src/exchange/pool.rs
@@ -1,4 +1,4 @@
-//! A pool of idle connections to backend servers.
+//! Reuse of connections to backend servers between requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,8 +33,9 @@
         }
     }
 
-    /// Removes and returns a usable connection to a server, if there is one. With `once`, the
-    /// request may run only once, and the connection is one that was in use within the last second.
+    /// Removes and returns a usable connection to a server, if there is one. With `once`, for a
+    /// request that may run only once, it returns a connection that was idle for less than
+    /// `MAX_IDLE_ONCE`.
     pub fn take(&self, address: SocketAddr, once: bool) -> Option<BackendConnection> {
         let now = Instant::now();
         loop {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Stores a connection on which `head` was the last answer, if it can be reused.
+    /// Stores a connection if it can be reused. `head` is the last response head received on it.
     pub fn put(&self, address: SocketAddr, connection: BackendConnection, head: &AnswerHead) {
         if head.closes_connection() || !connection.is_reusable() {
             return;
--- a/azureway-entry/src/exchange/send_request.rs
+++ b/azureway-entry/src/exchange/send_request.rs
@@ -1,4 +1,4 @@
-//! Sending the request of an attempt and receiving the head of its answer.
+//! Sending the request of an attempt and receiving the response head.
 
 use std::fmt::Write as _;
 use std::io;
@@ -13,7 +13,8 @@
 
 /// The read timeout is at least this multiple of the expected time to the first token.
 const TTFT_FACTOR: u32 = 4;
-/// How many answers may be read on one connection in search of the one to this attempt.
+/// The largest number of answers read on one connection. An answer to another request is skipped
+/// in search of the one to this attempt.
 const MAX_ANSWERS: u32 = 4;
 /// How long to wait for an early answer from a server that stopped reading the request.
 const EARLY_ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
@@ -21,7 +22,7 @@
 const LAST_EVENT_ID: &str = "last-event-id";
 
 impl<D: BackendDialect> ExchangeAttempt<D> {
-    /// Sends the request and returns the connection with the head of its answer.
+    /// Sends the request and returns the connection with the response head.
     pub(super) fn send_request(
         &self,
         passthrough: &Passthrough,
@@ -62,7 +63,7 @@
         }
         let left = self.time_left(passthrough);
         let last = self.dispatch.attempt.number >= passthrough.max_attempts;
-        // A busy server may be silent for long and still work on the request: sending it to
+        // A busy server may be silent for long and still work on the request. Sending it to
         // another one as well would double the work when the load is highest.
         let timeout = passthrough
             .read_timeout
@@ -103,7 +104,7 @@
         passthrough.deadline.since(self.clock.now())
     }
 
-    /// Returns the bytes of the request. The caller waits for `left`.
+    /// Returns the bytes of the request. `left` is the time for which the caller still waits.
     fn encode(&self, passthrough: &Passthrough, left: Duration) -> Vec<u8> {
         let upstream = &self.upstream;
         let mut head = format!("{} {} HTTP/1.1\r\n", upstream.method, upstream.path);
@@ -129,7 +130,7 @@
     }
 }
 
-/// Returns the head with `connection: close`, so that the connection is not reused.
+/// Returns the response head with `connection: close`, so that the connection is not reused.
 fn with_connection_close(mut head: AnswerHead) -> AnswerHead {
     head.headers
         .retain(|(n, _)| !n.eq_ignore_ascii_case("connection"));
--- a/azureway-entry/src/feed/feed_batch.rs
+++ b/azureway-entry/src/feed/feed_batch.rs
@@ -7,14 +7,14 @@
 pub struct FeedBatch {
     /// The incarnation of the server, if the feed names it.
     pub incarnation: Option<Incarnation>,
-    /// A number that changes when the server restarts.
+    /// A number that changes whenever the server restarts.
     pub epoch: u64,
     /// The position from which the next poll continues.
     pub next: u64,
-    /// The number of the first cache event. It is `None` if the server's numbers have gaps; the
-    /// events then count as following the previous ones.
+    /// The sequence number of the first cache event. It is `None` if the server's numbers have
+    /// gaps; the reader then numbers the events in the order of their arrival.
     pub first: Option<u64>,
-    /// Whether events before these are known to be lost.
+    /// Whether events that precede this batch are known to be lost.
     pub lost: bool,
     /// Whether the events are a full snapshot of the cache.
     pub snapshot: bool,
--- a/azureway-entry/src/feed/feed_reader.rs
+++ b/azureway-entry/src/feed/feed_reader.rs
@@ -1,4 +1,4 @@
-//! The reader of one backend server's feed.
+//! The thread that polls one backend server for load reports and cache events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -83,12 +83,12 @@
         if batch.epoch != self.epoch {
             let restarted = self.epoch != 0;
             self.epoch = batch.epoch;
-            // After lost events the numbering starts at 1, so that the cache's content counts as
-            // unknown.
+            // After lost events the numbering starts at 1 instead of 0, by which the core knows
+            // that the cache may hold content that no event reported.
             self.next_event = u64::from(batch.lost);
             if restarted && batch.first.is_none() {
-                // The platform's list may not show the new incarnation yet. An empty snapshot
-                // drops the cache content of the previous one.
+                // The server restarted, but the platform's list may still show the previous
+                // incarnation. An empty snapshot drops the cache content of that incarnation.
                 self.send_update(incarnation, true, Vec::new(), 0);
             }
         }
--- a/azureway-entry/src/feed/feed_readers.rs
+++ b/azureway-entry/src/feed/feed_readers.rs
@@ -1,4 +1,4 @@
-//! The threads that read the feeds of backend servers.
+//! Starting and stopping one feed reader for each model engine of the configuration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/azureway-entry/src/feed/feed_source.rs
+++ b/azureway-entry/src/feed/feed_source.rs
@@ -1,4 +1,4 @@
-//! The transport over which feeds are polled.
+//! The transport of feeds, which differs between kinds of backend servers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use super::FeedBatch;
 
-/// The transport over which the feed of a backend server is polled.
+/// Polls the feed of a backend server: its load reports and cache events.
 pub trait FeedSource: Clone + Send + 'static {
     /// The pause between two polls, in which events accumulate at the server.
     const INTERVAL: Duration;
--- a/azureway-entry/src/feed/http_feed.rs
+++ b/azureway-entry/src/feed/http_feed.rs
@@ -1,4 +1,4 @@
-//! Feeds over azureway's own HTTP interface.
+//! Polling of load reports and cache events over azureway's own HTTP interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 
 use super::{FeedBatch, FeedSource};
 
-/// Polls feeds over azureway's own HTTP interface, `GET /v1/news`.
+/// Polls the load and the cache events of model engines with `GET /v1/news`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HttpFeed;
 
-/// How long the engine holds a call while it has no events.
+/// How long the engine may hold a call open while it has no events.
 const WAIT: Duration = Duration::from_millis(500);
 /// The timeout of a call, in seconds: [`WAIT`] and a margin for a slow engine.
 const TIMEOUT: u64 = 2;
@@ -33,18 +33,18 @@
         let url = format!("http://{address}/v1/news?after={next}&wait_ms={wait}&whole={snapshot}");
         let answer = minreq::get(url).with_timeout(TIMEOUT).send();
         let answer = answer.map_err(|e| error(ErrorKind::Unavailable, e.to_string()))?;
-        let news: FeedBody = serde_json::from_slice(answer.as_bytes())
+        let body: FeedBody = serde_json::from_slice(answer.as_bytes())
             .map_err(|e| error(ErrorKind::Protocol, e.to_string()))?;
-        let ops = news.cache_ops();
+        let ops = body.cache_ops();
         Ok(FeedBatch {
-            incarnation: Some(Incarnation::new(news.incarnation)),
-            epoch: news.incarnation,
-            next: news.next_event(),
-            first: Some(news.first),
+            incarnation: Some(Incarnation::new(body.incarnation)),
+            epoch: body.incarnation,
+            next: body.next_event(),
+            first: Some(body.first),
             lost: false,
-            snapshot: news.whole,
+            snapshot: body.whole,
             ops: ops.map_err(|e| error(ErrorKind::Protocol, e.to_string()))?,
-            load: Some(news.load_report(server.clone())),
+            load: Some(body.load_report(server.clone())),
         })
     }
 }
--- a/azureway-entry/src/feed/reader_control.rs
+++ b/azureway-entry/src/feed/reader_control.rs
@@ -1,4 +1,4 @@
-//! The shared control state of a feed reader.
+//! Control of a running feed reader by the deciding duty's thread.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/azureway-entry/src/feed/subscribe.rs
+++ b/azureway-entry/src/feed/subscribe.rs
@@ -1,4 +1,4 @@
-//! Subscription to the feeds of backend servers.
+//! What the deciding duty requires of the feeds of backend servers.
 
 use azureway_core::prelude::{Fleet, ServerId};
 
--- a/azureway-entry/src/logs/flusher.rs
+++ b/azureway-entry/src/logs/flusher.rs
@@ -1,4 +1,4 @@
-//! The flush of the logs at the end of a process.
+//! Writing out the last log lines before a process ends.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
     flushed: Receiver<()>,
 }
 
-/// The longest wait for an output that is blocked.
+/// How long each of the two waits of a flush may take if the output is blocked.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl LogFlusher {
-    /// Creates a flusher for the ring `lines`, whose writer signals `flushed` at an empty line.
+    /// Creates a flusher that sends an empty line to `lines` and then waits for `flushed`, which
+    /// the writer signals at that line.
     pub const fn new(lines: Sender<Vec<u8>>, flushed: Receiver<()>) -> Self {
         Self { lines, flushed }
     }
--- a/azureway-entry/src/logs/sender.rs
+++ b/azureway-entry/src/logs/sender.rs
@@ -1,4 +1,4 @@
-//! The sending side of the logs.
+//! Sending of log lines to the writer without blocking, up to a rate limit.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -9,8 +9,8 @@
 
 use super::{LogFlusher, LogWriter};
 
-/// The sending side of the logs. A line beyond the rate limit or the ring's capacity is dropped
-/// and counted.
+/// The sending side of the bounded channel of log lines. A line beyond the rate limit or the
+/// channel's capacity is dropped and counted.
 #[derive(Debug)]
 pub struct LogSender {
     lines: Sender<Vec<u8>>,
@@ -19,16 +19,17 @@
     period_start: Instant,
 }
 
-/// The capacity of the ring in lines, about one second's worth.
+/// The capacity of the channel in lines, about the number that the rate limit allows per second.
 const CHANNEL_CAPACITY: usize = 1_024;
-/// The maximum number of lines per period. It allows several for each request that a small
-/// instance serves at its peak, and costs little.
+/// The maximum number of lines per period. At this rate a small instance at its peak can log
+/// several lines for each request, and writing them costs little.
 const LINES_PER_PERIOD: u32 = 1_000;
 /// The period of the rate limit.
 const PERIOD: Duration = Duration::from_secs(1);
 
 impl LogSender {
-    /// Creates the ring, the writer that empties it, and the flusher of both.
+    /// Creates the sending side of the channel, the writer that receives from it, and the flusher
+    /// that waits until the writer has written all queued lines.
     pub fn new() -> (Self, LogWriter, LogFlusher) {
         let (lines, receiver) = flume::bounded(CHANNEL_CAPACITY);
         let dropped = Arc::new(AtomicU64::new(0));
--- a/azureway-entry/src/logs/writer.rs
+++ b/azureway-entry/src/logs/writer.rs
@@ -1,4 +1,4 @@
-//! The writing side of the logs.
+//! The thread that writes the log lines to the output.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 
 use flume::{Receiver, Sender};
 
-/// The duty that writes the logs and the number of dropped lines.
+/// The duty that writes the log lines, and a line with the number of dropped ones.
 #[derive(Debug)]
 pub struct LogWriter {
     lines: Receiver<Vec<u8>>,
@@ -15,7 +15,8 @@
 }
 
 impl LogWriter {
-    /// Creates the duty that writes `lines` and signals `flushed` after each empty line.
+    /// Creates the duty that writes `lines`. It signals `flushed` after each empty line, and logs
+    /// and resets the count `dropped`.
     pub const fn new(
         lines: Receiver<Vec<u8>>,
         dropped: Arc<AtomicU64>,
--- a/azureway-entry/src/main.rs
+++ b/azureway-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the entry daemon.
+//! The `azureway-entry` program: serves until a signal or an operator starts the drain.
 
 use std::thread;
 
@@ -10,7 +10,7 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// The summary of the program in its help text.
+/// What the program's help text says that it does.
 const ABOUT: &str = "Routes requests from callers to backend servers";
 
 fn main() -> Result<()> {
--- a/azureway-entry/src/meter/account_label.rs
+++ b/azureway-entry/src/meter/account_label.rs
@@ -1,4 +1,4 @@
-//! The metric label of a client account.
+//! Breakdown of usage metrics by client account.
 
 use azureway_core::prelude::AccountId;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -6,7 +6,7 @@
 /// The metric label of a client account.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AccountLabel {
-    /// The id of the account, or `other`.
+    /// The ID of the account, or `other`.
     pub account: String,
 }
 
--- a/azureway-entry/src/meter/account_labels.rs
+++ b/azureway-entry/src/meter/account_labels.rs
@@ -1,4 +1,4 @@
-//! The bounded set of client accounts with a metric label of their own.
+//! The bound on the number of client accounts that metrics distinguish.
 
 use std::collections::HashSet;
 
--- a/azureway-entry/src/meter/config_metrics.rs
+++ b/azureway-entry/src/meter/config_metrics.rs
@@ -1,10 +1,10 @@
-//! The metrics of the configuration's version.
+//! Metrics that show which configuration version is in force and whether one was rejected.
 
 use azureway_core::prelude::ConfigVersion;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// The version of the configuration in force, and of a newer invalid one.
+/// Metrics of the configuration version in force and of a newer invalid one.
 #[derive(Debug)]
 pub struct ConfigMetrics {
     accepted: Gauge,
--- a/azureway-entry/src/meter/control_metrics.rs
+++ b/azureway-entry/src/meter/control_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of the control plane's cost.
+//! Metrics of what the router itself costs, as opposed to the service to callers.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 use super::{DutyCpu, DutyLabel, RingLabel, RingMonitor};
 
-/// The cost of the control plane: platform calls, retries, gossip, rings and processor time.
+/// Metrics of the control plane: platform calls, retries, gossip, rings and processor time.
 #[derive(Debug)]
 pub struct ControlMetrics {
     retries: Counter,
--- a/azureway-entry/src/meter/duty_cpu.rs
+++ b/azureway-entry/src/meter/duty_cpu.rs
@@ -1,4 +1,4 @@
-//! The processor time of the duties.
+//! Processor time of each duty, read from `/proc`.
 
 use std::fs;
 
--- a/azureway-entry/src/meter/duty_label.rs
+++ b/azureway-entry/src/meter/duty_label.rs
@@ -1,4 +1,4 @@
-//! The metric label of a duty.
+//! Breakdown of processor time by duty.
 
 use prometheus_client::encoding::EncodeLabelSet;
 
--- a/azureway-entry/src/meter/finished_request.rs
+++ b/azureway-entry/src/meter/finished_request.rs
@@ -1,10 +1,10 @@
-//! The figures of a request that was answered completely.
+//! What the measuring duty receives of a request that was answered completely.
 
 use std::time::Duration;
 
 use azureway_core::prelude::{AccountId, Rank, TokenCount};
 
-/// The figures of a request that was answered completely.
+/// The token counts and times of a request that was answered completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinishedRequest {
     /// The client account of the request.
--- a/azureway-entry/src/meter/metric_event.rs
+++ b/azureway-entry/src/meter/metric_event.rs
@@ -1,4 +1,4 @@
-//! The messages to the measuring duty.
+//! The input of the measuring duty: measured events and scrapes.
 
 use std::time::Duration;
 
--- a/azureway-entry/src/meter/mod.rs
+++ b/azureway-entry/src/meter/mod.rs
@@ -1,4 +1,4 @@
-//! The measuring duty, which keeps the metrics of the entry and serves them to scrapes.
+//! The measuring duty, which keeps the metrics of the daemon and serves them to scrapes.
 //!
 //! The cardinality of labels is bounded: ranks, reasons, duties and rings are fixed, and client
 //! accounts beyond [`ACCOUNTS_MAX`] share one label.
--- a/azureway-entry/src/meter/outcome_label.rs
+++ b/azureway-entry/src/meter/outcome_label.rs
@@ -1,4 +1,4 @@
-//! The metric label of requests by rank, kind and outcome.
+//! Breakdown of request counts by rank, kind and outcome.
 
 use azureway_core::prelude::{Outcome, Rank, RequestKind};
 use prometheus_client::encoding::EncodeLabelSet;
--- a/azureway-entry/src/meter/prompt_metrics.rs
+++ b/azureway-entry/src/meter/prompt_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of prompt and answer tokens.
+//! Token counts, from which the prefix hit rate is computed.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
--- a/azureway-entry/src/meter/rank_label.rs
+++ b/azureway-entry/src/meter/rank_label.rs
@@ -1,4 +1,4 @@
-//! The metric label of a rank.
+//! Breakdown of latencies, requests and queues by rank.
 
 use azureway_core::prelude::Rank;
 use prometheus_client::encoding::EncodeLabelSet;
--- a/azureway-entry/src/meter/reason_label.rs
+++ b/azureway-entry/src/meter/reason_label.rs
@@ -1,4 +1,4 @@
-//! The metric label of a refusal.
+//! Breakdown of refusals by reason.
 
 use azureway_core::prelude::RefusalReason;
 use prometheus_client::encoding::EncodeLabelSet;
--- a/azureway-entry/src/meter/ring_label.rs
+++ b/azureway-entry/src/meter/ring_label.rs
@@ -1,4 +1,4 @@
-//! The metric label of a ring.
+//! Breakdown of queue depths by ring.
 
 use prometheus_client::encoding::EncodeLabelSet;
 
--- a/azureway-entry/src/meter/ring_monitor.rs
+++ b/azureway-entry/src/meter/ring_monitor.rs
@@ -1,4 +1,4 @@
-//! The view of the rings' depths.
+//! Queue depths of the rings, for the metrics.
 
 use flume::WeakSender;
 
--- a/azureway-entry/src/meter/router_metrics.rs
+++ b/azureway-entry/src/meter/router_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of the router's state.
+//! Metrics of the router's state, queried from the deciding duty at each scrape.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::{OutcomeLabel, RankLabel};
 use crate::decide::{DecideMessage, Query};
 
-/// The state of the router: outcomes by rank and kind, queue depths, claims and the retry budget.
+/// Metrics of the router: outcomes by rank and kind, queue depths, claims and the retry budget.
 #[derive(Debug)]
 pub struct RouterMetrics {
     requests: Family<OutcomeLabel, Counter>,
@@ -25,7 +25,7 @@
     entries: Gauge,
 }
 
-/// The timeout of the deciding duty's reply to a scrape.
+/// How long a scrape waits for the deciding duty's state before it uses the last values.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl RouterMetrics {
--- a/azureway-entry/src/meter/service_metrics.rs
+++ b/azureway-entry/src/meter/service_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of the service that callers receive.
+//! Metrics of the service as callers see it.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 /// A family of histograms, one for each rank.
 type Histograms = Family<RankLabel, Histogram, fn() -> Histogram>;
 
-/// The service that callers receive: latency by rank, outcomes, refusals and account usage.
+/// Metrics of the service to callers: latency by rank, outcomes, refusals and account usage.
 #[derive(Debug)]
 pub struct ServiceMetrics {
     first_token: Histograms,
--- a/azureway-entry/src/order/http_orders.rs
+++ b/azureway-entry/src/order/http_orders.rs
@@ -1,4 +1,4 @@
-//! Load orders over HTTP.
+//! Load orders to backend servers of azureway's own HTTP interface.
 
 use azureway_core::prelude::{FencingNumber, LoadOrder, WeightsVersion};
 use azureway_wire::order::OrderBody;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HttpOrders;
 
-/// The timeout of a call, in seconds.
+/// How long a server may take to answer an order before the order counts as failed, in seconds.
 const TIMEOUT: u64 = 1;
 
 impl HttpOrders {
--- a/azureway-entry/src/order/lease_store.rs
+++ b/azureway-entry/src/order/lease_store.rs
@@ -1,4 +1,4 @@
-//! The lease object at the platform.
+//! Platform calls for the lease, which lets only one entry instance send load orders.
 
 use azureway_core::prelude::*;
 use azureway_objects::{ObjectApi, Put};
--- a/azureway-entry/src/order/load_checks.rs
+++ b/azureway-entry/src/order/load_checks.rs
@@ -1,21 +1,20 @@
-//! The pending checks of whether a load has completed.
+//! Polling of backend servers for the end of a load of weights.
 
 use std::time::Duration;
 
 use azureway_core::prelude::{LoadOrder, Timestamp};
 
-/// The loads whose servers are polled for completion, since their own reports of it are late.
+/// The loads whose servers are polled for completion, since the servers' own reports are late.
 #[derive(Clone, Debug, Default)]
 pub struct LoadChecks {
     /// The time of the next check, the time at which checks stop, and the order of each load.
     pending: Vec<(Timestamp, Timestamp, LoadOrder)>,
 }
 
-/// The delay from an order to the first check, which is on the order of the time that a load
-/// takes.
+/// The delay from an order to the first check, about the time that a load takes.
 const FIRST_DELAY: Duration = Duration::from_millis(600);
-/// The interval between two checks. Each check is a priced call, but a server that is ready and
-/// idle in the meantime costs as much.
+/// The interval between two checks. Each check is a priced call, but a server that has loaded and
+/// stays idle until the next check costs as much.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 /// The time after an order at which its checks stop, since the order may have been lost.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(4);
--- a/azureway-entry/src/order/mod.rs
+++ b/azureway-entry/src/order/mod.rs
@@ -1,4 +1,4 @@
-//! The ordering duty: orders backend servers to load weights while this entry holds the lease.
+//! The ordering duty: orders backend servers to load weights while this instance holds the lease.
 
 mod http_orders;
 mod lease_store;
--- a/azureway-entry/src/order/order_client.rs
+++ b/azureway-entry/src/order/order_client.rs
@@ -1,4 +1,4 @@
-//! The deciding duty's client of the ordering duty.
+//! Non-blocking messages from the deciding duty to the ordering duty.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/azureway-entry/src/order/order_link.rs
+++ b/azureway-entry/src/order/order_link.rs
@@ -1,4 +1,4 @@
-//! The transport of load orders to backend servers.
+//! The protocol of load orders, which differs between kinds of backend servers.
 
 use azureway_core::prelude::{FencingNumber, LoadOrder, WeightsVersion};
 
@@ -6,7 +6,8 @@
 
 /// The transport of load orders to backend servers.
 pub trait OrderLink {
-    /// Sends an order and waits for the answer, for far less than the margin of a lease.
+    /// Sends an order and waits for the answer. The wait must be much shorter than the safety
+    /// margin before the lease expires.
     fn send(&self, order: &LoadOrder, number: FencingNumber) -> OrderAnswer;
 
     /// Requests the weights version that the server of an order has loaded. Returns `None` if the
--- a/azureway-entry/src/order/order_message.rs
+++ b/azureway-entry/src/order/order_message.rs
@@ -1,4 +1,4 @@
-//! The messages to the ordering duty.
+//! The input of the ordering duty: configurations, loaded weights and its selection.
 
 use std::sync::Arc;
 
@@ -13,6 +13,7 @@
     Report(LoadReport),
     /// A backend server answered a request with these weights.
     WeightsObserved(ServerId, WeightsVersion),
-    /// Whether this entry is one of the few of its availability zone that contend for the lease.
+    /// Whether this entry instance is one of the few of its availability zone that contend for the
+    /// lease.
     Selected(bool),
 }
--- a/azureway-entry/src/order/orderer.rs
+++ b/azureway-entry/src/order/orderer.rs
@@ -31,14 +31,14 @@
     announced: Vec<(Timestamp, LoadOrder)>,
 }
 
-/// The delay from the announcement of a load to its order. In the meantime peers receive the
+/// The delay from the announcement of a load to its order. During the delay peers receive the
 /// announcement, and the requests that are queued in the server start.
 const ANNOUNCE_DELAY: Duration = Duration::from_millis(300);
-/// The wake-up time of a duty that only waits for messages.
+/// The wake-up time if there is nothing to do until the next message.
 const IDLE: Timestamp = Timestamp::MAX;
 
 impl<A: ObjectApi, L: OrderLink> Orderer<A, L> {
-    /// Creates the duty of an entry that takes part in `lease`.
+    /// Creates the duty of an entry instance that contends for `lease`.
     pub fn new(
         api: A,
         link: L,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Renews the lease and sends the orders that are due. An entry that is no longer selected lets
-    /// its lease expire, and sends orders until then.
+    /// Renews the lease and sends the orders that are due. An entry instance that is no longer
+    /// selected lets its lease expire, and sends orders until then.
     fn advance(&mut self) {
         self.next_wakeup = IDLE;
         self.check_loads();
@@ -141,7 +141,7 @@
     }
 
     /// Makes the sweeper's next call if it is due. Returns the time of the one after it, or `None`
-    /// if this entry does not hold the lease.
+    /// if this entry instance does not hold the lease.
     fn sweep(&mut self, now: Timestamp) -> Option<Timestamp> {
         self.lease.fencing_number(now, false)?;
         let sweeper = self.sweeper.as_mut()?;
@@ -180,9 +180,8 @@
         }
     }
 
-    /// Announces a load to all peers. Its order is held back until the requests that are queued in
-    /// the server have started, because the server rejects those that have not when the order
-    /// arrives.
+    /// Announces a load to all peers. When the order arrives, the server rejects the requests that
+    /// have not started, so the order is delayed until the queued requests have started.
     fn announce(&mut self, order: LoadOrder) {
         self.notify_peers(&order, self.load_time);
         self.announced
--- a/azureway-entry/src/peer/document.rs
+++ b/azureway-entry/src/peer/document.rs
@@ -1,4 +1,4 @@
-//! The configuration document that peers exchange.
+//! Configuration documents as entry instances exchange them.
 
 use std::sync::Arc;
 
--- a/azureway-entry/src/peer/peer_call.rs
+++ b/azureway-entry/src/peer/peer_call.rs
@@ -1,4 +1,4 @@
-//! A single call to a peer.
+//! One outgoing call to a peer, run as a task of the peer duty.
 
 use azureway_core::prelude::{ConfigVersion, Error, ErrorKind, Heartbeat, Instance, Step};
 use azureway_wire::peer;
--- a/azureway-entry/src/peer/peer_client.rs
+++ b/azureway-entry/src/peer/peer_client.rs
@@ -1,11 +1,11 @@
-//! The deciding duty's handle to the peer duty.
+//! Non-blocking messages from the deciding duty to the peer duty.
 
 use azureway_core::prelude::{Demand, InstanceId, ServerUpdate, Strike};
 use flume::Sender;
 
 use super::PeerMessage;
 
-/// The deciding duty's handle to the peer duty, which passes updates on to other entries.
+/// The deciding duty's handle to the peer duty, which passes updates on to its peers.
 ///
 /// A message is dropped if the ring is full, since decisions do not wait.
 #[derive(Clone, Debug)]
@@ -20,12 +20,12 @@
         Self { me, peer }
     }
 
-    /// Returns the id of this entry instance.
+    /// Returns the ID of this entry instance.
     pub const fn me(&self) -> &InstanceId {
         &self.me
     }
 
-    /// Sends the demand of client accounts at this entry.
+    /// Sends the demand of client accounts at this entry instance.
     pub fn send_demand(&self, demand: Demand) {
         let _ = self.peer.try_send(PeerMessage::Demand(demand));
     }
--- a/azureway-entry/src/peer/peer_connections.rs
+++ b/azureway-entry/src/peer/peer_connections.rs
@@ -1,4 +1,4 @@
-//! The open connections to peers.
+//! Reuse of gRPC connections to peers between calls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,11 +13,12 @@
     connections: BTreeMap<InstanceId, (SocketAddr, Channel)>,
 }
 
-/// The maximum number of connections that are kept open.
+/// The maximum number of connections that are kept for reuse. Beyond it, the connection to the peer
+/// with the lowest ID is dropped.
 const CONNECTIONS_MAX: usize = 64;
-/// The timeout for establishing a connection.
+/// How long establishing a connection to a peer may take before it fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The timeout of a call.
+/// How long a peer may take to answer a call before the call fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl PeerConnections {
@@ -26,7 +27,8 @@
         Self::default()
     }
 
-    /// Returns the connection to a peer. The first call over it establishes it.
+    /// Returns the stored connection to a peer, or a new one. A new connection is established by
+    /// the first call over it.
     ///
     /// # Errors
     ///
@@ -45,7 +47,8 @@
         Ok(channel)
     }
 
-    /// Closes the connection to a peer. It may hang although a new connection would work.
+    /// Drops the stored connection to a peer that did not answer, so that the next call opens a new
+    /// one. The old connection may be stuck while the peer is reachable.
     pub fn close(&mut self, peer: &InstanceId) {
         self.connections.remove(peer);
     }
--- a/azureway-entry/src/peer/peer_duty.rs
+++ b/azureway-entry/src/peer/peer_duty.rs
@@ -32,9 +32,10 @@
     rounds: u64,
 }
 
-/// The longest wait for a message. It guards against a wake-up too far in the future for a timer.
+/// The longest wait for a message. The next wake-up may lie too far in the future for a timer.
 const WAIT_MAX: Duration = Duration::from_secs(60);
-/// The number of heartbeat rounds after which the selection is notified again of the live entries.
+/// The number of heartbeat rounds after which the selection notifier is called again. It drops a
+/// message if a ring is full, so messages have to be repeated.
 const NOTIFY_ROUNDS: u64 = 5;
 /// The maximum size of a message from a peer, in bytes.
 const MESSAGE_MAX: usize = 256 * 1024;
@@ -155,7 +156,7 @@
                 PeerAction::Fetch(peer, known) => self.fetch(peer, known),
                 PeerAction::Reply(_) => {}
                 PeerAction::LiveCount(count) => {
-                    log::info!(step = "membership", count = count; "the number of live entries in the zone changed");
+                    log::info!(step = "membership", count = count; "the number of live entry instances in the zone changed");
                     self.send_decide(DecideMessage::Peer(PeerUpdate::ZoneEntries(count)))
                         .await;
                     self.notify_selection();
@@ -232,7 +233,8 @@
         }
     }
 
-    /// Applies a document fetched from a peer if it is newer and valid, as for one from the platform.
+    /// Applies a document that was fetched from a peer, if it is newer and valid. The same holds
+    /// for documents from the platform.
     async fn apply_document(&mut self, peer: &InstanceId, document: Document) {
         if !self.gate.is_newer(document.version) {
             return;
--- a/azureway-entry/src/peer/peer_message.rs
+++ b/azureway-entry/src/peer/peer_message.rs
@@ -1,4 +1,4 @@
-//! The messages to the peer duty.
+//! The input of the peer duty, from other duties and from its own calls and service.
 
 use azureway_core::prelude::{
     ConfigVersion, Demand, Heartbeat, Instance, InstanceId, LoadNotice, ServerUpdate, Strike,
@@ -14,14 +14,14 @@
     Configured(Document),
     /// The entry instances that the platform lists.
     Listed(Vec<Instance>),
-    /// The demand of client accounts at this entry.
+    /// The demand of client accounts at this entry instance.
     Demand(Demand),
-    /// A request of this entry was running when a backend server failed, or was cleared of
-    /// suspicion.
+    /// A request of this entry instance was running when a backend server failed, or was cleared
+    /// of suspicion.
     Strike(Strike),
-    /// This entry is about to order a backend server to load weights.
+    /// This entry instance is about to order a backend server to load weights.
     Loading(LoadNotice),
-    /// This entry observed evidence against a backend server.
+    /// This entry instance observed evidence against a backend server.
     Server(ServerUpdate),
     /// A peer sent a heartbeat; the sender takes the reply.
     Heartbeat(Box<Heartbeat>, Sender<Heartbeat>),
--- a/azureway-entry/src/peer/peer_rings.rs
+++ b/azureway-entry/src/peer/peer_rings.rs
@@ -1,4 +1,4 @@
-//! The rings of the peer duty.
+//! What the peer duty needs of the daemon: rings, clock and selection notifier.
 
 use flume::{Receiver, Sender};
 
@@ -22,7 +22,7 @@
     pub decide: Sender<DecideMessage>,
     /// The sender to the measuring duty.
     pub meter: Sender<MetricEvent>,
-    /// Notifies the duties that only a few selected entries of the zone run.
+    /// Notifies the duties that only a few selected entry instances of the zone perform.
     pub selection: SelectionNotifier,
     /// The clock of the daemon.
     pub clock: Clock,
--- a/azureway-entry/src/peer/peer_service.rs
+++ b/azureway-entry/src/peer/peer_service.rs
@@ -1,4 +1,4 @@
-//! The gRPC service that peers call.
+//! Incoming gRPC calls of peers, which the peer duty answers.
 
 use azureway_core::prelude::{ConfigVersion, Heartbeat};
 use azureway_wire::peer;
--- a/azureway-entry/src/relay/attempt_error.rs
+++ b/azureway-entry/src/relay/attempt_error.rs
@@ -1,4 +1,4 @@
-//! The error of an attempt.
+//! Classification of failed attempts, by which the router decides whether to retry.
 
 use std::io;
 
@@ -14,7 +14,7 @@
 }
 
 impl AttemptError {
-    /// Returns the error of a request that was not sent or whose answer's head was not received.
+    /// Returns the error of a request that was not sent or whose response head was not received.
     pub fn from_send(error: &attohttpc::Error) -> Self {
         match error.kind() {
             // Only a refused connection proves that the server received nothing.
@@ -44,7 +44,7 @@
         Self::Server(kind, SendState::MaybeRun)
     }
 
-    /// Returns the error that a status code of a model engine stands for, if any.
+    /// Returns the error that a model engine's response status stands for, if any.
     pub const fn from_status(status: u16) -> Option<Self> {
         match status {
             409 => Some(Self::Server(FailureKind::Mismatch, SendState::Rejected)),
--- a/azureway-entry/src/relay/gap_meter.rs
+++ b/azureway-entry/src/relay/gap_meter.rs
@@ -7,8 +7,8 @@
 
 use crate::meter::MetricEvent;
 
-/// Measures the time between the events of a stream and reports it in batches to the metering
-/// duty.
+/// Measures the time between the events of a stream and reports it in batches to the
+/// measuring duty.
 #[derive(Debug)]
 pub struct GapMeter {
     rank: Rank,
--- a/azureway-entry/src/relay/launch.rs
+++ b/azureway-entry/src/relay/launch.rs
@@ -1,4 +1,4 @@
-//! Starting and cancelling attempts at backend servers.
+//! What the deciding duty requires of a relay: starting and cancelling attempts.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 /// Starts a thread for each attempt and cancels attempts whose callers have disconnected.
 pub trait Launch {
-    /// Starts an attempt and returns the ring of its answer's chunks.
+    /// Starts an attempt and returns the ring that carries the chunks of its answer.
     fn launch(
         &mut self,
         dispatch: Dispatch,
--- a/azureway-entry/src/relay/relay_attempt.rs
+++ b/azureway-entry/src/relay/relay_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of the relay at a backend server.
+//! One attempt of the relay, from sending the request to reporting the outcome.
 
 use std::io::{BufRead, BufReader, Read};
 use std::sync::Arc;
--- a/azureway-entry/src/routed/answer.rs
+++ b/azureway-entry/src/routed/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to one request of a routed caller.
+//! Writing of the answer to a routed caller while attempts start, fail and complete.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -100,7 +100,7 @@
         Ok(None)
     }
 
-    /// Writes the head of a stream, unless an earlier attempt has written it.
+    /// Writes the response head of a stream, unless an earlier attempt has written it.
     fn start_stream(&mut self, head: &AnswerHead) -> io::Result<()> {
         if self.writer.is_none() {
             let responder = RoutedResponder::new(self.stream, self.close);
--- a/azureway-entry/src/routed/answer_end.rs
+++ b/azureway-entry/src/routed/answer_end.rs
@@ -1,4 +1,4 @@
-//! The end of an answer and what follows for its connection.
+//! What a connection does after an answer: carry another request or close.
 
 /// How the answer to a request ended, and what follows for its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/azureway-entry/src/routed/call_metadata.rs
+++ b/azureway-entry/src/routed/call_metadata.rs
@@ -1,4 +1,4 @@
-//! The metadata of a call.
+//! What a site's headers say of a call: identity, time limit and parts of the prompt.
 
 use std::time::Duration;
 
--- a/azureway-entry/src/routed/call_reader.rs
+++ b/azureway-entry/src/routed/call_reader.rs
@@ -1,4 +1,4 @@
-//! Turning routed calls into requests.
+//! Admission of routed calls: authentication, choice of the service and prompt blocks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 ];
 
 impl<D: CallerDialect> RoutedCallReader<D> {
-    /// Creates a reader of calls with the headers of `dialect`.
+    /// Creates a reader of calls whose site headers `dialect` reads.
     pub const fn new(dialect: D) -> Self {
         Self { dialect }
     }
--- a/azureway-entry/src/routed/caller_dialect.rs
+++ b/azureway-entry/src/routed/caller_dialect.rs
@@ -1,4 +1,4 @@
-//! The headers of a site's callers.
+//! The part of the routed interface in which sites differ: the headers of their callers.
 
 use super::CallMetadata;
 use crate::caller::Head;
--- a/azureway-entry/src/routed/connection.rs
+++ b/azureway-entry/src/routed/connection.rs
@@ -1,4 +1,4 @@
-//! The duty of a routed caller's connection.
+//! A routed caller's connection, which carries one request after the other.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
--- a/azureway-entry/src/routed/disconnect_watch.rs
+++ b/azureway-entry/src/routed/disconnect_watch.rs
@@ -9,7 +9,7 @@
 use mio::unix::SourceFd;
 use mio::{Interest, Registry, Token};
 
-/// Registers connections that wait for an answer, so that their callers' disconnects are detected.
+/// Registers the connections of callers that wait for an answer, so that disconnects are detected.
 #[derive(Clone, Debug)]
 pub struct DisconnectWatch {
     registry: Arc<Registry>,
--- a/azureway-entry/src/routed/disconnect_watcher.rs
+++ b/azureway-entry/src/routed/disconnect_watcher.rs
@@ -1,4 +1,4 @@
-//! The duty that detects callers' disconnects.
+//! Cancelling the requests of callers that disconnect, in one thread for all connections.
 
 use std::io;
 
--- a/azureway-entry/src/routed/in_flight.rs
+++ b/azureway-entry/src/routed/in_flight.rs
@@ -1,4 +1,4 @@
-//! Counting the requests in flight.
+//! Waiting for the requests in flight at shutdown.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
--- a/azureway-entry/src/routed/in_flight_guard.rs
+++ b/azureway-entry/src/routed/in_flight_guard.rs
@@ -1,4 +1,4 @@
-//! The guard of a request in flight.
+//! Removal of a request from the in-flight count, however its connection ends.
 
 use super::InFlight;
 
--- a/azureway-entry/src/routed/prefixed_reader.rs
+++ b/azureway-entry/src/routed/prefixed_reader.rs
@@ -1,4 +1,4 @@
-//! A reader that starts with bytes already received.
+//! Reading of a request body whose first bytes arrived with the head.
 
 use std::io::{self, Read};
 
--- a/azureway-entry/src/routed/responder.rs
+++ b/azureway-entry/src/routed/responder.rs
@@ -22,8 +22,8 @@
 /// for at most a third of their time limit before they retry; this is well below that.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// The `retry-after` time of an instance that is draining: another instance already serves, and
-/// retries reach other instances.
+/// The `retry-after` time of an instance that is draining. It is short, since the retries reach
+/// other instances, which already serve.
 const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 impl<'a> RoutedResponder<'a> {
@@ -43,7 +43,7 @@
         self.write(head, body)
     }
 
-    /// Writes the head of a backend server's stream and returns a writer for its body.
+    /// Writes the response head of a backend server's stream and returns a writer for its body.
     ///
     /// # Errors
     ///
--- a/azureway-entry/src/routed/response_head.rs
+++ b/azureway-entry/src/routed/response_head.rs
@@ -1,16 +1,16 @@
-//! The status line and headers of an answer to a caller.
+//! Encoding of response heads for routed callers.
 
 use std::fmt::Write as _;
 
 use crate::exchange::AnswerHead;
 
-/// The encoded status line and headers of an answer to a caller.
+/// The encoded response status and headers of an answer to a caller.
 #[derive(Debug)]
 pub struct ResponseHead {
     text: String,
 }
 
-/// The hop-by-hop headers of a backend server's answer, in lower case, which are not forwarded.
+/// The hop-by-hop response headers of a backend server, in lower case, which are not forwarded.
 const HOP_BY_HOP: [&str; 7] = [
     "connection",
     "content-length",
@@ -22,13 +22,13 @@
 ];
 
 impl ResponseHead {
-    /// Creates a head with its status line.
+    /// Creates a response head that has only a status line.
     pub fn new(status: u16, reason: &str) -> Self {
         let text = format!("HTTP/1.1 {status} {reason}\r\n");
         Self { text }
     }
 
-    /// Creates the head of an answer that is forwarded.
+    /// Creates the response head of an answer that is forwarded.
     pub fn from_answer(answer: &AnswerHead) -> Self {
         let mut head = Self::new(answer.status, &answer.reason);
         for (name, value) in &answer.headers {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns the bytes of the head with the blank line that ends it.
+    /// Returns the bytes of the response head with the blank line that ends it.
     pub fn into_bytes(mut self) -> Vec<u8> {
         self.text.push_str("\r\n");
         self.text.into_bytes()
--- a/azureway-entry/src/routed/serving_state.rs
+++ b/azureway-entry/src/routed/serving_state.rs
@@ -1,4 +1,4 @@
-//! The state that all callers' connections share.
+//! What the connections of routed callers share with the site duty and the shutdown.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, PoisonError, RwLock};
--- a/azureway-entry/src/site/codec.rs
+++ b/azureway-entry/src/site/codec.rs
@@ -1,4 +1,4 @@
-//! The decoding of the objects that a site's platform holds.
+//! What a site defines to be watched: the kinds and formats of its platform objects.
 
 use azureway_core::prelude::{Error, ListedServer, NamedWeights, SiteDocument};
 use azureway_wire::object::ObjectBody;
@@ -17,7 +17,7 @@
     /// Returns an error if the object is not a valid configuration.
     fn document(&self, object: &ObjectBody) -> Result<Option<SiteDocument>, Error>;
 
-    /// Decodes the entry of a backend server.
+    /// Decodes the object that lists a backend server.
     ///
     /// # Errors
     ///
--- a/azureway-entry/src/site/duty.rs
+++ b/azureway-entry/src/site/duty.rs
@@ -79,17 +79,17 @@
                 log::info!(step = "read site", version:% = version, known:? = known, newer = newer; "a configuration was read");
                 return newer;
             }
-            SiteUpdate::Servers(entries, recovered) => {
-                log::info!(step = "read site", servers = entries.len(); "the list of servers was read");
-                self.state.set_servers(entries, recovered, now);
+            SiteUpdate::Servers(servers, recovered) => {
+                log::info!(step = "read site", servers = servers.len(); "the list of servers was read");
+                self.state.set_servers(servers, recovered, now);
             }
-            SiteUpdate::Server(entry) => {
+            SiteUpdate::Server(server) => {
                 log::info!(
-                    step = "read site", peer:% = entry.id, service:% = entry.service,
-                    leaving = entry.leaving, incarnation:% = entry.incarnation,
-                    weights:? = entry.weights; "a server was listed"
+                    step = "read site", peer:% = server.id, service:% = server.service,
+                    leaving = server.leaving, incarnation:% = server.incarnation,
+                    weights:? = server.weights; "a server was listed"
                 );
-                self.state.update_server(*entry);
+                self.state.update_server(*server);
             }
             SiteUpdate::Removed(id, recovered) => {
                 log::info!(step = "read site", peer:% = id; "a server is no longer listed");
--- a/azureway-entry/src/site/kind.rs
+++ b/azureway-entry/src/site/kind.rs
@@ -1,11 +1,11 @@
-//! The kinds of platform objects that describe a site.
+//! The kinds of platform objects that are watched, each by a watcher of its own.
 
 /// The kinds of objects that a site's platform holds for the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SiteKind {
     /// Versions of the configuration.
     Document,
-    /// The entries of the backend servers.
+    /// The listed backend servers.
     Servers,
     /// The weights that operators have named.
     Weights,
--- a/azureway-entry/src/site/update.rs
+++ b/azureway-entry/src/site/update.rs
@@ -2,7 +2,7 @@
 
 use azureway_core::prelude::{ListedServer, NamedWeights, ServerId, SiteDocument, Timestamp};
 
-/// An update from a site watcher. The optional time is when the platform last recovered from an
+/// An update from a site watcher. An optional time is when the platform last recovered from an
 /// outage.
 #[derive(Clone, Debug)]
 pub enum SiteUpdate {
@@ -10,9 +10,9 @@
     Document(Box<SiteDocument>),
     /// The complete list of backend servers.
     Servers(Vec<ListedServer>, Option<Timestamp>),
-    /// The new or changed entry of a backend server.
+    /// A backend server that was listed or whose listing changed.
     Server(Box<ListedServer>),
-    /// A backend server whose entry was removed or cannot be decoded.
+    /// A backend server that is no longer listed or whose object cannot be decoded.
     Removed(ServerId, Option<Timestamp>),
     /// Weights that an operator named, and the earliest time at which that can have happened.
     Weights(NamedWeights, Timestamp),
--- a/azureway-entry/src/site/watcher.rs
+++ b/azureway-entry/src/site/watcher.rs
@@ -79,7 +79,7 @@
                 }
             };
             let now = self.clock.now();
-            // A watch call that blocked returned at the moment of the change.
+            // A watch call that blocked returns at the moment of the change.
             let blocked = !self.listed && now.since(start) > BLOCKED_MIN;
             self.earliest = if blocked { now } else { self.answered };
             if !self.handle_answer(answer, now) {
@@ -123,9 +123,9 @@
     fn send_updates(&self, list: &ObjectList) -> bool {
         match self.kind {
             SiteKind::Servers if self.listed => {
-                let entries = list.objects.iter().filter(|o| !o.deleted);
-                let entries = entries.filter_map(|o| self.check(o, self.codec.server(o)));
-                self.send(SiteUpdate::Servers(entries.collect(), self.recovered))
+                let objects = list.objects.iter().filter(|o| !o.deleted);
+                let servers = objects.filter_map(|o| self.check(o, self.codec.server(o)));
+                self.send(SiteUpdate::Servers(servers.collect(), self.recovered))
             }
             _ => list.objects.iter().all(|o| self.send_update(o)),
         }
@@ -137,11 +137,11 @@
                 ServerId::new(&object.name),
                 self.recovered,
             )),
-            // An entry that cannot be decoded describes no usable server, so that the server is
-            // removed even if its previous entry was valid.
+            // An object that cannot be decoded describes no usable server, so the server is removed
+            // even if the previous version of the object was valid.
             SiteKind::Servers => Some(self.check(object, self.codec.server(object)).map_or_else(
                 || SiteUpdate::Removed(ServerId::new(&object.name), None),
-                |entry| SiteUpdate::Server(Box::new(entry)),
+                |server| SiteUpdate::Server(Box::new(server)),
             )),
             // Deleting a configuration or weights does not undo them.
             _ if object.deleted => None,
@@ -173,7 +173,7 @@
     }
 }
 
-/// Duration of a watch call above which it is taken to have blocked until a change.
+/// The duration above which a watch call counts as having blocked until a change.
 const BLOCKED_MIN: Duration = Duration::from_millis(100);
 /// How long the platform holds a watch call open when nothing changes. It is short enough that a
 /// connection that fails silently is noticed within the time limit of a change.
--- a/azureway-entry/src/watch/config_watcher.rs
+++ b/azureway-entry/src/watch/config_watcher.rs
@@ -34,9 +34,9 @@
     next_list: Timestamp,
 }
 
-/// Interval between two reads of the list of instances.
+/// The interval between two reads of the list of instances.
 const LIST_INTERVAL: Duration = Duration::from_secs(10);
-/// Number of faults of an invalid document that are logged, each on a line of its own.
+/// The largest number of faults of an invalid document that are logged, each on a line of its own.
 const MAX_FAULTS: usize = 20;
 
 impl<A: ObjectApi> ConfigWatcher<A> {
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Reverts the last change and applies the version before it. This gives a configuration to a
-    /// daemon that starts while the newest version is invalid.
+    /// Reverts the last change and applies the version before it, so that a daemon that starts
+    /// while the newest version is invalid has a configuration.
     fn apply_previous(&mut self, object: &ObjectBody) {
         let version = ConfigVersion::new(object.version);
         let current = StoredDocument::parse(&object.value).snapshot(version);
--- a/azureway-entry/src/watch/instance_list.rs
+++ b/azureway-entry/src/watch/instance_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances.
+//! Decoding of the platform's list of instances.
 
 use azureway_core::prelude::{Instance, ServerId};
 use azureway_wire::instance::{InstanceBody, InstanceRole};
@@ -20,7 +20,7 @@
             match serde_json::from_str::<InstanceBody>(&object.value) {
                 Ok(body) => instances.add(&object.name, &body),
                 Err(e) => {
-                    log::warn!(step = "list instances", peer = object.name.as_str(), error:% = e; "the entry of an instance cannot be decoded");
+                    log::warn!(step = "list instances", peer = object.name.as_str(), error:% = e; "the object of an instance cannot be decoded");
                 }
             }
         }
--- a/azureway-entry/src/watch/registrar.rs
+++ b/azureway-entry/src/watch/registrar.rs
@@ -23,11 +23,11 @@
     written: bool,
 }
 
-/// Step of this duty in errors.
+/// The step that errors of this duty name.
 const STEP: Step = Step::new("register instance");
-/// First delay between two reads of the list; it doubles with each success.
+/// The first delay between two reads of the list, which doubles with each success.
 const MIN_DELAY: Duration = Duration::from_millis(1_000);
-/// Longest delay between two reads of the list.
+/// The longest delay between two reads of the list.
 const MAX_DELAY: Duration = Duration::from_secs(60);
 
 impl<A: ObjectApi> Registrar<A> {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Writes this instance unless that has succeeded before. If the answer to a write is lost, the
-    /// next call finds out from the stored entry whether the write took effect.
+    /// Writes this instance into the list unless that has succeeded before. If the answer to a
+    /// write is lost, the next call finds out from the stored object whether the write took effect.
     fn register(&mut self) -> Result<(), Error> {
         if self.written {
             return Ok(());
--- a/azureway-entry/src/watch/selection_notifier.rs
+++ b/azureway-entry/src/watch/selection_notifier.rs
@@ -1,4 +1,4 @@
-//! Notification of the duties that only a few selected entries of a zone perform.
+//! Notification of the duties that only a few selected entry instances of a zone perform.
 
 use azureway_core::prelude::{EntrySelector, InstanceId};
 use flume::Sender;
@@ -6,8 +6,8 @@
 use super::WatchMessage;
 use crate::order::OrderMessage;
 
-/// Notifies the watching and the ordering duty whether this entry is one of the few of its zone
-/// that are selected for their work. The peer duty, which knows the live entries, drives it.
+/// Notifies the watching and the ordering duty whether this entry instance is one of the few of its
+/// zone that are selected for their work. The peer duty, which knows the live instances, calls it.
 #[derive(Clone, Debug)]
 pub struct SelectionNotifier {
     me: InstanceId,
@@ -15,9 +15,9 @@
     order: Sender<OrderMessage>,
 }
 
-/// Selects the entries of a zone that watch the configuration.
+/// Selects the entry instances of a zone that watch the configuration.
 const WATCHERS: EntrySelector = EntrySelector::new(2, u128::from_be_bytes(*b"config watchers."));
-/// Selects the entries of a zone that contend for the lease that allows orders.
+/// Selects the entry instances of a zone that contend for the lease that allows orders.
 const CANDIDATES: EntrySelector = EntrySelector::new(2, u128::from_be_bytes(*b"lease candidates"));
 
 impl SelectionNotifier {
@@ -30,8 +30,8 @@
         Self { me, watch, order }
     }
 
-    /// Selects among the live entries of the zone and notifies both duties. A message is dropped if
-    /// its ring is full, so this has to be called again from time to time.
+    /// Selects among the live entry instances of the zone and notifies both duties. A message is
+    /// dropped if its ring is full, so the caller must repeat the call from time to time.
     pub fn notify(&self, live: &[InstanceId]) {
         let is_watcher = WATCHERS.includes(&self.me, live);
         let is_candidate = CANDIDATES.includes(&self.me, live);
--- a/azureway-entry/tests/dialect/mod.rs
+++ b/azureway-entry/tests/dialect/mod.rs
@@ -1,4 +1,4 @@
-//! The headers of the tests' backend servers.
+//! A backend dialect for tests of the exchange, with headers of its own.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
 
 use std::fmt::Write as _;
--- a/azureway-entry/tests/exchange.rs
+++ b/azureway-entry/tests/exchange.rs
@@ -23,8 +23,8 @@
 const ATTEMPT: &str = "attempt-1";
 /// The read timeout of the attempt.
 const READ_TIMEOUT: Duration = Duration::from_millis(200);
-/// The time limit that keeps a fault from hanging a test; no result depends on it.
-const GUARD: Duration = Duration::from_secs(30);
+/// The bound on a wait, so that a failing test cannot hang. No result depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Starts an attempt at `address`. Returns the rings of its answer and of its reports, and its
 /// handle.
@@ -44,7 +44,7 @@
     let position = StreamPosition::new(position);
     let exchange = ExchangeAttempt {
         dispatch: dispatch(address, position),
-        upstream: Arc::new(upstream(once, clock.now() + GUARD)),
+        upstream: Arc::new(upstream(once, clock.now() + TEST_TIMEOUT)),
         chunks,
         decide,
         dialect: TestDialect,
@@ -110,7 +110,9 @@
 }
 
 fn read_request(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(GUARD)).expect("a guard");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a timeout");
     let (mut bytes, mut buffer) = (Vec::new(), [0; 1024]);
     while !bytes.ends_with(b"\r\n\r\nbody") {
         let count = stream.read(&mut buffer).expect("the request");
--- a/azureway-entry/tests/gateway.rs
+++ b/azureway-entry/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! Tests an entry that serves a site over sockets, with callers, a backend server and the platform.
+//! Tests of an entry daemon that serves a site over sockets: callers, a server and the platform.
 
 mod support;
 
@@ -162,7 +162,7 @@
 fn a_disconnected_caller_cancels_its_request_at_the_server() {
     let (seen, closed) = flume::bounded(1);
     let server = Server::start(move |_, stream| {
-        // The entry sends nothing more, so the read ends when it closes the connection.
+        // The daemon sends nothing more, so the read ends when it closes the connection.
         let _ = seen.send(stream.read(&mut [0]).unwrap_or(0));
     });
     let fixture = SiteFixture::start(Some(&server));
--- a/azureway-entry/tests/order.rs
+++ b/azureway-entry/tests/order.rs
@@ -166,6 +166,6 @@
     let platform = Platform::default();
     let orders = run(&platform, OrderAnswer::Fenced, true);
     expect_that!(orders.len(), eq(1));
-    // No other entry has acquired the lease, so this one continues under the next number.
+    // No other entry instance has acquired the lease, so this one continues under the next number.
     expect_that!(platform.fencing_number(), some(eq(2)));
 }
--- a/azureway-entry/tests/process.rs
+++ b/azureway-entry/tests/process.rs
@@ -26,7 +26,7 @@
     path
 }
 
-/// Returns the settings of an entry whose platform is at `platform`.
+/// Returns the settings of an entry daemon whose platform is at `platform`.
 fn settings(platform: SocketAddr) -> String {
     format!(
         "[entry]\ninstance = entry-1\nzone = kranj-a\nlisten = 127.0.0.1:0\n\
@@ -148,7 +148,7 @@
     expect_that!(text, contains_substring("did you mean `platform`?"));
 }
 
-/// Starts a platform and one engine, without an entry.
+/// Starts a platform and one engine, without an entry daemon.
 fn start_system() -> System {
     let layout = Layout::new()
         .with_zones(&["kranj-a"])
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -225,18 +225,18 @@
     answer.expect("an answer").status_code
 }
 
-/// A running entry of a test site, with its platform.
+/// A running entry daemon of a test site, with its platform.
 pub struct SiteFixture {
     gateway: Gateway,
     ready: SocketAddr,
     _platform: HttpServer,
 }
 
-/// An entry that is draining.
+/// An entry daemon that is draining.
 pub struct DrainingSite {
     /// The address that callers reach.
     pub address: SocketAddr,
-    /// The thread that drains the entry and ends with the drain.
+    /// The thread that drains the entry daemon and ends with the drain.
     pub thread: JoinHandle<()>,
 }
 
