--- a/azureway-core/src/route/estimate.rs
+++ b/azureway-core/src/route/estimate.rs
@@ -13,7 +13,7 @@
     /// The time to compute the uncached tokens of the prompt.
     pub prefill: Duration,
     /// The round-trip time of the network link.
-    pub link: Duration,
+    pub round_trip: Duration,
     /// The delay that the prefill causes to the other requests at the server.
     pub interference: Duration,
     /// The cost of the traffic to the server, converted to time.
@@ -38,7 +38,7 @@
             prefill,
             interference: prefill.saturating_mul(INTERFERENCE_FACTOR * state.load(now))
                 / server.slots.max(1),
-            link: candidate.link * 2,
+            round_trip: candidate.one_way_latency * 2,
             traffic_cost: candidate.traffic_cost,
             recompute: server
                 .prefill
@@ -47,16 +47,16 @@
     }
 
     /// Returns the estimated time to first token.
-    pub const fn total(&self) -> Duration {
+    pub const fn time_to_first_token(&self) -> Duration {
         self.wait
             .saturating_add(self.prefill)
-            .saturating_add(self.link)
+            .saturating_add(self.round_trip)
     }
 
     /// Returns the total cost: the time to first token, the traffic, the recomputed prefix and the
     /// delay to the other requests at the server.
     pub const fn cost(&self) -> Duration {
-        self.total()
+        self.time_to_first_token()
             .saturating_add(self.interference)
             .saturating_add(self.traffic_cost)
             .saturating_add(self.recompute)
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -128,7 +128,8 @@
         let best = placement.choose(policy, query, service, now)?;
         let mut dispatch = query.plan.dispatch_to(query.request, service, &best);
         dispatch.fetch_from = placement.fetch_source(query.request, service, &best, now);
-        dispatch.expected_ttft = Estimate::new(query.profile(service), &best, now).total();
+        dispatch.expected_ttft =
+            Estimate::new(query.profile(service), &best, now).time_to_first_token();
         self.track(query, service.pool.clone(), &dispatch, now);
         Some(dispatch)
     }
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -159,7 +159,7 @@
                 break;
             }
             alive |= self.add_candidates(Some(locality), stale, query, service, now, candidates);
-            let time = |c: &Candidate<'_>| Estimate::new(profile, c, now).total();
+            let time = |c: &Candidate<'_>| Estimate::new(profile, c, now).time_to_first_token();
             let shared = self.config.shared_servers;
             let other =
                 |c: &Candidate<'_>| !shared || Some(&c.state.server.id) != query.failed_server;
@@ -258,7 +258,7 @@
             // An entry that has just started assumes that replicas hold the prefix.
             cached = cached.max(request.chain.prefix_tokens());
         }
-        let (link, traffic_cost) = match locality {
+        let (one_way_latency, traffic_cost) = match locality {
             Locality::Zone => (Duration::ZERO, Duration::ZERO),
             Locality::Region => (self.config.zone_latency, Duration::ZERO),
             Locality::Remote => (self.config.remote_latency, self.traffic_cost(request)),
@@ -266,7 +266,7 @@
         Candidate {
             state,
             cached,
-            link,
+            one_way_latency,
             traffic_cost,
             weight,
             replica,
--- a/azureway-wire/src/admin/option_body.rs
+++ b/azureway-wire/src/admin/option_body.rs
@@ -41,8 +41,8 @@
             cached: option.cached.get(),
             wait: micros(estimate.wait),
             prefill: micros(estimate.prefill),
-            link: micros(estimate.link),
-            total: micros(estimate.total()),
+            link: micros(estimate.round_trip),
+            total: micros(estimate.time_to_first_token()),
         }
     }
 }
