--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -31,7 +31,7 @@
     Candidate, Estimate, LeastLoaded, Locality, Policy, PrefixHash, PrefixLoad, Rendezvous,
     ReplicaScaler, RequestProfile, RoundRobin, StaticSplit,
 };
-pub use crate::router::{Obstacle, Overview, RouteOption, Router, RouterConfig};
+pub use crate::router::{ExclusionReason, Overview, RouteOption, Router, RouterConfig};
 pub use crate::site::{ListedServer, NamedWeights, SiteDocument, SiteService, SiteState};
 pub use crate::stream::{Delivery, StreamProgress};
 pub use crate::tally::{Outcome, OutcomeCount, OutcomeTally};
--- a/azureway-core/src/router/obstacle.rs
+++ b/azureway-core/src/router/exclusion_reason.rs
@@ -6,22 +6,22 @@
 
 /// The reason why a backend server is not chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Obstacle {
+pub enum ExclusionReason {
     /// The server is leaving the fleet.
     Leaving,
     /// The server failed recently and is not retried yet.
     Suspect,
     /// The server has other weights loaded.
-    Weights,
+    WeightsNotLoaded,
     /// The server has no free slot for this request, by this entry's share of its slots.
-    Full,
+    NoCapacity,
     /// A nearer server is fast enough.
-    Far,
+    NearerAvailable,
     /// The policy preferred another candidate.
-    Behind,
+    Outranked,
 }
 
-impl Obstacle {
+impl ExclusionReason {
     /// Returns the reason why a server is not a candidate.
     pub fn for_server(
         query: PlacementRequest<'_>,
@@ -36,23 +36,23 @@
             };
         }
         if !query.is_served_by(state, service, now) {
-            return Self::Weights;
+            return Self::WeightsNotLoaded;
         }
         match query.has_capacity(state, now) {
-            true => Self::Far,
-            false => Self::Full,
+            true => Self::NearerAvailable,
+            false => Self::NoCapacity,
         }
     }
 
-    /// Returns the name of the obstacle on the wire.
+    /// Returns the name of the reason on the wire.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Leaving => "leaving",
             Self::Suspect => "suspect",
-            Self::Weights => "weights",
-            Self::Full => "full",
-            Self::Far => "far",
-            Self::Behind => "behind",
+            Self::WeightsNotLoaded => "weights",
+            Self::NoCapacity => "full",
+            Self::NearerAvailable => "far",
+            Self::Outranked => "behind",
         }
     }
 }
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -4,7 +4,7 @@
 
 use smallvec::SmallVec;
 
-use super::{Obstacle, PlacementRequest, RouteOption, RouterConfig};
+use super::{ExclusionReason, PlacementRequest, RouteOption, RouterConfig};
 use crate::cache::CacheIndex;
 use crate::domain::{ModelService, Request, Timestamp};
 use crate::fleet::{Fleet, ServerState, ServerTable};
@@ -77,9 +77,9 @@
             let listed = candidates
                 .iter()
                 .any(|c| c.state.server.id == state.server.id);
-            let obstacle = || match listed {
-                true => Obstacle::Behind,
-                false => Obstacle::for_server(query, state, service, now),
+            let exclusion = || match listed {
+                true => ExclusionReason::Outranked,
+                false => ExclusionReason::for_server(query, state, service, now),
             };
             RouteOption {
                 server: state.server.id.clone(),
@@ -87,7 +87,7 @@
                 cached: candidate.cached,
                 estimate: Estimate::new(profile, &candidate, now),
                 replica: candidate.replica,
-                obstacle: (!chosen).then(obstacle),
+                exclusion: (!chosen).then(exclusion),
             }
         });
         options.collect()
--- a/azureway-core/src/router/route_option.rs
+++ b/azureway-core/src/router/route_option.rs
@@ -1,6 +1,6 @@
 //! The explanation of a placement decision for one backend server.
 
-use super::Obstacle;
+use super::ExclusionReason;
 use crate::domain::{ServerId, TokenCount, ZoneId};
 use crate::route::Estimate;
 
@@ -18,5 +18,5 @@
     /// Whether the server is a replica of the prefix.
     pub replica: bool,
     /// The reason why the server is not chosen, or `None` for the chosen one.
-    pub obstacle: Option<Obstacle>,
+    pub exclusion: Option<ExclusionReason>,
 }
--- a/azureway-core/tests/explain.rs
+++ b/azureway-core/tests/explain.rs
@@ -6,17 +6,17 @@
 use googletest::prelude::*;
 use support::{RouterFixture, dispatches, failure, fleet};
 
-/// Returns the chosen server and the obstacles of the others, in the order of server names.
+/// Returns the chosen server and the exclusion reasons of the others, in the order of server names.
 fn explain(
     fixture: &mut RouterFixture,
     request: &Request,
 ) -> (Option<ServerId>, Vec<&'static str>) {
     let options = fixture.router.explain(request, fixture.now);
     let options = options.expect("the service exists");
-    let chosen = options.iter().find(|o| o.obstacle.is_none());
-    let obstacles = options.iter().filter_map(|o| o.obstacle);
-    let obstacles = obstacles.map(Obstacle::as_str).collect();
-    (chosen.map(|o| o.server.clone()), obstacles)
+    let chosen = options.iter().find(|o| o.exclusion.is_none());
+    let exclusions = options.iter().filter_map(|o| o.exclusion);
+    let exclusions = exclusions.map(ExclusionReason::as_str).collect();
+    (chosen.map(|o| o.server.clone()), exclusions)
 }
 
 #[gtest]
@@ -36,23 +36,23 @@
 }
 
 #[gtest]
-fn explain_names_the_obstacle_of_each_server() {
+fn explain_names_the_exclusion_reason_of_each_server() {
     let mut fixture = RouterFixture::new(4, 1);
     let request = fixture.request("small", &["house"]);
     let first = fixture.handle(Event::Arrived(&request));
     let first = dispatches(&first)[0].clone();
-    let (_, obstacles) = explain(&mut fixture, &request);
-    expect_that!(obstacles, contains(eq(&"full")));
-    expect_that!(obstacles, contains(eq(&"behind")));
+    let (_, exclusions) = explain(&mut fixture, &request);
+    expect_that!(exclusions, contains(eq(&"full")));
+    expect_that!(exclusions, contains(eq(&"behind")));
     let broken = failure(&first, FailureKind::Unreachable, SendState::Unsent, 0);
     fixture.handle(Event::Failed(&broken));
     expect_that!(explain(&mut fixture, &request).1, contains(eq(&"suspect")));
     let mut leaving = fleet(4, 1).with_version(ConfigVersion::new(2));
     leaving.servers.values_mut().for_each(|s| s.leaving = true);
     fixture.handle(Event::Configured(&leaving));
-    let (chosen, obstacles) = explain(&mut fixture, &request);
+    let (chosen, exclusions) = explain(&mut fixture, &request);
     expect_that!(chosen, none());
-    expect_that!(obstacles, eq(&vec!["leaving"; 4]));
+    expect_that!(exclusions, eq(&vec!["leaving"; 4]));
 }
 
 #[gtest]
@@ -72,9 +72,9 @@
         leaving: false,
     }));
     let request = fixture.request("small", &["house"]);
-    let (chosen, obstacles) = explain(&mut fixture, &request);
+    let (chosen, exclusions) = explain(&mut fixture, &request);
     expect_that!(chosen, some(eq(&ServerId::new("engine-2"))));
-    expect_that!(obstacles, eq(&vec!["weights", "far"]));
+    expect_that!(exclusions, eq(&vec!["weights", "far"]));
 }
 
 #[gtest]
--- a/azureway-wire/src/admin/option_body.rs
+++ b/azureway-wire/src/admin/option_body.rs
@@ -35,8 +35,8 @@
         Self {
             server: option.server.as_str().into(),
             zone: option.zone.as_str().into(),
-            chosen: option.obstacle.is_none(),
-            obstacle: option.obstacle.map(|o| o.as_str().into()),
+            chosen: option.exclusion.is_none(),
+            obstacle: option.exclusion.map(|o| o.as_str().into()),
             home: option.replica,
             cached: option.cached.get(),
             wait: micros(estimate.wait),
