--- a/azureway-core/src/event/action.rs
+++ b/azureway-core/src/event/action.rs
@@ -4,7 +4,7 @@
 use crate::claim::{ClaimCommand, ShortAnswer};
 use crate::domain::{Attempt, Refusal, RequestId, ServerId};
 use crate::member::ServerUpdate;
-use crate::quarantine::Strike;
+use crate::quarantine::CrashReport;
 
 /// A side effect that the router asks its driver to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,8 +22,8 @@
     Cancel(Attempt),
     /// Send a status change of a backend server to the other entry instances.
     BroadcastServer(ServerUpdate),
-    /// Send a strike to the other entry instances.
-    BroadcastStrike(Strike),
+    /// Send a crash report to the other entry instances.
+    BroadcastCrashReport(CrashReport),
     /// Request a snapshot of a backend server's cache.
     Resync(ServerId),
 }
--- a/azureway-core/src/event/failure_kind.rs
+++ b/azureway-core/src/event/failure_kind.rs
@@ -1,4 +1,4 @@
-//! The classes of failed attempts, by which server health and strikes are decided.
+//! The classes of failed attempts, by which server health and crash reports are decided.
 
 /// The way in which an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/azureway-core/src/event/input.rs
+++ b/azureway-core/src/event/input.rs
@@ -7,7 +7,7 @@
 use crate::domain::{Attempt, Request, RequestId, ServerId};
 use crate::fleet::{Fleet, LoadReport, LoadSample};
 use crate::member::{LoadNotice, ServerUpdate};
-use crate::quarantine::Strike;
+use crate::quarantine::CrashReport;
 
 /// An event that the router handles.
 #[derive(Clone, Copy, Debug)]
@@ -46,7 +46,7 @@
     /// completed.
     Loading(&'a LoadNotice),
     /// Another entry instance reported a request that was running when a server failed.
-    Strike(&'a Strike),
+    CrashReport(&'a CrashReport),
     /// The platform lists exactly these backend servers as leaving. The list is eventually
     /// consistent.
     Leaving(&'a [ServerId]),
--- a/azureway-core/src/member/gossip.rs
+++ b/azureway-core/src/member/gossip.rs
@@ -34,7 +34,9 @@
     pub fn next_batch(&mut self, count: usize, size: usize, now: Timestamp) -> Vec<GossipUpdate> {
         let refresh = |update: GossipUpdate| match update {
             GossipUpdate::Member(_) | GossipUpdate::Loading(_) => Some(update),
-            GossipUpdate::Server(_) | GossipUpdate::Strike(_) => self.seen.current(&update, now),
+            GossipUpdate::Server(_) | GossipUpdate::CrashReport(_) => {
+                self.seen.current(&update, now)
+            }
         };
         let taken = self.pending.take(count, size);
         taken.into_iter().filter_map(refresh).collect()
--- a/azureway-core/src/member/gossip_update.rs
+++ b/azureway-core/src/member/gossip_update.rs
@@ -1,7 +1,7 @@
 //! The union of all kinds of updates that heartbeats carry.
 
 use super::{LoadNotice, MemberUpdate, ServerUpdate};
-use crate::quarantine::Strike;
+use crate::quarantine::CrashReport;
 
 /// An update that heartbeats carry from peer to peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -11,7 +11,7 @@
     /// The failure or shutdown of a backend server.
     Server(ServerUpdate),
     /// A request that was running when a backend server crashed.
-    Strike(Strike),
+    CrashReport(CrashReport),
     /// A backend server that is about to load weights; receivers do not pass it on.
     Loading(LoadNotice),
 }
@@ -22,7 +22,7 @@
         match (self, other) {
             (Self::Member(a), Self::Member(b)) => a.instance.id == b.instance.id,
             (Self::Server(a), Self::Server(b)) => a.server == b.server,
-            (Self::Strike(a), Self::Strike(b)) => {
+            (Self::CrashReport(a), Self::CrashReport(b)) => {
                 a.fingerprint == b.fingerprint && a.site == b.site
             }
             _ => false,
--- a/azureway-core/src/member/membership.rs
+++ b/azureway-core/src/member/membership.rs
@@ -70,7 +70,9 @@
             PeerEvent::Version(version) => self.config_fetcher.adopt(version),
             PeerEvent::Demand(demand) => self.demand.update(demand, self.config.max_accounts),
             PeerEvent::Server(update) => self.publish(GossipUpdate::Server(update.clone()), now),
-            PeerEvent::Strike(strike) => self.publish(GossipUpdate::Strike(strike.clone()), now),
+            PeerEvent::CrashReport(report) => {
+                self.publish(GossipUpdate::CrashReport(report.clone()), now)
+            }
             PeerEvent::Loading(loading) => self.announce_load(loading, out),
             PeerEvent::Leaving => self.leave(out),
             PeerEvent::Tick => {}
--- a/azureway-core/src/member/peer_action.rs
+++ b/azureway-core/src/member/peer_action.rs
@@ -3,7 +3,7 @@
 use super::{GossipUpdate, Heartbeat, LoadNotice, ServerUpdate};
 use crate::admit::Demand;
 use crate::domain::{ConfigVersion, Instance};
-use crate::quarantine::Strike;
+use crate::quarantine::CrashReport;
 
 /// An action that the membership requests from its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,8 +20,8 @@
     Demand(Demand),
     /// Apply an update about a backend server.
     Server(ServerUpdate),
-    /// Apply a strike against a request.
-    Strike(Strike),
+    /// Apply a crash report against a request.
+    CrashReport(CrashReport),
     /// Apply the notice that a backend server is about to load weights.
     Loading(LoadNotice),
 }
@@ -32,7 +32,7 @@
         match update {
             GossipUpdate::Member(_) => None,
             GossipUpdate::Server(update) => Some(Self::Server(update.clone())),
-            GossipUpdate::Strike(strike) => Some(Self::Strike(strike.clone())),
+            GossipUpdate::CrashReport(report) => Some(Self::CrashReport(report.clone())),
             GossipUpdate::Loading(loading) => Some(Self::Loading(loading.clone())),
         }
     }
--- a/azureway-core/src/member/peer_event.rs
+++ b/azureway-core/src/member/peer_event.rs
@@ -3,7 +3,7 @@
 use super::{Heartbeat, LoadNotice, ServerUpdate};
 use crate::admit::Demand;
 use crate::domain::{ConfigVersion, Instance, InstanceId};
-use crate::quarantine::Strike;
+use crate::quarantine::CrashReport;
 
 /// An event that the membership handles.
 #[derive(Clone, Copy, Debug)]
@@ -24,8 +24,8 @@
     Demand(&'a Demand),
     /// This entry observed that a backend server fails or is leaving.
     Server(&'a ServerUpdate),
-    /// A strike against a request of this entry was recorded, confirmed or cleared.
-    Strike(&'a Strike),
+    /// A crash report against a request of this entry was recorded, confirmed or cleared.
+    CrashReport(&'a CrashReport),
     /// This entry is about to order a backend server to load weights.
     Loading(&'a LoadNotice),
     /// This instance is shutting down.
--- a/azureway-core/src/member/seen_updates.rs
+++ b/azureway-core/src/member/seen_updates.rs
@@ -72,7 +72,7 @@
 
 fn validity(update: &GossipUpdate) -> Duration {
     match update {
-        GossipUpdate::Strike(strike) => strike.ttl,
+        GossipUpdate::CrashReport(report) => report.ttl,
         GossipUpdate::Server(_) | GossipUpdate::Member(_) => SERVER_RETENTION,
         GossipUpdate::Loading(loading) => loading.duration,
     }
@@ -81,15 +81,17 @@
 fn replaces(update: &GossipUpdate, old: &GossipUpdate) -> bool {
     match (update, old) {
         (GossipUpdate::Server(update), GossipUpdate::Server(old)) => update.replaces(old),
-        (GossipUpdate::Strike(update), GossipUpdate::Strike(old)) => update.state > old.state,
+        (GossipUpdate::CrashReport(update), GossipUpdate::CrashReport(old)) => {
+            update.state > old.state
+        }
         _ => false,
     }
 }
 
 fn with_remaining(update: &GossipUpdate, left: Duration) -> GossipUpdate {
     let mut update = update.clone();
-    if let GossipUpdate::Strike(strike) = &mut update {
-        strike.ttl = left;
+    if let GossipUpdate::CrashReport(report) = &mut update {
+        report.ttl = left;
     }
     update
 }
--- a/azureway-core/src/quarantine/crash_guard.rs
+++ b/azureway-core/src/quarantine/crash_guard.rs
@@ -1,18 +1,18 @@
 //! Decides where requests that may crash backend servers are allowed to run.
 
-use super::{CrashSite, Isolation, Quarantine, Strike, StrikeState, SuspectStatus};
+use super::{CrashReport, CrashReportState, CrashSite, Isolation, Quarantine, SuspectStatus};
 use crate::domain::{Fingerprint, Incarnation, Request, RequestId, ServerId, Timestamp};
 use crate::event::{Failure, FailureKind};
 
 /// Protects backend servers from requests that crash them.
 ///
-/// It records which requests are suspects, on which servers suspects run, and the strikes to
+/// It records which requests are suspects, on which servers suspects run, and the crash reports to
 /// broadcast to the other entries.
 #[derive(Clone, Debug, Default)]
 pub struct CrashGuard {
     quarantine: Quarantine,
     isolation: Isolation,
-    updates: Vec<Strike>,
+    updates: Vec<CrashReport>,
 }
 
 impl CrashGuard {
@@ -94,14 +94,14 @@
             | FailureKind::Mismatch
             | FailureKind::Busy
             | FailureKind::Declined => return,
-            _ if restarted => StrikeState::Confirmed,
-            FailureKind::Broken => StrikeState::Unconfirmed,
+            _ if restarted => CrashReportState::Confirmed,
+            FailureKind::Broken => CrashReportState::Unconfirmed,
             // A silent connection or a bad answer alone is weak evidence of a crash.
-            FailureKind::Silent | FailureKind::Faulty => StrikeState::Tentative,
+            FailureKind::Silent | FailureKind::Faulty => CrashReportState::Tentative,
         };
         let fingerprint = request.fingerprint;
-        let strike = self.quarantine.add_strike(fingerprint, site, state, now);
-        self.updates.push(strike);
+        let report = self.quarantine.add_report(fingerprint, site, state, now);
+        self.updates.push(report);
     }
 
     /// Records the incarnation that a server reported.
@@ -117,14 +117,14 @@
         self.updates.extend(resolved);
     }
 
-    /// Merges a strike from another entry. Returns whether it changed a strike and its request is
+    /// Merges a crash report from another entry. Returns whether it changed a crash report and its request is
     /// quarantined.
-    pub fn merge(&mut self, strike: &Strike, now: Timestamp) -> bool {
-        self.quarantine.merge(strike, now) && self.is_quarantined(&strike.fingerprint, now)
+    pub fn merge(&mut self, report: &CrashReport, now: Timestamp) -> bool {
+        self.quarantine.merge(report, now) && self.is_quarantined(&report.fingerprint, now)
     }
 
-    /// Removes and returns the strikes to broadcast to the other entries.
-    pub fn take_updates(&mut self) -> Vec<Strike> {
+    /// Removes and returns the crash reports to broadcast to the other entries.
+    pub fn take_updates(&mut self) -> Vec<CrashReport> {
         std::mem::take(&mut self.updates)
     }
 }
--- a/azureway-core/src/quarantine/strike.rs
+++ b/azureway-core/src/quarantine/crash_report.rs
@@ -1,29 +1,29 @@
-//! A strike against a request.
+//! A crash report against a request.
 
 use std::time::Duration;
 
-use super::{CrashSite, StrikeState};
+use super::{CrashReportState, CrashSite};
 use crate::domain::Fingerprint;
 
-/// A strike against a request that was running when a backend server failed.
+/// A crash report against a request that was running when a backend server failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Strike {
+pub struct CrashReport {
     /// The fingerprint of the request, which identical requests share.
     pub fingerprint: Fingerprint,
     /// The server that failed, and its incarnation.
     pub site: CrashSite,
     /// The state of the evidence.
-    pub state: StrikeState,
-    /// The remaining time for which the strike counts. Forwarding a strike never extends it.
+    pub state: CrashReportState,
+    /// The remaining time for which the crash report counts. Forwarding a crash report never extends it.
     pub ttl: Duration,
 }
 
-impl Strike {
-    /// Creates a strike that counts for `ttl`.
+impl CrashReport {
+    /// Creates a crash report that counts for `ttl`.
     pub const fn new(
         fingerprint: Fingerprint,
         site: CrashSite,
-        state: StrikeState,
+        state: CrashReportState,
         ttl: Duration,
     ) -> Self {
         Self {
--- a/azureway-core/src/quarantine/strike_state.rs
+++ b/azureway-core/src/quarantine/crash_report_state.rs
@@ -1,12 +1,12 @@
-//! The state of the evidence behind a strike.
+//! The state of the evidence behind a crash report.
 
-/// The state of the evidence behind a strike.
+/// The state of the evidence behind a crash report.
 ///
-/// Updates of the same strike only ever raise its state, so that entries converge whatever the
+/// Updates of the same crash report only ever raise its state, so that entries converge whatever the
 /// order in which updates arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum StrikeState {
-    /// The connection went silent or the answer was bad. The strike does not count by itself.
+pub enum CrashReportState {
+    /// The connection went silent or the answer was bad. The crash report does not count by itself.
     Tentative,
     /// The connection broke. The server may or may not have crashed.
     Unconfirmed,
@@ -16,7 +16,7 @@
     Cleared,
 }
 
-impl StrikeState {
+impl CrashReportState {
     /// All states, in ascending order.
     pub const ALL: [Self; 4] = [
         Self::Tentative,
@@ -25,7 +25,7 @@
         Self::Cleared,
     ];
 
-    /// Returns whether the server's next report can still confirm or clear the strike.
+    /// Returns whether the server's next report can still confirm or clear the crash report.
     pub const fn is_unresolved(self) -> bool {
         matches!(self, Self::Tentative | Self::Unconfirmed)
     }
--- a/azureway-core/src/quarantine/crash_site.rs
+++ b/azureway-core/src/quarantine/crash_site.rs
@@ -1,4 +1,4 @@
-//! The backend server and incarnation that a strike refers to.
+//! The backend server and incarnation that a crash report refers to.
 
 use crate::domain::{Incarnation, ServerId};
 
--- a/azureway-core/src/quarantine/quarantined.rs
+++ b/azureway-core/src/quarantine/quarantined.rs
@@ -3,37 +3,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::{CrashSite, Strike, StrikeSet, StrikeState, SuspectStatus};
+use super::{CrashReport, CrashReportSet, CrashReportState, CrashSite, SuspectStatus};
 use crate::domain::{Fingerprint, Incarnation, ServerId, Timestamp};
 
 /// The requests that were running when backend servers failed, by fingerprint.
 ///
-/// One strike makes a request a suspect, and two strikes at different sites quarantine it. A
-/// strike is confirmed when its server reports a greater incarnation. It is cleared when the
+/// One crash report makes a request a suspect, and two crash reports at different sites quarantine it. A
+/// crash report is confirmed when its server reports a greater incarnation. It is cleared when the
 /// server reports the same incarnation or when the request succeeds.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
-    records: BTreeMap<Fingerprint, StrikeSet>,
-    /// The servers whose next report can resolve a strike.
+    records: BTreeMap<Fingerprint, CrashReportSet>,
+    /// The servers whose next report can resolve a crash report.
     unresolved: BTreeSet<ServerId>,
     /// The sites whose failure is attributed to a quarantined request, with the time at which
     /// the attribution ends.
     attributed: BTreeMap<CrashSite, Timestamp>,
 }
 
-/// The time for which a strike counts.
-const STRIKE_TTL: Duration = Duration::from_secs(600);
-/// The time for which an unconfirmed strike counts at a server of unknown incarnation, where
+/// The time for which a crash report counts.
+const CRASH_REPORT_TTL: Duration = Duration::from_secs(600);
+/// The time for which an unconfirmed crash report counts at a server of unknown incarnation, where
 /// no report can resolve it.
 const UNCONFIRMED_TTL: Duration = Duration::from_secs(60);
-/// The largest delay of a report. A report that arrives later than this after a strike is newer
-/// than the strike.
+/// The largest delay of a report. A report that arrives later than this after a crash report is newer
+/// than the crash report.
 const MAX_REPORT_LAG: Duration = Duration::from_secs(5);
-/// The largest number of requests with strikes, which bounds memory.
+/// The largest number of requests with crash reports, which bounds memory.
 const MAX_RECORDS: usize = 4_096;
 
 impl Quarantine {
-    /// Creates a quarantine without strikes.
+    /// Creates a quarantine without crash reports.
     pub fn new() -> Self {
         Self::default()
     }
@@ -55,54 +55,54 @@
         all.filter(|f| self.status(f, now) == status).count()
     }
 
-    /// Records that a request was running when a server failed. Returns the strike.
-    pub fn add_strike(
+    /// Records that a request was running when a server failed. Returns the crash report.
+    pub fn add_report(
         &mut self,
         fingerprint: Fingerprint,
         site: CrashSite,
-        state: StrikeState,
+        state: CrashReportState,
         now: Timestamp,
-    ) -> Strike {
-        let strike = Strike::new(fingerprint, site, state, STRIKE_TTL);
-        self.merge(&strike, now);
-        strike
+    ) -> CrashReport {
+        let report = CrashReport::new(fingerprint, site, state, CRASH_REPORT_TTL);
+        self.merge(&report, now);
+        report
     }
 
-    /// Merges a strike of this or another entry. Returns whether it was new or raised the state of
-    /// a known strike.
-    pub fn merge(&mut self, strike: &Strike, now: Timestamp) -> bool {
+    /// Merges a crash report of this or another entry. Returns whether it was new or raised the state of
+    /// a known crash report.
+    pub fn merge(&mut self, report: &CrashReport, now: Timestamp) -> bool {
         self.evict(now);
-        if strike.state.is_unresolved() {
-            self.unresolved.insert(strike.site.server.clone());
+        if report.state.is_unresolved() {
+            self.unresolved.insert(report.site.server.clone());
         }
-        if strike.state == StrikeState::Cleared {
-            self.attributed.remove(&strike.site);
+        if report.state == CrashReportState::Cleared {
+            self.attributed.remove(&report.site);
         }
-        let record = self.records.entry(strike.fingerprint).or_default();
-        let is_new = record.merge(strike, now);
-        if is_new && self.status(&strike.fingerprint, now) == SuspectStatus::Quarantined {
-            self.attribute_sites(&strike.fingerprint, now);
+        let record = self.records.entry(report.fingerprint).or_default();
+        let is_new = record.merge(report, now);
+        if is_new && self.status(&report.fingerprint, now) == SuspectStatus::Quarantined {
+            self.attribute_sites(&report.fingerprint, now);
         }
         is_new
     }
 
-    /// Records that a request succeeded. Returns the strikes that this clears.
-    pub fn clear(&mut self, fingerprint: &Fingerprint, now: Timestamp) -> Vec<Strike> {
+    /// Records that a request succeeded. Returns the crash reports that this clears.
+    pub fn clear(&mut self, fingerprint: &Fingerprint, now: Timestamp) -> Vec<CrashReport> {
         let Some(record) = self.records.get(fingerprint) else {
             return Vec::new();
         };
         let sites = record.active().map(|(site, ..)| site.clone()).collect();
-        self.resolve(*fingerprint, sites, StrikeState::Cleared, now)
+        self.resolve(*fingerprint, sites, CrashReportState::Cleared, now)
     }
 
-    /// Records the incarnation that a server reported. Returns the strikes that this confirms
+    /// Records the incarnation that a server reported. Returns the crash reports that this confirms
     /// or clears.
     pub fn observe_incarnation(
         &mut self,
         server: &ServerId,
         incarnation: Incarnation,
         now: Timestamp,
-    ) -> Vec<Strike> {
+    ) -> Vec<CrashReport> {
         let mut changed = Vec::new();
         if !self.unresolved.contains(server) {
             return changed;
@@ -123,18 +123,18 @@
         changed
     }
 
-    /// Returns the number of requests that have strikes.
+    /// Returns the number of requests that have crash reports.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns whether no request has strikes.
+    /// Returns whether no request has crash reports.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
     fn has_unresolved(&self, server: &ServerId) -> bool {
-        let matches = |r: &StrikeSet| {
+        let matches = |r: &CrashReportSet| {
             r.active()
                 .any(|(site, state, _)| state.is_unresolved() && site.server == *server)
         };
@@ -142,16 +142,16 @@
     }
 
     /// Attributes the failures at the sites of a quarantined request to that request. Other
-    /// requests that ran there keep their strikes, since one of them may be the cause instead.
+    /// requests that ran there keep their crash reports, since one of them may be the cause instead.
     fn attribute_sites(&mut self, cause: &Fingerprint, now: Timestamp) {
-        let until = now + STRIKE_TTL;
+        let until = now + CRASH_REPORT_TTL;
         let sites = self.records[cause].active();
         let sites = sites.map(|(site, ..)| (site.clone(), until));
         self.attributed.extend(sites);
     }
 
-    /// Returns whether every strike of a suspect is attributed to a quarantined request.
-    fn is_attributed(&self, record: &StrikeSet, now: Timestamp) -> bool {
+    /// Returns whether every crash report of a suspect is attributed to a quarantined request.
+    fn is_attributed(&self, record: &CrashReportSet, now: Timestamp) -> bool {
         let known = |site| self.attributed.get(site).is_some_and(|until| *until > now);
         record.active().all(|(site, ..)| known(site))
     }
@@ -160,17 +160,17 @@
         &mut self,
         fingerprint: Fingerprint,
         sites: Vec<CrashSite>,
-        state: StrikeState,
+        state: CrashReportState,
         now: Timestamp,
-    ) -> Vec<Strike> {
-        let strikes = sites
+    ) -> Vec<CrashReport> {
+        let reports = sites
             .into_iter()
-            .map(|site| Strike::new(fingerprint, site, state, STRIKE_TTL));
-        let strikes: Vec<_> = strikes.collect();
-        strikes.into_iter().filter(|s| self.merge(s, now)).collect()
+            .map(|site| CrashReport::new(fingerprint, site, state, CRASH_REPORT_TTL));
+        let reports: Vec<_> = reports.collect();
+        reports.into_iter().filter(|s| self.merge(s, now)).collect()
     }
 
-    /// Makes room for one request at the bound: removes expired strikes and, if that is not
+    /// Makes room for one request at the bound: removes expired crash reports and, if that is not
     /// enough, one request, preferably one that is not quarantined.
     fn evict(&mut self, now: Timestamp) {
         if self.records.len() < MAX_RECORDS {
@@ -182,7 +182,7 @@
             return;
         }
         let evictable =
-            |r: &StrikeSet| r.status(UNCONFIRMED_TTL, now) != SuspectStatus::Quarantined;
+            |r: &CrashReportSet| r.status(UNCONFIRMED_TTL, now) != SuspectStatus::Quarantined;
         let evicted = self.records.iter().find(|(_, r)| evictable(r));
         let evicted = evicted.or(self.records.iter().next()).map(|(p, _)| *p);
         if let Some(evicted) = evicted {
@@ -191,19 +191,19 @@
     }
 }
 
-/// Returns the site and the new state of an unresolved strike if the incarnation that its server
+/// Returns the site and the new state of an unresolved crash report if the incarnation that its server
 /// reported resolves it.
 fn resolution(
-    (site, state, since): (&CrashSite, StrikeState, Timestamp),
+    (site, state, since): (&CrashSite, CrashReportState, Timestamp),
     incarnation: Incarnation,
     now: Timestamp,
-) -> Option<(CrashSite, StrikeState)> {
+) -> Option<(CrashSite, CrashReportState)> {
     if !state.is_unresolved() || site.incarnation == Incarnation::ZERO {
         return None;
     }
     if incarnation > site.incarnation {
-        return Some((site.clone(), StrikeState::Confirmed));
+        return Some((site.clone(), CrashReportState::Confirmed));
     }
     let alive = incarnation == site.incarnation && now.since(since) > MAX_REPORT_LAG;
-    alive.then(|| (site.clone(), StrikeState::Cleared))
+    alive.then(|| (site.clone(), CrashReportState::Cleared))
 }
--- a/azureway-core/src/quarantine/suspect_status.rs
+++ b/azureway-core/src/quarantine/suspect_status.rs
@@ -1,9 +1,9 @@
 //! The quarantine status of a request.
 
-/// The quarantine status of a request, which follows from its strikes.
+/// The quarantine status of a request, which follows from its crash reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectStatus {
-    /// No strike counts against the request.
+    /// No crash report counts against the request.
     Clear,
     /// The request was running when one backend server failed. It is isolated from other suspects.
     Suspect,
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -72,7 +72,7 @@
                 self.dispatcher.apply_loading(notice, now);
                 self.queues.mark_all_dirty();
             }
-            Event::Strike(strike) => self.apply_strike(strike, now, out),
+            Event::CrashReport(report) => self.apply_crash_report(report, now, out),
             Event::Leaving(list) => {
                 self.dispatcher.servers_mut().set_listed_leaving(list);
                 self.queues.mark_all_dirty();
@@ -83,7 +83,7 @@
         self.expire(now, out);
         self.dispatch_retries(now, out);
         self.dispatch_queued(now, out);
-        self.broadcast_strikes(out);
+        self.broadcast_crash_reports(out);
         self.claims.apply_actions(start, out);
         self.tally.apply_actions(&out[start..], now);
     }
--- a/azureway-core/src/router/suspects.rs
+++ b/azureway-core/src/router/suspects.rs
@@ -4,7 +4,7 @@
 use crate::admit::{BlockedClasses, QueuedRequest};
 use crate::domain::{Fingerprint, StreamPosition, Timestamp};
 use crate::event::{Action, Failure};
-use crate::quarantine::{Strike, SuspectStatus};
+use crate::quarantine::{CrashReport, SuspectStatus};
 use crate::route::Policy;
 
 impl<P: Policy> Router<P> {
@@ -34,16 +34,21 @@
         RetryDecision::new(flight, failure, self.config.max_attempts, now)
     }
 
-    /// Applies a strike from another entry.
-    pub(super) fn apply_strike(&mut self, strike: &Strike, now: Timestamp, out: &mut Vec<Action>) {
-        if self.dispatcher.guard_mut().merge(strike, now) {
-            self.refuse_quarantined(&strike.fingerprint, out);
+    /// Applies a crash report from another entry.
+    pub(super) fn apply_crash_report(
+        &mut self,
+        report: &CrashReport,
+        now: Timestamp,
+        out: &mut Vec<Action>,
+    ) {
+        if self.dispatcher.guard_mut().merge(report, now) {
+            self.refuse_quarantined(&report.fingerprint, out);
         }
     }
 
     /// Refuses every waiting retry of a quarantined request whose stream has not begun. Queued
     /// requests are refused when they reach the head of their queue. Requests in flight go on,
-    /// since strikes cannot tell the cause of a crash from a request that merely ran beside it.
+    /// since crash reports cannot tell the cause of a crash from a request that merely ran beside it.
     fn refuse_quarantined(&mut self, fingerprint: &Fingerprint, out: &mut Vec<Action>) {
         for retry in self.retries.remove_quarantined(fingerprint) {
             let refusal = RetryDecision::quarantined(retry.plan.not_run);
@@ -76,9 +81,9 @@
         }
     }
 
-    /// Appends the strikes to send to the other entries.
-    pub(super) fn broadcast_strikes(&mut self, out: &mut Vec<Action>) {
+    /// Appends the crash reports to send to the other entries.
+    pub(super) fn broadcast_crash_reports(&mut self, out: &mut Vec<Action>) {
         let updates = self.dispatcher.guard_mut().take_updates();
-        out.extend(updates.into_iter().map(Action::BroadcastStrike));
+        out.extend(updates.into_iter().map(Action::BroadcastCrashReport));
     }
 }
--- a/azureway-core/tests/cluster/mod.rs
+++ b/azureway-core/tests/cluster/mod.rs
@@ -26,7 +26,7 @@
     bodies: BTreeMap<(usize, RequestId), String>,
     running: Vec<RunningAttempt>,
     incarnations: BTreeMap<ServerId, u64>,
-    strikes: Vec<(usize, Strike)>,
+    crash_reports: Vec<(usize, CrashReport)>,
 }
 
 impl Cluster {
@@ -43,7 +43,7 @@
             bodies: BTreeMap::new(),
             running: Vec::new(),
             incarnations: incarnations.collect(),
-            strikes: Vec::new(),
+            crash_reports: Vec::new(),
         };
         cluster.report_all();
         cluster
@@ -151,14 +151,14 @@
         }
     }
 
-    /// Delivers every broadcast strike to the other entries.
-    pub fn share_strikes(&mut self) {
-        while let Some((from, strike)) = self.strikes.pop() {
+    /// Delivers every broadcast crash report to the other entries.
+    pub fn share_crash_reports(&mut self) {
+        while let Some((from, report)) = self.crash_reports.pop() {
             let others = (0..self.entries.len()).filter(|e| *e != from);
             others
                 .collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|e| self.handle(e, Event::Strike(&strike)));
+                .for_each(|e| self.handle(e, Event::CrashReport(&report)));
         }
     }
 
@@ -240,7 +240,7 @@
                     self.running
                         .retain(|a| (a.0, a.2.attempt) != (entry, attempt));
                 }
-                Action::BroadcastStrike(strike) => self.strikes.push((entry, strike)),
+                Action::BroadcastCrashReport(report) => self.crash_reports.push((entry, report)),
                 _ => {}
             }
         }
--- a/azureway-core/tests/group/mod.rs
+++ b/azureway-core/tests/group/mod.rs
@@ -29,7 +29,7 @@
     pub core: Membership,
     pub running: bool,
     pub paused_until: Timestamp,
-    pub strikes: Vec<Strike>,
+    pub crash_reports: Vec<CrashReport>,
     pub server_updates: Vec<ServerUpdate>,
     pub demand: BTreeMap<InstanceId, Demand>,
     pub ready_at: Option<Timestamp>,
@@ -117,7 +117,7 @@
             core,
             running: true,
             paused_until: Timestamp::ZERO,
-            strikes: Vec::new(),
+            crash_reports: Vec::new(),
             server_updates: Vec::new(),
             demand: BTreeMap::new(),
             ready_at: None,
@@ -292,7 +292,7 @@
                 self.schedule(DELAY, Message::Heartbeat(id.clone(), peer.id, beat));
             }
             PeerAction::Fetch(peer, version) => self.fetch(id, &peer.id, version),
-            PeerAction::Strike(strike) => self.node(id).strikes.push(strike),
+            PeerAction::CrashReport(report) => self.node(id).crash_reports.push(report),
             PeerAction::Server(update) => self.node(id).server_updates.push(update),
             PeerAction::Demand(demand) => {
                 self.node(id).demand.insert(demand.instance.clone(), demand);
--- a/azureway-core/tests/quarantine.rs
+++ b/azureway-core/tests/quarantine.rs
@@ -15,7 +15,7 @@
 const POISON: &str = "poison";
 
 /// Each row gives the number of entries, the number of requests, whether they are concurrent
-/// through all entries, whether entries exchange strikes, and the largest number of crashes.
+/// through all entries, whether entries exchange crash reports, and the largest number of crashes.
 #[gtest]
 fn a_poison_request_crashes_a_bounded_number_of_servers() {
     let cases = CASES
@@ -32,7 +32,7 @@
                 cluster.crash_all(POISON);
             }
             if parts[5] == "told" {
-                cluster.share_strikes();
+                cluster.share_crash_reports();
             }
             cluster.report_all();
             cluster.advance(Duration::from_secs(3));
@@ -51,7 +51,7 @@
         cluster.send(request % 3, POISON);
         cluster.crash_one(POISON);
         cluster.list_all();
-        cluster.share_strikes();
+        cluster.share_crash_reports();
         cluster.advance(Duration::from_secs(3));
     }
     cluster.crash_all(POISON);
@@ -119,7 +119,7 @@
 }
 
 #[gtest]
-fn an_unchanged_incarnation_clears_the_strikes_of_broken_connections() {
+fn an_unchanged_incarnation_clears_the_crash_reports_of_broken_connections() {
     let mut cluster = Cluster::new(1, SERVERS);
     cluster.report_all();
     cluster.send(0, "innocent");
@@ -207,7 +207,7 @@
             }
             cluster.crash_one(POISON);
             if shared {
-                cluster.share_strikes();
+                cluster.share_crash_reports();
             }
             // Attempts that were running at the second crash keep running.
             if cluster.crashes == 2 && copies.is_none() {
--- a/azureway-core/tests/router.rs
+++ b/azureway-core/tests/router.rs
@@ -64,9 +64,9 @@
     let lost: Vec<_> = sent.iter().filter(|d| d.server == sent[0].server).collect();
     for dispatch in &lost {
         let broken = failure(dispatch, FailureKind::Broken, SendState::MaybeRun, 5);
-        // The strike is broadcast to peers, and nothing is dispatched or refused.
+        // The crash report is broadcast to peers, and nothing is dispatched or refused.
         let actions = fixture.handle(Event::Failed(&broken));
-        expect_that!(actions, each(pat!(Action::BroadcastStrike(_))));
+        expect_that!(actions, each(pat!(Action::BroadcastCrashReport(_))));
     }
     let rest = sent
         .iter()
--- a/azureway-dev/src/replay/replay_driver.rs
+++ b/azureway-dev/src/replay/replay_driver.rs
@@ -268,7 +268,9 @@
             }
             // No request of a trace is repeated with its idempotency key, and a replay has no other
             // entry to broadcast to.
-            Action::ReplayAnswer(..) | Action::BroadcastServer(_) | Action::BroadcastStrike(_) => {}
+            Action::ReplayAnswer(..)
+            | Action::BroadcastServer(_)
+            | Action::BroadcastCrashReport(_) => {}
             Action::Resync(server) => {
                 if let Some(index) = self.environment.engines.index_of(server.as_str()) {
                     let delay = self.environment.delay(index);
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -238,7 +238,7 @@
                     self.record_metric(MetricEvent::Cancelled(attempt));
                 }
                 Action::BroadcastServer(update) => self.peers.send_server(update),
-                Action::BroadcastStrike(strike) => self.peers.send_strike(strike),
+                Action::BroadcastCrashReport(report) => self.peers.send_crash_report(report),
                 Action::Resync(server) => self.feeds.resync(&server),
             }
         }
--- a/azureway-entry/src/decide/peer_update.rs
+++ b/azureway-entry/src/decide/peer_update.rs
@@ -1,6 +1,6 @@
 //! What the peer duty passes on to the deciding duty.
 
-use azureway_core::prelude::{Demand, Event, LoadNotice, ServerUpdate, Strike};
+use azureway_core::prelude::{CrashReport, Demand, Event, LoadNotice, ServerUpdate};
 
 /// An update from other entry instances, or one derived from their heartbeats.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     /// Another entry instance reported a status change of a backend server.
     Server(ServerUpdate),
     /// Another entry instance reported a request that was running when a backend server failed.
-    Strike(Strike),
+    CrashReport(CrashReport),
     /// An entry instance is about to order a backend server to load weights, or the load has
     /// completed.
     Loading(LoadNotice),
@@ -29,7 +29,7 @@
             Self::HeartbeatRound(known) => Event::ListedEntries(*known),
             Self::Demand(demand) => Event::Demand(demand),
             Self::Server(update) => Event::Server(update),
-            Self::Strike(strike) => Event::Strike(strike),
+            Self::CrashReport(report) => Event::CrashReport(report),
             Self::Loading(loading) => Event::Loading(loading),
         }
     }
--- a/azureway-entry/src/peer/peer_client.rs
+++ b/azureway-entry/src/peer/peer_client.rs
@@ -1,6 +1,6 @@
 //! Non-blocking messages from the deciding duty to the peer duty.
 
-use azureway_core::prelude::{Demand, InstanceId, ServerUpdate, Strike};
+use azureway_core::prelude::{CrashReport, Demand, InstanceId, ServerUpdate};
 use flume::Sender;
 
 use super::PeerMessage;
@@ -35,8 +35,8 @@
         let _ = self.peer.try_send(PeerMessage::Server(update));
     }
 
-    /// Sends a strike against a request.
-    pub fn send_strike(&self, strike: Strike) {
-        let _ = self.peer.try_send(PeerMessage::Strike(strike));
+    /// Sends a crash report against a request.
+    pub fn send_crash_report(&self, report: CrashReport) {
+        let _ = self.peer.try_send(PeerMessage::CrashReport(report));
     }
 }
--- a/azureway-entry/src/peer/peer_duty.rs
+++ b/azureway-entry/src/peer/peer_duty.rs
@@ -98,7 +98,9 @@
             Some(PeerMessage::Configured(document)) => self.record_document(document).await,
             Some(PeerMessage::Listed(list)) => self.handle(PeerEvent::Listed(&list)).await,
             Some(PeerMessage::Demand(demand)) => self.handle(PeerEvent::Demand(&demand)).await,
-            Some(PeerMessage::Strike(strike)) => self.handle(PeerEvent::Strike(&strike)).await,
+            Some(PeerMessage::CrashReport(report)) => {
+                self.handle(PeerEvent::CrashReport(&report)).await
+            }
             Some(PeerMessage::Server(update)) => self.handle(PeerEvent::Server(&update)).await,
             Some(PeerMessage::Loading(loading)) => {
                 self.handle(PeerEvent::Loading(&loading)).await;
@@ -173,8 +175,8 @@
                     self.send_decide(DecideMessage::Peer(PeerUpdate::Loading(loading)))
                         .await
                 }
-                PeerAction::Strike(strike) => {
-                    self.send_decide(DecideMessage::Peer(PeerUpdate::Strike(strike)))
+                PeerAction::CrashReport(report) => {
+                    self.send_decide(DecideMessage::Peer(PeerUpdate::CrashReport(report)))
                         .await
                 }
             }
--- a/azureway-entry/src/peer/peer_message.rs
+++ b/azureway-entry/src/peer/peer_message.rs
@@ -1,7 +1,7 @@
 //! The input of the peer duty, from other duties and from its own calls and service.
 
 use azureway_core::prelude::{
-    ConfigVersion, Demand, Heartbeat, Instance, InstanceId, LoadNotice, ServerUpdate, Strike,
+    ConfigVersion, CrashReport, Demand, Heartbeat, Instance, InstanceId, LoadNotice, ServerUpdate,
 };
 use flume::Sender;
 
@@ -18,7 +18,7 @@
     Demand(Demand),
     /// A request of this entry instance was running when a backend server failed, or was cleared
     /// of suspicion.
-    Strike(Strike),
+    CrashReport(CrashReport),
     /// This entry instance is about to order a backend server to load weights.
     Loading(LoadNotice),
     /// This entry instance observed evidence against a backend server.
--- a/azureway-wire/src/peer/news.rs
+++ b/azureway-wire/src/peer/news.rs
@@ -4,8 +4,8 @@
 
 use azureway_core::prelude as core;
 use azureway_core::prelude::{
-    CrashSite, Error, Fingerprint, Incarnation, Liveness, MemberUpdate, ServerId, ServerStatus,
-    ServerUpdate, StrikeState, WeightsVersion,
+    CrashReportState, CrashSite, Error, Fingerprint, Incarnation, Liveness, MemberUpdate, ServerId,
+    ServerStatus, ServerUpdate, WeightsVersion,
 };
 
 use super::invalid_field::invalid_field;
@@ -23,7 +23,7 @@
                 incarnation: server.incarnation.get(),
                 sign: server.status as u32,
             }),
-            core::GossipUpdate::Strike(strike) => Subject::Strike(strike.into()),
+            core::GossipUpdate::CrashReport(report) => Subject::Strike(report.into()),
             core::GossipUpdate::Loading(loading) => Subject::Loading(loading.into()),
         };
         Self {
@@ -32,14 +32,14 @@
     }
 }
 
-impl From<&core::Strike> for Strike {
-    fn from(strike: &core::Strike) -> Self {
+impl From<&core::CrashReport> for Strike {
+    fn from(report: &core::CrashReport) -> Self {
         Self {
-            fingerprint: strike.fingerprint.as_bytes().to_vec(),
-            server: strike.site.server.as_str().to_owned(),
-            incarnation: strike.site.incarnation.get(),
-            state: strike.state as u32,
-            left_ms: u32::try_from(strike.ttl.as_millis()).unwrap_or(u32::MAX),
+            fingerprint: report.fingerprint.as_bytes().to_vec(),
+            server: report.site.server.as_str().to_owned(),
+            incarnation: report.site.incarnation.get(),
+            state: report.state as u32,
+            left_ms: u32::try_from(report.ttl.as_millis()).unwrap_or(u32::MAX),
         }
     }
 }
@@ -75,7 +75,7 @@
         {
             Subject::Member(member) => member.try_into().map(Self::Member),
             Subject::Server(server) => server.try_into().map(Self::Server),
-            Subject::Strike(strike) => strike.try_into().map(Self::Strike),
+            Subject::Strike(report) => report.try_into().map(Self::CrashReport),
             Subject::Loading(loading) => Ok(Self::Loading(loading.into())),
         }
     }
@@ -107,7 +107,7 @@
     }
 }
 
-impl TryFrom<&Strike> for core::Strike {
+impl TryFrom<&Strike> for core::CrashReport {
     type Error = Error;
 
     fn try_from(message: &Strike) -> Result<Self, Error> {
@@ -115,7 +115,7 @@
         let fingerprint = Fingerprint::from_bytes(bytes.map_err(|_| invalid_field("fingerprint"))?);
         let incarnation = Incarnation::new(message.incarnation);
         let site = CrashSite::new(ServerId::new(&message.server), incarnation);
-        let state = from_index(&StrikeState::ALL, message.state, "state")?;
+        let state = from_index(&CrashReportState::ALL, message.state, "state")?;
         let ttl = Duration::from_millis(message.left_ms.into());
         Ok(Self::new(fingerprint, site, state, ttl))
     }
--- a/azureway-wire/tests/peer.rs
+++ b/azureway-wire/tests/peer.rs
@@ -21,13 +21,13 @@
     Instance::new(id, zone, address).with_incarnation(Incarnation::new(1_800_000_000_000_000))
 }
 
-fn strike(number: u8) -> Strike {
+fn crash_report(number: u8) -> CrashReport {
     let site = CrashSite::new(ServerId::new("maribor-3-engine-210"), Incarnation::new(9));
     let fingerprint = Fingerprint::from_bytes([number; 16]);
-    Strike::new(
+    CrashReport::new(
         fingerprint,
         site,
-        StrikeState::Confirmed,
+        CrashReportState::Confirmed,
         Duration::from_secs(600),
     )
 }
@@ -54,7 +54,9 @@
 #[gtest]
 fn a_heartbeat_is_unchanged_after_encoding_and_decoding() {
     let mut heartbeat = largest_heartbeat();
-    heartbeat.updates.push(GossipUpdate::Strike(strike(7)));
+    heartbeat
+        .updates
+        .push(GossipUpdate::CrashReport(crash_report(7)));
     heartbeat.updates.push(GossipUpdate::Server(ServerUpdate {
         server: ServerId::new("engine-1"),
         incarnation: Incarnation::new(3),
