--- a/azureway-core/src/cache/block_chain.rs
+++ b/azureway-core/src/cache/prompt_blocks.rs
@@ -15,29 +15,29 @@
 /// A prompt as a chain of blocks. A block ends at the end of its prompt level or when it is full,
 /// so that prompts that share a level share all blocks up to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BlockChain {
+pub struct PromptBlocks {
     salt: Salt,
     blocks: SmallVec<[Block; 6]>,
     prefix: PrefixKey,
     prefix_tokens: TokenCount,
 }
 
-impl BlockChain {
+impl PromptBlocks {
     /// Derives the chain of a prompt from its levels, the outermost first.
     pub fn new<'a>(salt: Salt, levels: impl IntoIterator<Item = &'a [u8]>) -> Self {
-        let mut chain = Self {
+        let mut prompt = Self {
             salt,
             blocks: SmallVec::new(),
             prefix: PrefixKey::new(salt.number()),
             prefix_tokens: TokenCount::ZERO,
         };
         for (depth, level) in levels.into_iter().enumerate() {
-            chain.push_level(level);
+            prompt.push_level(level);
             if depth < SHARED_LEVELS {
-                chain.extend_prefix();
+                prompt.extend_prefix();
             }
         }
-        chain
+        prompt
     }
 
     /// Creates a chain from blocks whose keys were derived elsewhere, such as in a trace.
--- a/azureway-core/src/cache/salt.rs
+++ b/azureway-core/src/cache/salt.rs
@@ -3,7 +3,7 @@
 use crate::domain::{AccountId, ServiceId, WeightsVersion};
 use crate::util::TruncatedSha256;
 
-/// A digest of client account, service and weights version, from which every block chain is
+/// A digest of client account, service and weights version, from which the keys of all blocks are
 /// derived. It keeps accounts and weights versions from sharing cached blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Salt([u8; 16]);
--- a/azureway-core/src/domain/request.rs
+++ b/azureway-core/src/domain/request.rs
@@ -4,7 +4,7 @@
     AccountId, Deadline, Fingerprint, IdempotencyKey, Rank, RequestId, RequestKind, ServiceId,
     Timestamp, TokenCount, WeightsVersion, Worth,
 };
-use crate::cache::BlockChain;
+use crate::cache::PromptBlocks;
 
 /// The properties of a request that decisions depend on, without its bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,8 +27,8 @@
     pub arrived: Timestamp,
     /// The weights version that salts the blocks and that the answer must come from.
     pub weights: WeightsVersion,
-    /// The chain of the prompt's blocks.
-    pub chain: BlockChain,
+    /// The blocks of the prompt.
+    pub prompt: PromptBlocks,
     /// The largest number of tokens in the answer.
     pub max_output: TokenCount,
     /// The caller's idempotency key, if it sent one.
@@ -49,6 +49,6 @@
     /// Returns the largest number of tokens that the request may cost: its prompt and its longest
     /// answer.
     pub fn cost(&self) -> TokenCount {
-        self.chain.tokens() + self.max_output
+        self.prompt.tokens() + self.max_output
     }
 }
--- a/azureway-core/src/prelude.rs
+++ b/azureway-core/src/prelude.rs
@@ -1,7 +1,7 @@
 //! The commonly used types, for a glob import.
 
 pub use crate::admit::{AccountLimits, Demand, FairQueue, LimitShare, PoolQueue};
-pub use crate::cache::{Block, BlockChain, BlockKey, CacheIndex, CacheOp, CacheUpdate, Salt};
+pub use crate::cache::{Block, BlockKey, CacheIndex, CacheOp, CacheUpdate, PromptBlocks, Salt};
 pub use crate::claim::{
     ClaimClosing, ClaimCommand, ClaimCreation, ClaimDecision, ClaimHandle, ClaimName, ClaimNonce,
     ClaimOperation, ClaimOutcome, ClaimRecord, ClaimReply, ClaimRequest, ClaimState, ClaimStep,
--- a/azureway-core/src/router/attempt_plan.rs
+++ b/azureway-core/src/router/attempt_plan.rs
@@ -46,7 +46,7 @@
             server: best.state.server.id.clone(),
             address: best.state.server.address,
             rank: request.rank,
-            salt: request.chain.salt(),
+            salt: request.prompt.salt(),
             incarnation: known.then_some(best.state.incarnation),
             weights: loaded.unwrap_or(request.weights),
             position: self.position,
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -221,11 +221,11 @@
         if let Some(state) = self.servers.get_mut(&flight.server) {
             flight.period = state.begin(flight.pending_prefill());
             flight.sent = now;
-            let blocks = query.request.chain.blocks();
+            let blocks = query.request.prompt.blocks();
             self.index
                 .assume_cached(&flight.server, state.incarnation, blocks);
         }
-        self.scaler.begin(query.request.chain.prefix(), now);
+        self.scaler.begin(query.request.prompt.prefix(), now);
         self.guard.begin(query.request, &flight.server, now);
         self.in_flight.insert(flight);
     }
@@ -235,7 +235,7 @@
         if let Some(state) = self.servers.get_mut(&flight.server) {
             state.release(flight.period, flight.pending_prefill());
         }
-        self.scaler.end(flight.request.chain.prefix(), now);
+        self.scaler.end(flight.request.prompt.prefix(), now);
         self.guard.end(flight.attempt.id);
     }
 
--- a/azureway-core/src/router/in_flight.rs
+++ b/azureway-core/src/router/in_flight.rs
@@ -44,7 +44,7 @@
             attempt: dispatch.attempt,
             server: dispatch.server.clone(),
             incarnation: dispatch.incarnation.unwrap_or(Incarnation::ZERO),
-            prefill: request.chain.tokens().saturating_sub(dispatch.cached),
+            prefill: request.prompt.tokens().saturating_sub(dispatch.cached),
             started: false,
             not_run: plan.not_run,
             rejections: plan.rejections,
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -184,7 +184,7 @@
         now: Timestamp,
         candidates: &mut Candidates<'a>,
     ) -> bool {
-        let rendezvous = Rendezvous::new(query.request.chain.prefix());
+        let rendezvous = Rendezvous::new(query.request.prompt.prefix());
         let servers = self.servers.in_pool(&service.pool);
         let servers = servers.filter(|s| s.is_stale(now) == stale);
         let servers = servers.filter(|s| locality.is_none_or(|r| self.locality(s) == r));
@@ -235,7 +235,7 @@
             return u64::MAX;
         };
         let (slots, entries) = (first.server.slots, first.entries());
-        let prefix = request.chain.prefix();
+        let prefix = request.prompt.prefix();
         let count = self.scaler.replicas(prefix, slots, entries, now);
         let mut weights: SmallVec<[u64; 16]> = eligible.iter().map(|(w, _)| *w).collect();
         weights.sort_unstable_by(|a, b| b.cmp(a));
@@ -253,10 +253,10 @@
         let replica = weight >= threshold;
         let mut cached = self
             .index
-            .cached_tokens(id, incarnation, request.chain.blocks());
+            .cached_tokens(id, incarnation, request.prompt.blocks());
         if replica && !self.config.shared_servers && !self.index.is_complete(id, incarnation) {
             // An entry that has just started assumes that replicas hold the prefix.
-            cached = cached.max(request.chain.prefix_tokens());
+            cached = cached.max(request.prompt.prefix_tokens());
         }
         let (one_way_latency, traffic_cost) = match locality {
             Locality::Zone => (Duration::ZERO, Duration::ZERO),
@@ -288,7 +288,7 @@
 /// Assumes that the replicas hold the prefix if no server is known to hold all of it, so that
 /// later requests with the prefix find it there.
 fn assume_replicas_cached(candidates: &mut Candidates<'_>, request: &Request) {
-    let shared = request.chain.prefix_tokens();
+    let shared = request.prompt.prefix_tokens();
     if candidates.iter().all(|c| c.cached < shared) {
         let replicas = candidates.iter_mut().filter(|c| c.replica);
         replicas.for_each(|c| c.cached = c.cached.max(shared));
--- a/azureway-core/src/router/placement_request.rs
+++ b/azureway-core/src/router/placement_request.rs
@@ -41,11 +41,11 @@
 
     /// Returns the properties of the request that a routing policy uses.
     pub fn profile(&self, service: &ModelService) -> RequestProfile {
-        let shared = self.request.chain.prefix_tokens();
+        let shared = self.request.prompt.prefix_tokens();
         RequestProfile {
-            prefix: self.request.chain.prefix(),
+            prefix: self.request.prompt.prefix(),
             rank: self.request.rank,
-            prompt: self.request.chain.tokens(),
+            prompt: self.request.prompt.tokens(),
             fetchable: if service.peer_fetch {
                 shared
             } else {
--- a/azureway-core/src/router/sharing.rs
+++ b/azureway-core/src/router/sharing.rs
@@ -23,7 +23,7 @@
         best: &Candidate<'_>,
         now: Timestamp,
     ) -> Option<SocketAddr> {
-        if !service.peer_fetch || request.chain.blocks().is_empty() {
+        if !service.peer_fetch || request.prompt.blocks().is_empty() {
             return None;
         }
         let chosen = best.state;
@@ -34,8 +34,8 @@
             .filter(is_source)
             .filter(|s| s.accepts(now))
             .collect();
-        let rendezvous = Rendezvous::new(request.chain.prefix());
-        let blocks = request.chain.blocks();
+        let rendezvous = Rendezvous::new(request.prompt.prefix());
+        let blocks = request.prompt.blocks();
         let cached = self
             .index
             .cached_tokens(&chosen.server.id, chosen.incarnation, blocks);
@@ -55,7 +55,7 @@
                 )
             })
             .max_by_key(|(tokens, weight, _)| (*tokens, *weight))?;
-        let worthwhile = fullest.0 > cached || cached < request.chain.prefix_tokens();
+        let worthwhile = fullest.0 > cached || cached < request.prompt.prefix_tokens();
         worthwhile.then_some(fullest.2)
     }
 
@@ -63,7 +63,7 @@
     /// share the servers and recomputing the prefix takes longer than a round trip to another
     /// region plus the traffic cost.
     pub(super) fn is_global(&self, request: &Request, service: &ModelService) -> bool {
-        let shared = request.chain.prefix_tokens();
+        let shared = request.prompt.prefix_tokens();
         let server = self.servers.in_pool(&service.pool).next();
         let prefill = server.map_or(Duration::ZERO, |s| s.server.prefill.time_for(shared));
         let remote_cost = self.config.remote_latency * 2 + self.traffic_cost(request);
@@ -72,6 +72,6 @@
 
     /// Returns the cost of sending a request to another region, as time.
     pub(super) fn traffic_cost(&self, request: &Request) -> Duration {
-        self.config.traffic_rate.time_for(request.chain.tokens())
+        self.config.traffic_rate.time_for(request.prompt.tokens())
     }
 }
--- a/azureway-core/tests/cache.rs
+++ b/azureway-core/tests/cache.rs
@@ -5,10 +5,10 @@
 use azureway_core::prelude::*;
 use googletest::prelude::*;
 
-fn chain(account: &str, weights: u64, levels: &[&str]) -> BlockChain {
+fn prompt_blocks(account: &str, weights: u64, levels: &[&str]) -> PromptBlocks {
     let (account, service) = (AccountId::new(account), ServiceId::new("advice"));
     let salt = Salt::new(&account, &service, WeightsVersion::new(weights));
-    BlockChain::new(salt, levels.iter().map(|l| l.as_bytes()))
+    PromptBlocks::new(salt, levels.iter().map(|l| l.as_bytes()))
 }
 
 fn update<'a>(
@@ -29,8 +29,8 @@
 #[gtest]
 fn prompts_share_blocks_up_to_the_first_level_that_differs() {
     let (one, two) = (
-        chain("a", 1, &["house", "shop", "x"]),
-        chain("a", 1, &["house", "shop", "y"]),
+        prompt_blocks("a", 1, &["house", "shop", "x"]),
+        prompt_blocks("a", 1, &["house", "shop", "y"]),
     );
     expect_that!(one.blocks()[..2], eq(&two.blocks()[..2]));
     expect_that!(one.blocks()[2].key, not(eq(two.blocks()[2].key)));
@@ -39,13 +39,13 @@
 
 #[gtest]
 fn accounts_and_weights_do_not_share_blocks() {
-    let base = chain("a", 1, &["house"]);
+    let base = prompt_blocks("a", 1, &["house"]);
     expect_that!(
-        chain("b", 1, &["house"]).blocks()[0].key,
+        prompt_blocks("b", 1, &["house"]).blocks()[0].key,
         not(eq(base.blocks()[0].key))
     );
     expect_that!(
-        chain("a", 2, &["house"]).blocks()[0].key,
+        prompt_blocks("a", 2, &["house"]).blocks()[0].key,
         not(eq(base.blocks()[0].key))
     );
 }
@@ -53,7 +53,7 @@
 #[gtest]
 fn records_of_an_earlier_incarnation_are_invalid() {
     let (mut index, server) = (CacheIndex::new(), ServerId::new("engine-1"));
-    let prompt = chain("a", 1, &["house"]);
+    let prompt = prompt_blocks("a", 1, &["house"]);
     let ops = [CacheOp::Stored(prompt.blocks()[0].key)];
     expect_that!(index.update(&update(&server, 1, 0, &ops)), eq(false));
     let cached = |i: &mut CacheIndex, incarnation| {
@@ -69,7 +69,7 @@
 #[gtest]
 fn event_gaps_are_detected_and_repeated_events_are_ignored() {
     let (mut index, server) = (CacheIndex::new(), ServerId::new("engine-1"));
-    let prompt = chain("a", 1, &["house", "shop"]);
+    let prompt = prompt_blocks("a", 1, &["house", "shop"]);
     let ops: Vec<_> = prompt
         .blocks()
         .iter()
@@ -83,7 +83,7 @@
 #[gtest]
 fn a_full_index_evicts_only_blocks_that_are_not_looked_up() {
     let (mut index, server) = (CacheIndex::new().with_bound(4), ServerId::new("engine-1"));
-    let prompt = chain("a", 1, &["house", "shop"]);
+    let prompt = prompt_blocks("a", 1, &["house", "shop"]);
     let hot: Vec<_> = prompt
         .blocks()
         .iter()
@@ -102,7 +102,7 @@
 #[gtest]
 fn an_invalidated_server_has_no_blocks_until_its_next_snapshot() {
     let (mut index, server) = (CacheIndex::new(), ServerId::new("engine-1"));
-    let prompt = chain("a", 1, &["house"]);
+    let prompt = prompt_blocks("a", 1, &["house"]);
     let ops = [CacheOp::Stored(prompt.blocks()[0].key)];
     let cached =
         |i: &mut CacheIndex| i.cached_tokens(&server, Incarnation::new(1), prompt.blocks());
--- a/azureway-core/tests/routing/engine.rs
+++ b/azureway-core/tests/routing/engine.rs
@@ -43,10 +43,10 @@
         let owner = (request.account.clone(), self.weights);
         assert_eq!(
             dispatch.salt,
-            request.chain.salt(),
+            request.prompt.salt(),
             "the salt of the request"
         );
-        let keys: Vec<_> = request.chain.blocks().iter().map(|b| b.key).collect();
+        let keys: Vec<_> = request.prompt.blocks().iter().map(|b| b.key).collect();
         let found = keys.iter().take_while(|k| self.blocks.contains_key(k));
         let used = found
             .inspect(|k| assert_eq!(self.blocks[*k], owner, "another owner's block"))
@@ -84,7 +84,7 @@
             pending: self
                 .in_flight
                 .iter()
-                .map(|(_, _, r)| r.chain.tokens())
+                .map(|(_, _, r)| r.prompt.tokens())
                 .sum(),
             leaving,
         }
--- a/azureway-core/tests/routing/world.rs
+++ b/azureway-core/tests/routing/world.rs
@@ -58,7 +58,7 @@
             id: RequestId::new(entry as u64, sequence),
             fingerprint: Fingerprint::of(account.as_str(), "advice", prompt.as_bytes()),
             max_attempts: None,
-            chain: BlockChain::new(salt, levels),
+            prompt: PromptBlocks::new(salt, levels),
             account,
             service,
             rank,
--- a/azureway-core/tests/support/mod.rs
+++ b/azureway-core/tests/support/mod.rs
@@ -51,7 +51,7 @@
             id: RequestId::new(1, self.sequence),
             fingerprint: Fingerprint::of(account.as_str(), "advice", levels.concat().as_bytes()),
             max_attempts: None,
-            chain: BlockChain::new(salt, levels.iter().map(|l| l.as_bytes())),
+            prompt: PromptBlocks::new(salt, levels.iter().map(|l| l.as_bytes())),
             account,
             service,
             rank: Rank::Urgent,
--- a/azureway-dev/src/bench/router_fixture.rs
+++ b/azureway-dev/src/bench/router_fixture.rs
@@ -95,7 +95,7 @@
             deadline: Deadline::new(self.now + TIMEOUT),
             arrived: self.now,
             weights,
-            chain: BlockChain::from_blocks(salt, blocks(prefix * PROMPT_BLOCKS), 2),
+            prompt: PromptBlocks::from_blocks(salt, blocks(prefix * PROMPT_BLOCKS), 2),
             max_output: TokenCount::new(100),
             idempotency_key: None,
             fingerprint: Fingerprint::from_bytes(u128::from(self.sequence).to_be_bytes()),
--- a/azureway-dev/src/engine/chat_handler.rs
+++ b/azureway-dev/src/engine/chat_handler.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::time::Duration;
 
-use azureway_core::prelude::{BlockChain, TokenCount};
+use azureway_core::prelude::{PromptBlocks, TokenCount};
 use azureway_wire::chat::{Usage, UsageDetails};
 
 use super::{AcceptedRequest, ChatEvent, Engine, EngineState, Generation, RequestMetadata};
@@ -14,7 +14,7 @@
     engine: &'a Engine,
     writer: EventWriter,
     metadata: &'a RequestMetadata,
-    chain: &'a BlockChain,
+    prompt: &'a PromptBlocks,
     accepted: AcceptedRequest,
     /// The number of prompt tokens that are still to be computed.
     pending: TokenCount,
@@ -29,14 +29,14 @@
         engine: &'a Engine,
         writer: EventWriter,
         metadata: &'a RequestMetadata,
-        chain: &'a BlockChain,
+        prompt: &'a PromptBlocks,
         accepted: AcceptedRequest,
     ) -> Self {
         Self {
             engine,
             writer,
             metadata,
-            chain,
+            prompt,
             accepted,
             pending: accepted.uncached,
         }
@@ -54,9 +54,9 @@
     fn answer(&mut self, model: &str, max_tokens: Option<u64>) -> Option<()> {
         self.prefill()?;
         self.engine
-            .update(|s| s.finish_prefill(&self.accepted, self.chain));
+            .update(|s| s.finish_prefill(&self.accepted, self.prompt));
         self.pending = TokenCount::ZERO;
-        let generation = Generation::new(self.chain, max_tokens);
+        let generation = Generation::new(self.prompt, max_tokens);
         let id = self.metadata.attempt_id.clone();
         self.stream(ChatEvent { id: &id, model }, generation)
     }
@@ -132,7 +132,7 @@
 
     fn usage(&self, generation: Generation) -> Usage {
         Usage {
-            prompt_tokens: self.chain.tokens().get(),
+            prompt_tokens: self.prompt.tokens().get(),
             completion_tokens: generation.length().get(),
             prompt_details: UsageDetails {
                 cached_tokens: self.accepted.cached.get(),
--- a/azureway-dev/src/engine/engine_service.rs
+++ b/azureway-dev/src/engine/engine_service.rs
@@ -132,19 +132,19 @@
             return Reply::text(request, 400, "the body is no chat-completions request");
         };
         let metadata = RequestMetadata::new(&request);
-        let chain = chat.chain(metadata.salt);
+        let prompt = chat.prompt_blocks(metadata.salt);
         if self.lock().rejecting {
             return Reply::text(request, 500, "the engine is closed");
         }
         if let Some(from) = metadata.import_from {
-            self.import_blocks(from, &chain, &metadata);
+            self.import_blocks(from, &prompt, &metadata);
         }
-        let Some(accepted) = self.accept(&metadata, &chain) else {
+        let Some(accepted) = self.accept(&metadata, &prompt) else {
             return Reply::text(request, 409, "the incarnation or the weights differ");
         };
         match EventWriter::new(request, &metadata.attempt_id) {
             Ok(writer) => {
-                let handler = ChatHandler::new(self, writer, &metadata, &chain, accepted);
+                let handler = ChatHandler::new(self, writer, &metadata, &prompt, accepted);
                 handler.run(&chat.model, chat.max_tokens);
             }
             Err(_) => self.update(|s| s.remove(&accepted, accepted.uncached)),
@@ -152,8 +152,8 @@
     }
 
     /// Accepts a request if the engine has the incarnation and weights that it requires.
-    fn accept(&self, metadata: &RequestMetadata, chain: &BlockChain) -> Option<AcceptedRequest> {
-        self.update(|s| s.matches(metadata).then(|| s.enqueue(metadata, chain)))
+    fn accept(&self, metadata: &RequestMetadata, prompt: &PromptBlocks) -> Option<AcceptedRequest> {
+        self.update(|s| s.matches(metadata).then(|| s.enqueue(metadata, prompt)))
     }
 
     /// Answers with those of the requested blocks that are cached.
@@ -165,8 +165,8 @@
     }
 
     /// Imports blocks from another engine. If that fails, the prompt is computed instead.
-    fn import_blocks(&self, from: SocketAddr, chain: &BlockChain, metadata: &RequestMetadata) {
-        let requested = KvBlocks::new(metadata.weights, chain.blocks());
+    fn import_blocks(&self, from: SocketAddr, prompt: &PromptBlocks, metadata: &RequestMetadata) {
+        let requested = KvBlocks::new(metadata.weights, prompt.blocks());
         let Ok(body) = serde_json::to_string(&requested) else {
             return;
         };
@@ -179,7 +179,7 @@
             .ok()
             .and_then(|a| serde_json::from_slice(a.as_bytes()).ok());
         if let Some(blocks) = blocks {
-            self.update(|s| s.import(&blocks, chain));
+            self.update(|s| s.import(&blocks, prompt));
         }
     }
 }
--- a/azureway-dev/src/engine/engine_state.rs
+++ b/azureway-dev/src/engine/engine_state.rs
@@ -119,9 +119,13 @@
     }
 
     /// Accepts a request and queues it for a slot.
-    pub fn enqueue(&mut self, metadata: &RequestMetadata, chain: &BlockChain) -> AcceptedRequest {
-        let cached = self.cache.cached_tokens(chain.blocks());
-        let uncached = chain.tokens().saturating_sub(cached);
+    pub fn enqueue(
+        &mut self,
+        metadata: &RequestMetadata,
+        prompt: &PromptBlocks,
+    ) -> AcceptedRequest {
+        let cached = self.cache.cached_tokens(prompt.blocks());
+        let uncached = prompt.tokens().saturating_sub(cached);
         self.accepted_count += 1;
         self.pending += uncached;
         let (incarnation, number, rank) = (self.incarnation, self.accepted_count, metadata.rank);
@@ -152,10 +156,10 @@
     }
 
     /// Stores the blocks of a request whose prompt has been computed.
-    pub fn finish_prefill(&mut self, accepted: &AcceptedRequest, chain: &BlockChain) {
+    pub fn finish_prefill(&mut self, accepted: &AcceptedRequest, prompt: &PromptBlocks) {
         if self.incarnation == accepted.incarnation {
             self.pending = self.pending.saturating_sub(accepted.uncached);
-            let ops = self.cache.store(chain.blocks());
+            let ops = self.cache.store(prompt.blocks());
             self.log.extend(ops);
         }
     }
@@ -186,17 +190,17 @@
     }
 
     /// Stores the longest prefix of a prompt's blocks that another engine exported.
-    pub fn import(&mut self, blocks: &KvBlocks, chain: &BlockChain) {
+    pub fn import(&mut self, blocks: &KvBlocks, prompt: &PromptBlocks) {
         if blocks.weights != self.weights.get() {
             return;
         }
         let exported: Vec<BlockKey> = blocks.block_keys().collect();
-        let prefix_length = chain
+        let prefix_length = prompt
             .blocks()
             .iter()
             .take_while(|b| exported.contains(&b.key))
             .count();
-        let ops = self.cache.store(&chain.blocks()[..prefix_length]);
+        let ops = self.cache.store(&prompt.blocks()[..prefix_length]);
         self.log.extend(ops);
     }
 }
--- a/azureway-dev/src/engine/generation.rs
+++ b/azureway-dev/src/engine/generation.rs
@@ -1,6 +1,6 @@
 //! Generates the tokens of an answer from its prompt alone, so that any engine can resume it.
 
-use azureway_core::prelude::{BlockChain, BlockKey, TokenCount};
+use azureway_core::prelude::{BlockKey, PromptBlocks, TokenCount};
 
 /// The tokens of an answer. They depend on the prompt alone, so that another engine with the
 /// same weights can resume the answer.
@@ -15,8 +15,8 @@
 
 impl Generation {
     /// Creates the answer to a prompt, of `max_tokens` tokens if that is given.
-    pub fn new(chain: &BlockChain, max_tokens: Option<u64>) -> Self {
-        let last_key = chain.blocks().last().map_or(BlockKey::new(0), |b| b.key);
+    pub fn new(prompt: &PromptBlocks, max_tokens: Option<u64>) -> Self {
+        let last_key = prompt.blocks().last().map_or(BlockKey::new(0), |b| b.key);
         Self {
             key: last_key.get(),
             length: max_tokens.unwrap_or(DEFAULT_LENGTH),
--- a/azureway-dev/src/replay/engine_model.rs
+++ b/azureway-dev/src/replay/engine_model.rs
@@ -186,10 +186,10 @@
     fn admit(&mut self) {
         while self.running.len() < self.speed.slots && !self.waiting.is_empty() {
             let mut task = self.waiting.remove(0);
-            let blocks = task.chain.blocks();
+            let blocks = task.prompt.blocks();
             task.cached = self.cache.cached_tokens(blocks).get();
             self.cache.mark_used(blocks);
-            let uncached = task.chain.tokens().get() - task.cached;
+            let uncached = task.prompt.tokens().get() - task.cached;
             // At least the last prompt token is computed, since the first answer token needs it.
             task.pending = (uncached + task.position).max(1);
             self.running.push(task);
@@ -210,7 +210,7 @@
         let task = &mut self.running[index];
         task.pending -= tokens;
         if task.is_prefilled() {
-            self.cache.store(task.chain.blocks(), &mut self.ops);
+            self.cache.store(task.prompt.blocks(), &mut self.ops);
         }
     }
 }
--- a/azureway-dev/src/replay/environment.rs
+++ b/azureway-dev/src/replay/environment.rs
@@ -288,13 +288,13 @@
         let is_late = leaving.is_some_and(|at| self.now.since(at) > LEAVING_GRACE);
         let violations = &mut self.tally.violations;
         violations.late_dispatches += u64::from(is_late);
-        violations.salt_mismatches += u64::from(dispatch.salt != task.chain.salt());
+        violations.salt_mismatches += u64::from(dispatch.salt != task.prompt.salt());
         self.tally.count_attempt(dispatch.attempt.id.sequence());
     }
 
     fn count_run(&mut self, attempt: Attempt, index: usize, task: &Task) {
-        let blocks = task.chain.blocks();
-        let prompt = task.chain.tokens().get();
+        let blocks = task.prompt.blocks();
+        let prompt = task.prompt.tokens().get();
         let engine = self.engines.at(index);
         let cached = engine.cache.cached_tokens(blocks);
         let best = self.engines.best_cached(blocks, task.weights);
--- a/azureway-dev/src/replay/replay_driver.rs
+++ b/azureway-dev/src/replay/replay_driver.rs
@@ -127,7 +127,7 @@
         let request = self
             .factory
             .new_request(recorded, self.epoch, sequence, now);
-        let log = RequestLog::new(recorded, request.chain.tokens().get(), now);
+        let log = RequestLog::new(recorded, request.prompt.tokens().get(), now);
         self.environment.tally.logs.insert(sequence, log);
         self.handle(Event::Arrived(&request));
     }
--- a/azureway-dev/src/replay/request_factory.rs
+++ b/azureway-dev/src/replay/request_factory.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use azureway_core::prelude::{
-    AccountId, BlockChain, Deadline, Dispatch, Fingerprint, IdempotencyKey, Request, RequestId,
+    AccountId, Deadline, Dispatch, Fingerprint, IdempotencyKey, PromptBlocks, Request, RequestId,
     RequestKind, Salt, Timestamp, TokenCount, WeightsVersion, Worth,
 };
 
@@ -17,7 +17,7 @@
     /// The weights version in the configuration.
     pub weights: WeightsVersion,
     trace: &'a Trace,
-    chains: BTreeMap<u64, BlockChain>,
+    prompts: BTreeMap<u64, PromptBlocks>,
 }
 
 impl<'a> RequestFactory<'a> {
@@ -26,7 +26,7 @@
         Self {
             weights: WeightsVersion::new(1),
             trace,
-            chains: BTreeMap::new(),
+            prompts: BTreeMap::new(),
         }
     }
 
@@ -38,8 +38,8 @@
         sequence: u64,
         now: Timestamp,
     ) -> Request {
-        let chain = self.chain(request, sequence);
-        self.chains.insert(sequence, chain.clone());
+        let prompt = self.prompt_blocks(request, sequence);
+        self.prompts.insert(sequence, prompt.clone());
         let unique = unique_name(request, sequence);
         let at_most_once = request.kind.request_kind() == RequestKind::AtMostOnce;
         Request {
@@ -58,7 +58,7 @@
                 unique.as_bytes(),
             ),
             max_attempts: None,
-            chain,
+            prompt,
             max_output: TokenCount::new(request.output),
             idempotency_key: at_most_once.then(|| IdempotencyKey::new(&unique)),
         }
@@ -69,7 +69,7 @@
         Task {
             owner: Owner::Peer,
             rank: request.kind.rank(),
-            chain: self.chain(request, sequence),
+            prompt: self.prompt_blocks(request, sequence),
             weights: self.weights,
             output: request.output,
             position: 0,
@@ -90,7 +90,7 @@
         let position = dispatch.position.get();
         Some(Task {
             owner: Owner::Entry(dispatch.attempt),
-            chain: self.chains.get(&sequence)?.clone(),
+            prompt: self.prompts.get(&sequence)?.clone(),
             weights: dispatch.weights,
             position,
             resumed: position,
@@ -98,11 +98,11 @@
         })
     }
 
-    fn chain(&self, request: &TraceRequest, sequence: u64) -> BlockChain {
+    fn prompt_blocks(&self, request: &TraceRequest, sequence: u64) -> PromptBlocks {
         let account = AccountId::new(&request.account);
         let salt = Salt::new(&account, &Header::service(request.kind), self.weights);
         let unique = unique_name(request, sequence);
-        self.trace.levels.chain(request, salt, &unique)
+        self.trace.levels.prompt_blocks(request, salt, &unique)
     }
 }
 
--- a/azureway-dev/src/replay/task.rs
+++ b/azureway-dev/src/replay/task.rs
@@ -1,6 +1,6 @@
 //! A request as a simulated engine queues and runs it.
 
-use azureway_core::prelude::{BlockChain, Rank, WeightsVersion};
+use azureway_core::prelude::{PromptBlocks, Rank, WeightsVersion};
 
 use super::Owner;
 
@@ -11,8 +11,8 @@
     pub owner: Owner,
     /// The rank, which is the priority at the engine.
     pub rank: Rank,
-    /// The block chain of the prompt.
-    pub chain: BlockChain,
+    /// The blocks of the prompt.
+    pub prompt: PromptBlocks,
     /// The requested weights version.
     pub weights: WeightsVersion,
     /// The length of the complete answer, in tokens.
--- a/azureway-dev/src/trace/prompt_levels.rs
+++ b/azureway-dev/src/trace/prompt_levels.rs
@@ -1,9 +1,9 @@
-//! Builds the block chains of prompts from the levels that they share.
+//! Builds the cache blocks of prompts from the levels that they share.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-use azureway_core::prelude::{Block, BlockChain, BlockKey, Salt, TokenCount};
+use azureway_core::prelude::{Block, BlockKey, PromptBlocks, Salt, TokenCount};
 
 use super::TraceRequest;
 
@@ -42,8 +42,8 @@
         self.tokens.get(name).copied().unwrap_or(0)
     }
 
-    /// Returns the block chain of a prompt. `unique` names the part that no other request shares.
-    pub fn chain(&self, request: &TraceRequest, salt: Salt, unique: &str) -> BlockChain {
+    /// Returns the blocks of a prompt. `unique` names the part that no other request shares.
+    pub fn prompt_blocks(&self, request: &TraceRequest, salt: Salt, unique: &str) -> PromptBlocks {
         let mut key = BlockKey::new(salt.number());
         let mut blocks = Vec::new();
         let mut prefix_blocks = 0;
@@ -55,7 +55,7 @@
             }
         }
         push_level(&mut blocks, key, unique, request.unique_tokens);
-        BlockChain::from_blocks(salt, blocks, prefix_blocks)
+        PromptBlocks::from_blocks(salt, blocks, prefix_blocks)
     }
 }
 
--- a/azureway-dev/tests/engine.rs
+++ b/azureway-dev/tests/engine.rs
@@ -153,7 +153,7 @@
     let config = EngineConfig::new();
     let mut state = azureway_dev::engine::EngineState::new(&config.with_slots(1));
     let salt = Salt::from_number(7);
-    let chain = BlockChain::new(salt, [b"house".as_slice()]);
+    let prompt = PromptBlocks::new(salt, [b"house".as_slice()]);
     let metadata = |rank| azureway_dev::engine::RequestMetadata {
         attempt_id: String::new(),
         salt,
@@ -163,10 +163,10 @@
         rank,
         import_from: None,
     };
-    let drafting = state.enqueue(&metadata(Rank::Drafting), &chain);
-    let waiting = state.enqueue(&metadata(Rank::Drafting), &chain);
+    let drafting = state.enqueue(&metadata(Rank::Drafting), &prompt);
+    let waiting = state.enqueue(&metadata(Rank::Drafting), &prompt);
     expect_true!(state.take_slot(&drafting));
-    let urgent = state.enqueue(&metadata(Rank::Urgent), &chain);
+    let urgent = state.enqueue(&metadata(Rank::Urgent), &prompt);
     state.remove(&drafting, drafting.uncached);
     expect_false!(state.take_slot(&waiting));
     expect_true!(state.take_slot(&urgent));
--- a/azureway-dev/tests/engine_model.rs
+++ b/azureway-dev/tests/engine_model.rs
@@ -17,7 +17,7 @@
     Task {
         owner: Owner::Entry(Attempt::new(RequestId::new(1, number), 1)),
         rank,
-        chain: BlockChain::from_blocks(Salt::from_number(1), [block], 1),
+        prompt: PromptBlocks::from_blocks(Salt::from_number(1), [block], 1),
         weights: WeightsVersion::new(1),
         output: 3,
         position: 0,
--- a/azureway-entry/src/admin/explainer.rs
+++ b/azureway-entry/src/admin/explainer.rs
@@ -50,7 +50,7 @@
             service: request.service.as_str().into(),
             account: request.account.as_str().into(),
             rank: request.rank.as_str().into(),
-            prompt: request.chain.tokens().get(),
+            prompt: request.prompt.tokens().get(),
             options: options.iter().map(Into::into).collect(),
         })
     }
--- a/azureway-entry/src/admit/reader.rs
+++ b/azureway-entry/src/admit/reader.rs
@@ -87,7 +87,7 @@
         let service = self.service(&chat.model, ServiceKind::Model)?;
         let salt = Salt::new(&account.id, &service.id, service.weights);
         let output = chat.max_tokens.map_or(DEFAULT_OUTPUT, TokenCount::new);
-        let request = self.request(id, account, service, chat.chain(salt), output)?;
+        let request = self.request(id, account, service, chat.prompt_blocks(salt), output)?;
         let body = if chat.stream {
             self.call.body.clone()
         } else {
@@ -106,8 +106,8 @@
         let (name, _) = rest.split_once('/').unwrap_or((rest, ""));
         let service = self.service(name, ServiceKind::Plain)?;
         let salt = Salt::new(&account.id, &service.id, service.weights);
-        let chain = BlockChain::new(salt, []);
-        let request = self.request(id, account, service, chain, TokenCount::new(1))?;
+        let prompt = PromptBlocks::new(salt, []);
+        let request = self.request(id, account, service, prompt, TokenCount::new(1))?;
         let path = format!("/{}", &rest[name.len()..].trim_start_matches('/'));
         let body = self.call.body.clone();
         let upstream = self.upstream(&request, ServiceKind::Plain, &path, body);
@@ -127,7 +127,7 @@
         id: RequestId,
         account: &ClientAccount,
         service: &ModelService,
-        chain: BlockChain,
+        prompt: PromptBlocks,
         output: TokenCount,
     ) -> Result<Request, Refusal> {
         let rank = self.header(header::RANK, "`urgent` or `drafting`", Rank::parse)?;
@@ -146,7 +146,7 @@
             deadline: self.deadline(rank)?,
             arrived: self.call.arrived,
             weights: service.weights,
-            chain,
+            prompt,
             max_output: output,
             idempotency_key: self.header(header::IDEMPOTENCY_KEY, "a non-empty key", |t| {
                 (!t.is_empty()).then(|| IdempotencyKey::new(t))
--- a/azureway-entry/src/routed/call_reader.rs
+++ b/azureway-entry/src/routed/call_reader.rs
@@ -89,7 +89,7 @@
             deadline: Deadline::new(call.arrived + timeout),
             arrived: call.arrived,
             weights: service.weights,
-            chain: block_chain(salt, metadata),
+            prompt: prompt_blocks(salt, metadata),
             max_output: metadata.max_output,
             idempotency_key: None,
             fingerprint: Fingerprint::of(account.id.as_str(), &target, &call.body),
@@ -156,7 +156,7 @@
         log::info!(
             request:% = call.id, step = "admit", caller = metadata.attempt_id.unwrap_or_default(),
             route:% = route.id, service:% = request.service, account:% = account.id,
-            prompt = request.chain.tokens().get(), fleet:% = fleet.version;
+            prompt = request.prompt.tokens().get(), fleet:% = fleet.version;
             "admitted"
         );
         let plain = fleet.is_plain(&request.service);
@@ -206,14 +206,14 @@
 /// so the key of a block does not depend on the blocks before it; a cached part is usable only if
 /// all parts before it are cached. The last part is specific to the request, so only the parts
 /// before it decide where the request is placed.
-fn block_chain(salt: Salt, metadata: &CallMetadata<'_>) -> BlockChain {
+fn prompt_blocks(salt: Salt, metadata: &CallMetadata<'_>) -> PromptBlocks {
     let blocks = metadata.parts.iter().map(|part| Block {
         key: BlockKey::first(salt, part.id.as_bytes()),
         tokens: part.tokens,
     });
     let blocks: Vec<_> = blocks.collect();
     let prefix_blocks = blocks.len().saturating_sub(1);
-    BlockChain::from_blocks(salt, blocks, prefix_blocks)
+    PromptBlocks::from_blocks(salt, blocks, prefix_blocks)
 }
 
 fn malformed(detail: &'static str) -> Refusal {
--- a/azureway-wire/src/chat/chat_request.rs
+++ b/azureway-wire/src/chat/chat_request.rs
@@ -2,7 +2,7 @@
 
 use std::borrow::Cow;
 
-use azureway_core::prelude::{BlockChain, Salt};
+use azureway_core::prelude::{PromptBlocks, Salt};
 use serde::Deserialize;
 
 use super::ChatMessage;
@@ -26,9 +26,9 @@
 }
 
 impl ChatRequest<'_> {
-    /// Returns the chain of cache blocks of the prompt under `salt`.
-    pub fn chain(&self, salt: Salt) -> BlockChain {
+    /// Returns the cache blocks of the prompt under `salt`.
+    pub fn prompt_blocks(&self, salt: Salt) -> PromptBlocks {
         let levels: Vec<_> = self.messages.iter().map(ChatMessage::level).collect();
-        BlockChain::new(salt, levels.iter().map(|l| l.as_bytes()))
+        PromptBlocks::new(salt, levels.iter().map(|l| l.as_bytes()))
     }
 }
