--- a/azureway-core/src/member/config_fetcher.rs
+++ b/azureway-core/src/member/config_fetcher.rs
@@ -84,8 +84,8 @@
 
     /// Records that a request to a peer returned no newer configuration.
     pub fn record_failure(&mut self, now: Timestamp) {
-        // Shortens a long backoff: a peer that answers quickly that it has nothing newer has
-        // cost little time.
+        // Shortens a long backoff, since a peer that quickly answers that it has nothing newer
+        // costs little time.
         self.next_request = self.next_request.min(now + BACKOFF_BASE);
     }
 
--- a/azureway-core/src/member/membership.rs
+++ b/azureway-core/src/member/membership.rs
@@ -140,8 +140,8 @@
             .record_reply(beat.full, same);
     }
 
-    /// Handles a heartbeat without a reply. Only instances of the same zone suspect one another:
-    /// a broken link between zones says nothing about the instances at its other end.
+    /// Handles a heartbeat without a reply. Only instances of the same zone suspect one another,
+    /// because a failed link between zones does not mean that instances have failed.
     fn handle_timeout(&mut self, id: &InstanceId, now: Timestamp) {
         self.peers.record_miss(id);
         let Some(member) = self.peers.get(id) else {
@@ -198,8 +198,8 @@
         self.round_timer.schedule_next(self.config.interval, now);
     }
 
-    /// Composes a heartbeat. An update that does not list its receiver as alive comes first, so
-    /// that the receiver can refute it.
+    /// Composes a heartbeat. If this instance does not consider the receiver alive, the update that
+    /// says so comes first, so that the receiver can refute it.
     pub(super) fn compose(
         &mut self,
         to: Option<&InstanceId>,
@@ -266,8 +266,8 @@
         }
     }
 
-    /// Moves to a greater incarnation if peers consider this instance not alive, or know a later
-    /// incarnation than its own.
+    /// Moves to a greater incarnation if peers do not consider this instance alive, or know a
+    /// greater incarnation than its own.
     fn refute(&mut self, update: &MemberUpdate) {
         let (mine, theirs) = (self.me.incarnation, update.instance.incarnation);
         let wrong = update.liveness > Liveness::Alive && theirs >= mine;
--- a/azureway-core/src/tally/open_request.rs
+++ b/azureway-core/src/tally/open_request.rs
@@ -14,7 +14,7 @@
     /// The deadline of the first token.
     pub deadline: Deadline,
     /// The time of the first token, once it has arrived.
-    pub first: Option<Timestamp>,
+    pub first_token: Option<Timestamp>,
 }
 
 impl From<&Request> for OpenRequest {
@@ -24,7 +24,7 @@
             kind: request.kind,
             worth: request.worth,
             deadline: request.deadline,
-            first: None,
+            first_token: None,
         }
     }
 }
--- a/azureway-core/src/tally/outcome_tally.rs
+++ b/azureway-core/src/tally/outcome_tally.rs
@@ -30,7 +30,7 @@
     /// Records that the first token of a request arrived at `now`.
     pub fn start(&mut self, id: RequestId, now: Timestamp) {
         if let Some(open) = self.open.get_mut(&id) {
-            open.first.get_or_insert(now);
+            open.first_token.get_or_insert(now);
         }
     }
 
@@ -39,7 +39,7 @@
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        let late = open.deadline.is_past(open.first.unwrap_or(now));
+        let late = open.deadline.is_past(open.first_token.unwrap_or(now));
         self.close(id, if late { Outcome::Late } else { Outcome::OnTime });
     }
 
--- a/azureway-core/tests/orders/main.rs
+++ b/azureway-core/tests/orders/main.rs
@@ -226,7 +226,7 @@
 }
 
 #[gtest]
-fn entries_select_alike_and_a_death_changes_one_selection() {
+fn a_selection_changes_by_one_entry_if_a_selected_entry_stops() {
     let live: Vec<InstanceId> = (0..9)
         .map(|n| InstanceId::new(&format!("entry-{n}")))
         .collect();
--- a/azureway-core/tests/retries.rs
+++ b/azureway-core/tests/retries.rs
@@ -69,8 +69,8 @@
     expect_that!(spent.count(), le(2));
 }
 
-/// An entry that starts while the platform is unavailable knows of no other entry, and all of them
-/// may have started at the same time.
+/// An entry that starts while the platform is unavailable cannot know how many entries there are.
+/// All of them may have started at the same time, so each may use only a part of the slack.
 #[gtest]
 fn an_entry_that_knows_of_no_other_entry_gets_only_a_part_of_the_slack() {
     let pool = PoolId::new("one");
