--- a/azureway-cli/src/account/mod.rs
+++ b/azureway-cli/src/account/mod.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Returns the section with the keys set that the options give values for.
+/// Sets the keys of the section for which the options give values.
 fn set_entries(mut edit: SectionEdit, matches: &ArgMatches) -> SectionEdit {
     for key in ["limit", "weight"] {
         if let Some(value) = matches.get_one::<String>(key) {
--- a/azureway-cli/src/config/history.rs
+++ b/azureway-cli/src/config/history.rs
@@ -30,7 +30,7 @@
     let diff = matches.get_flag("diff");
     let reports: Vec<_> = selected.map(|c| HistoryReport::new(c, diff)).collect();
     if reports.is_empty() && matches.contains_id("id") {
-        let detail = "no accepted change has this identity; use --days to look back further";
+        let detail = "no accepted change has this ID; use --days to look back further";
         return Err(Failure::new(Exit::NotFound, detail).into());
     }
     printer.print(&ReportList(reports))?;
--- a/azureway-cli/src/report/drain_report.rs
+++ b/azureway-cli/src/report/drain_report.rs
@@ -23,7 +23,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "entry {} drains: it ends what it runs and takes nothing new",
+            "entry {} drains: it completes its requests and accepts no new ones",
             self.entry
         )
     }
--- a/azureway-dev/src/engine/engine_service.rs
+++ b/azureway-dev/src/engine/engine_service.rs
@@ -129,12 +129,12 @@
             return Reply::text(request, 400, "the body cannot be read");
         }
         let Ok(chat) = serde_json::from_slice::<ChatRequest<'_>>(&body) else {
-            return Reply::text(request, 400, "the body is no chat-completions request");
+            return Reply::text(request, 400, "the body is not a chat-completions request");
         };
         let metadata = RequestMetadata::new(&request);
         let prompt = chat.prompt_blocks(metadata.salt);
         if self.lock().rejecting {
-            return Reply::text(request, 500, "the engine is closed");
+            return Reply::text(request, 500, "the engine rejects chat requests");
         }
         if let Some(from) = metadata.import_from {
             self.import_blocks(from, &prompt, &metadata);
@@ -159,7 +159,7 @@
     /// Answers with those of the requested blocks that are cached.
     fn handle_export(&self, mut request: Request) {
         let Ok(requested) = serde_json::from_reader::<_, KvBlocks>(request.as_reader()) else {
-            return Reply::text(request, 400, "the body is no list of blocks");
+            return Reply::text(request, 400, "the body is not a list of blocks");
         };
         Reply::json(request, 200, &self.lock().export(&requested));
     }
--- a/azureway-dev/src/engine/order_handler.rs
+++ b/azureway-dev/src/engine/order_handler.rs
@@ -23,7 +23,7 @@
     /// is running.
     pub fn run(&self, mut request: Request) {
         let Ok(order) = serde_json::from_reader::<_, OrderBody>(request.as_reader()) else {
-            return Reply::text(request, 400, "the body is no order");
+            return Reply::text(request, 400, "the body is not a load order");
         };
         let weights = WeightsVersion::new(order.weights);
         let number = FencingNumber::new(order.fencing);
@@ -31,7 +31,7 @@
             return Reply::text(
                 request,
                 409,
-                "an order with a higher fencing number came before",
+                "an order with a higher fencing number was received before",
             );
         }
         let starts = self.engine.update(|s| {
--- a/azureway-dev/src/plain/plain_service.rs
+++ b/azureway-dev/src/plain/plain_service.rs
@@ -62,7 +62,7 @@
     fn handle(&self, mut request: Request) {
         let mut body = String::new();
         if request.as_reader().read_to_string(&mut body).is_err() {
-            return Reply::text(request, 400, "the body is no text");
+            return Reply::text(request, 400, "the body is not text");
         }
         let key = Reply::header(&request, header::IDEMPOTENCY_KEY);
         let key = key.unwrap_or(&body).to_owned();
@@ -71,7 +71,7 @@
         let mut state = self.lock();
         if self.deduplicates && state.0.record_run(&account_key) > 1 {
             drop(state);
-            return Reply::text(request, 409, "the key has run before");
+            return Reply::text(request, 409, "a call with this key has run before");
         }
         let runs = state.0.record_run(&key);
         let lost = state.1 > 0;
--- a/azureway-dev/src/platform/platform_service.rs
+++ b/azureway-dev/src/platform/platform_service.rs
@@ -78,7 +78,7 @@
         let limit = VALUE_MAX as u64 + 1;
         let result = request.as_reader().take(limit).read_to_string(&mut value);
         if result.is_err() || value.len() > VALUE_MAX {
-            return Reply::text(request, 413, "the value is no text of at most a megabyte");
+            return Reply::text(request, 413, "the value is not text or is too large");
         }
         let mut state = self.lock();
         let written = state.0.put(kind, name, value, expected);
@@ -120,7 +120,7 @@
         let (outage, list): (bool, ObjectList) = (state.1.outage, state.0.list(kind, after));
         drop(state);
         if outage {
-            return Reply::text(request, 503, "the platform is out");
+            return Reply::text(request, 503, "the platform is down");
         }
         Reply::json(request, 200, &list);
     }
--- a/azureway-dev/src/slopes/block_probe.rs
+++ b/azureway-dev/src/slopes/block_probe.rs
@@ -31,7 +31,7 @@
 
 impl Probe for BlockProbe {
     const UNIT: &'static str = "cached block";
-    const OPERATION: &'static str = "take in one cache event";
+    const OPERATION: &'static str = "apply one cache event";
     const SIZES: [u64; 3] = [10_000, 100_000, 1_000_000];
 
     fn measure(size: u64) -> Sample {
--- a/azureway-dev/src/slopes/demand_probe.rs
+++ b/azureway-dev/src/slopes/demand_probe.rs
@@ -19,7 +19,7 @@
 
 impl Probe for DemandProbe {
     const UNIT: &'static str = "peer that reports on 350 accounts";
-    const OPERATION: &'static str = "take in one peer's demand";
+    const OPERATION: &'static str = "record one peer's demand";
     const SIZES: [u64; 3] = [8, 60, 360];
 
     fn measure(size: u64) -> Sample {
--- a/azureway-dev/src/slopes/membership_probe.rs
+++ b/azureway-dev/src/slopes/membership_probe.rs
@@ -43,7 +43,7 @@
 
 impl Probe for MembershipProbe {
     const UNIT: &'static str = "peer in the membership";
-    const OPERATION: &'static str = "take in a heartbeat and answer it";
+    const OPERATION: &'static str = "handle a heartbeat and reply to it";
     const SIZES: [u64; 3] = [8, 60, 360];
 
     fn measure(size: u64) -> Sample {
--- a/azureway-dev/src/slopes/queue_probe.rs
+++ b/azureway-dev/src/slopes/queue_probe.rs
@@ -16,7 +16,7 @@
 
 impl Probe for QueueProbe {
     const UNIT: &'static str = "queued request";
-    const OPERATION: &'static str = "admit one and take the next";
+    const OPERATION: &'static str = "queue a request and dispatch the next";
     const SIZES: [u64; 3] = [400, 1_000, 2_000];
 
     fn measure(size: u64) -> Sample {
--- a/azureway-dev/tests/slopes.rs
+++ b/azureway-dev/tests/slopes.rs
@@ -20,7 +20,7 @@
 }
 
 #[gtest]
-fn a_size_gives_the_same_fleet_through_its_document() {
+fn a_fleet_size_and_its_document_define_the_same_fleet() {
     let size = FleetSize {
         servers: 70,
         zones: 7,
