--- a/azureway-core/src/order/planner.rs
+++ b/azureway-core/src/order/planner.rs
@@ -93,8 +93,8 @@
             self.loads.remove(server);
             self.changed = true;
         }
-        // A server that no longer reports weights is loading some, possibly because the previous
-        // holder of the lease ordered it to.
+        // A server that reports no weights is loading some, possibly on an order of the previous
+        // holder of the lease.
         if weights == WeightsVersion::ZERO && previous != Some(weights) {
             let expires = now + self.config.load_timeout;
             let slot_until = now + self.config.slot_timeout;
