--- a/azureway-entry/src/caller/body_reader.rs
+++ b/azureway-entry/src/caller/body_reader.rs
@@ -1,4 +1,4 @@
-//! Reading of a request body within its size limit.
+//! The second step of serving a connection: the request body, up to a size limit.
 
 use std::io::{self, Read};
 
--- a/azureway-entry/src/caller/head_reader.rs
+++ b/azureway-entry/src/caller/head_reader.rs
@@ -1,4 +1,4 @@
-//! Reading of a request head within its size limit.
+//! The first step of serving a connection: the request head, up to a size limit.
 
 use std::io::{self, Read};
 
--- a/azureway-entry/src/caller/is_open.rs
+++ b/azureway-entry/src/caller/is_open.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Returns whether the other side of a connection still has it open.
+/// Returns whether the other side has not closed the connection.
 ///
 /// # Errors
 ///
--- a/azureway-entry/src/caller/timed_stream.rs
+++ b/azureway-entry/src/caller/timed_stream.rs
@@ -1,4 +1,4 @@
-//! Reading from a connection until a deadline.
+//! A bound on how long a caller may take to send a request, however slowly the bytes arrive.
 
 use std::io::{self, Read};
 use std::net::TcpStream;
--- a/azureway-entry/src/claim/mod.rs
+++ b/azureway-entry/src/claim/mod.rs
@@ -1,4 +1,4 @@
-//! The claiming duty: claims at the platform, by which a request runs at most once.
+//! The claiming duty: claims at the platform, which ensure that a request runs at most once.
 
 mod claim_client;
 mod claim_rings;
--- a/azureway-entry/src/clock.rs
+++ b/azureway-entry/src/clock.rs
@@ -14,8 +14,8 @@
     origin: Duration,
 }
 
-/// The time on a new clock. It is longer than any timeout, so that a timeout counted from an
-/// unknown time, [`Timestamp::ZERO`], has expired.
+/// The time that a new clock shows. It is longer than any timeout, so that a timeout counted from
+/// an unknown time, [`Timestamp::ZERO`], has expired.
 const START_TIME: Duration = Duration::from_secs(3_600);
 
 impl Clock {
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -1,4 +1,4 @@
-//! The deciding duty, which drives the router.
+//! The thread that owns the router: all routing decisions and their actions run here.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Answers a query. The reply's ring has room for one message, so sending fails only if the
-    /// asker no longer waits.
+    /// Answers a query. The reply's ring has room for one message, so sending fails only if its
+    /// receiver is gone.
     fn answer_query(&mut self, query: Query) {
         match query {
             Query::AwaitVersion(version, reply) => {
--- a/azureway-entry/src/decide/version_tracker.rs
+++ b/azureway-entry/src/decide/version_tracker.rs
@@ -1,4 +1,4 @@
-//! Waiters for a configuration version, and the rejected version.
+//! Which configuration version is awaited and which was rejected, for queries and metrics.
 
 use azureway_core::prelude::ConfigVersion;
 use flume::Sender;
--- a/azureway-entry/src/exchange/cancel_handle.rs
+++ b/azureway-entry/src/exchange/cancel_handle.rs
@@ -1,4 +1,4 @@
-//! Cancelling an attempt from another thread.
+//! How the deciding duty's thread stops an attempt that is blocked in a read.
 
 use std::io;
 use std::net::{Shutdown, TcpStream};
--- a/azureway-entry/src/exchange/idle_connection.rs
+++ b/azureway-entry/src/exchange/idle_connection.rs
@@ -9,8 +9,8 @@
 pub struct IdleConnection {
     /// The connection.
     pub connection: BackendConnection,
-    /// When the connection became idle.
+    /// The time at which the connection became idle.
     pub idle_since: Instant,
-    /// From when on the connection is no longer used, since the server may close it.
+    /// The time from which the connection is no longer used, since the server may close it.
     pub expires: Instant,
 }
--- a/azureway-entry/src/exchange/send_request.rs
+++ b/azureway-entry/src/exchange/send_request.rs
@@ -11,7 +11,8 @@
 use crate::admit::Passthrough;
 use crate::relay::AttemptError;
 
-/// The read timeout is at least this multiple of the expected time to the first token.
+/// The read timeout is at least this multiple of the expected time to the first token, since a
+/// busy server may be silent for long.
 const TTFT_FACTOR: u32 = 4;
 /// The largest number of answers read on one connection. An answer to another request is skipped
 /// in search of the one to this attempt.
--- a/azureway-entry/src/feed/feed_source.rs
+++ b/azureway-entry/src/feed/feed_source.rs
@@ -12,7 +12,8 @@
     /// The pause between two polls, in which events accumulate at the server.
     const INTERVAL: Duration;
 
-    /// Waits for events from position `next`, or for a full snapshot of the cache.
+    /// Requests the events from position `next` on, or a full snapshot of the cache if `snapshot`
+    /// is set, and waits for the answer.
     ///
     /// # Errors
     ///
--- a/azureway-entry/src/meter/account_labels.rs
+++ b/azureway-entry/src/meter/account_labels.rs
@@ -6,7 +6,8 @@
 
 use super::AccountLabel;
 
-/// The maximum number of client accounts with a label of their own. Deployments plan for 350.
+/// The maximum number of client accounts with a label of their own. Deployments are planned for 350
+/// accounts.
 pub const ACCOUNTS_MAX: usize = 400;
 
 /// The client accounts with a label of their own: the first [`ACCOUNTS_MAX`] that were seen.
--- a/azureway-entry/src/meter/duty_cpu.rs
+++ b/azureway-entry/src/meter/duty_cpu.rs
@@ -10,12 +10,12 @@
 const DUTIES: [&str; 10] = [
     "accept", "admin", "admit", "claim", "decide", "meter", "news", "order", "peer", "watch",
 ];
-/// Where the kernel lists the threads of this process.
+/// The directory in which the kernel lists the threads of this process.
 const THREADS: &str = "/proc/self/task";
 /// The kernel's clock ticks per second (`USER_HZ`), in which it counts processor time.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 /// The index of the user time (`utime`) among the fields of `stat` that follow the thread's name.
-const USER_PLACE: usize = 11;
+const UTIME_INDEX: usize = 11;
 
 impl DutyCpu {
     /// Returns the processor time of each duty so far, in seconds.
@@ -40,8 +40,8 @@
     let (name, rest) = status.split_once('(')?.1.rsplit_once(')')?;
     let mut times = rest
         .split_whitespace()
-        .skip(USER_PLACE)
+        .skip(UTIME_INDEX)
         .map(str::parse::<u32>);
     let (user, system) = (times.next()?.ok()?, times.next()?.ok()?);
-    Some((name, f64::from(user + system) / TICKS))
+    Some((name, f64::from(user + system) / TICKS_PER_SECOND))
 }
--- a/azureway-entry/src/order/orderer.rs
+++ b/azureway-entry/src/order/orderer.rs
@@ -1,4 +1,4 @@
-//! The ordering duty, which sends load orders.
+//! The thread that keeps the lease, sends load orders and follows the loads to their end.
 
 use std::time::Duration;
 
--- a/azureway-entry/src/relay/gap_meter.rs
+++ b/azureway-entry/src/relay/gap_meter.rs
@@ -1,4 +1,4 @@
-//! Measuring the time between the events of a stream.
+//! Token gaps of a stream for the metrics, without a message for each event.
 
 use std::time::{Duration, Instant};
 
--- a/azureway-entry/src/relay/relay_attempt.rs
+++ b/azureway-entry/src/relay/relay_attempt.rs
@@ -169,8 +169,8 @@
         Ok(())
     }
 
-    /// Returns the answer as the request's claim stores it, or `None` if the request has no
-    /// idempotency key or the answer cannot be stored.
+    /// Returns the answer in the form that the request's claim stores, or `None` if the request has
+    /// no idempotency key or the answer cannot be stored.
     fn storable(&self, status: u16, content_type: &str, body: &[u8]) -> Option<ShortAnswer> {
         self.upstream.idempotency_key.as_ref()?;
         ShortAnswer::new(status, content_type, body)
@@ -279,7 +279,7 @@
     Ok(())
 }
 
-/// Returns whether a name can be sent in a header. Others are left out.
+/// Returns whether a name can be sent in a header. The header is left out for other names.
 fn is_header_text(name: &str) -> bool {
     name.bytes().all(|b| (b' '..=b'~').contains(&b))
 }
--- a/azureway-entry/src/routed/call_reader.rs
+++ b/azureway-entry/src/routed/call_reader.rs
@@ -205,7 +205,7 @@
 /// Returns the blocks of a prompt, one for each part. Servers report each cached part separately,
 /// so the key of a block does not depend on the blocks before it; a cached part is usable only if
 /// all parts before it are cached. The last part is specific to the request, so only the parts
-/// before it decide where the request is placed.
+/// before it determine the prefix by which a backend server is chosen.
 fn prompt_blocks(salt: Salt, metadata: &CallMetadata<'_>) -> PromptBlocks {
     let blocks = metadata.parts.iter().map(|part| Block {
         key: BlockKey::first(salt, part.id.as_bytes()),
--- a/azureway-entry/src/routed/listener.rs
+++ b/azureway-entry/src/routed/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting routed callers.
+//! The thread that accepts routed callers and limits the number of their connections.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
--- a/azureway-entry/src/site/duty.rs
+++ b/azureway-entry/src/site/duty.rs
@@ -1,4 +1,4 @@
-//! The site duty, which builds the fleet.
+//! The thread that joins the updates of all site watchers into one fleet.
 
 use std::sync::Arc;
 
--- a/azureway-entry/src/site/update.rs
+++ b/azureway-entry/src/site/update.rs
@@ -1,4 +1,4 @@
-//! Updates from the site watchers to the site duty.
+//! The input of the site duty: configurations, backend servers and named weights.
 
 use azureway_core::prelude::{ListedServer, NamedWeights, ServerId, SiteDocument, Timestamp};
 
--- a/azureway-entry/src/site/watcher.rs
+++ b/azureway-entry/src/site/watcher.rs
@@ -1,4 +1,4 @@
-//! Watching one kind of platform object of a site.
+//! The thread that lists and watches one kind of platform object, also across outages.
 
 use std::thread;
 use std::time::Duration;
--- a/azureway-entry/src/watch/registrar.rs
+++ b/azureway-entry/src/watch/registrar.rs
@@ -1,4 +1,4 @@
-//! Registration of this instance at the platform.
+//! How entry instances of a site find each other: through a list at the platform.
 
 use std::thread;
 use std::time::Duration;
--- a/azureway-entry/tests/exchange.rs
+++ b/azureway-entry/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Tests the outcome of an attempt for good and faulty answers of a backend server.
+//! Tests of the outcome of an attempt for good and faulty answers of a backend server.
 
 mod dialect;
 
--- a/azureway-entry/tests/gateway.rs
+++ b/azureway-entry/tests/gateway.rs
@@ -14,7 +14,7 @@
     let mut stream = TcpStream::connect(fixture.address()).expect("a connection");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a guard");
+        .expect("a timeout");
     stream.write_all(head.as_bytes()).expect("sent");
     stream
 }
@@ -201,12 +201,12 @@
     while support::status(ready) != 503 {
         thread::yield_now();
     }
-    // The first request was accepted before the drain; the second one arrives while the entry is
-    // draining and still accepts requests.
+    // The first request was accepted before the drain; the second one arrives while the daemon
+    // is draining and still accepts requests.
     let mut second = TcpStream::connect(drained.address).expect("a connection");
     second
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a guard");
+        .expect("a timeout");
     let head = "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n";
     second.write_all(head.as_bytes()).expect("sent");
     server.wait_request();
@@ -218,8 +218,8 @@
     drained.thread.join().expect("the drain ends");
 }
 
-/// Requests are sent on new connections until one is refused, as by callers that still come to a
-/// draining entry.
+/// Requests are sent on new connections until one is refused, as by callers that still connect to a
+/// draining instance.
 #[gtest]
 fn a_leaving_entry_sends_latecomers_elsewhere() {
     let server = Server::start(|_, stream| support::answer(stream, "ok"));
@@ -230,7 +230,7 @@
         let mut stream = stream.expect("a connection until the end");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a guard");
+            .expect("a timeout");
         let head = "GET /safe/ HTTP/1.1\r\nhost: one\r\n\r\n";
         stream.write_all(head.as_bytes()).expect("sent");
         let answer = read_answer(&mut stream);
--- a/azureway-entry/tests/process.rs
+++ b/azureway-entry/tests/process.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process of its own, against an engine and a platform in the test's process.
+//! Tests of the daemon as a process of its own: settings, signals and ends without a drain.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,9 +14,9 @@
 
 /// The daemon's program.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_azureway-entry");
-/// Timeout that keeps a failing test from hanging. No result depends on it.
+/// The bound on a wait, so that a failing test cannot hang. No result depends on it.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
-/// Tokens of an answer. They are enough for two signals to arrive while it is streamed.
+/// The tokens of an answer, enough for two signals to arrive while it is streamed.
 const TOKENS: u64 = 100;
 
 /// Writes settings to a file that is named after the test, and returns its path.
--- a/azureway-entry/tests/support/mod.rs
+++ b/azureway-entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures for tests of a whole site: a test site, its backend server and the entry.
+//! Fixtures for tests of a whole site: a test site, its backend server and the entry daemon.
 #![expect(unreachable_pub, reason = "a test's module has no outside")]
 
 #[path = "../dialect/mod.rs"]
@@ -27,7 +27,7 @@
 use dialect::TestDialect;
 use flume::{Receiver, Sender};
 
-/// The timeout that keeps a failing test from hanging. No passing test depends on its value.
+/// The bound on a wait, so that a failing test cannot hang. No result depends on it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A site with a header format and objects of its own.
@@ -241,8 +241,8 @@
 }
 
 impl SiteFixture {
-    /// Starts an entry and waits until it is ready. Without a server the platform holds no
-    /// configuration, and the entry never becomes ready.
+    /// Starts an entry daemon and waits until it is ready. Without a server the platform holds no
+    /// configuration, and the daemon never becomes ready.
     pub fn start(server: Option<&Server>) -> Self {
         let platform = Arc::new(Platform::new());
         if let Some(server) = server {
@@ -257,7 +257,7 @@
         fixture
     }
 
-    /// Starts an entry for callers at `address`. Returns the error's text if it fails.
+    /// Starts an entry daemon for callers at `address`. Returns the error's text if it fails.
     pub fn start_on(address: SocketAddr) -> Result<(), String> {
         let platform = Arc::new(Platform::new());
         Self::start_with(platform, address).map(drop)
@@ -303,7 +303,7 @@
         status(self.ready)
     }
 
-    /// Starts draining the entry.
+    /// Starts draining the entry daemon.
     pub fn drain(self) -> DrainingSite {
         let address = self.address();
         let thread = thread::spawn(move || self.gateway.drain());
--- a/azureway-entry/tests/watch.rs
+++ b/azureway-entry/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watching duty: which versions come into force for given answers of the platform.
+//! Tests of which configuration versions come into force for given answers of the platform.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use flume::Sender;
 use googletest::prelude::*;
 
-/// Capacity of the rings, which hold every message of one case.
+/// The capacity of the rings, which hold every message of one case.
 const RING: usize = 64;
 
 /// An invalid document with the record of the change that made it invalid.
