--- a/azureway-cli/src/report/account_report.rs
+++ b/azureway-cli/src/report/account_report.rs
@@ -1,4 +1,4 @@
-//! The report of `account list` on one client account.
+//! What `account list` prints for each client account.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/check_report.rs
+++ b/azureway-cli/src/report/check_report.rs
@@ -1,4 +1,4 @@
-//! The report of `config check`, which lists the faults of a document.
+//! What `config check` prints for a file, valid or not.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/drain_report.rs
+++ b/azureway-cli/src/report/drain_report.rs
@@ -1,4 +1,4 @@
-//! The report of `drain` on an entry instance that has started to drain.
+//! What `drain` prints for each entry instance once it has started to drain.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/azureway-cli/src/report/edit_report.rs
+++ b/azureway-cli/src/report/edit_report.rs
@@ -1,4 +1,4 @@
-//! The report of every command that changes the document.
+//! What a command prints after an edit, with the exit code that it returns.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/explain_report.rs
+++ b/azureway-cli/src/report/explain_report.rs
@@ -1,4 +1,4 @@
-//! The report of `explain` on one entry instance, with its estimates for each server.
+//! What `explain` prints for each entry instance.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/azureway-cli/src/report/history_report.rs
+++ b/azureway-cli/src/report/history_report.rs
@@ -1,4 +1,4 @@
-//! The report of `config history` on one change.
+//! What `config history` prints for each change, with the difference on request.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/lease_report.rs
+++ b/azureway-cli/src/report/lease_report.rs
@@ -1,4 +1,4 @@
-//! The part of the report of `status` that shows a lease.
+//! What `status` prints for each lease in the platform.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/status_report.rs
+++ b/azureway-cli/src/report/status_report.rs
@@ -1,4 +1,4 @@
-//! The part of the report of `status` that shows one entry instance.
+//! What `status` prints for each entry instance, including one that does not answer.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/azureway-cli/src/report/system_report.rs
+++ b/azureway-cli/src/report/system_report.rs
@@ -1,4 +1,4 @@
-//! The report of `status` on all queried entry instances and the leases.
+//! What `status` prints: all queried entry instances, then the leases.
 
 use std::fmt;
 
--- a/azureway-config/src/ini/entry.rs
+++ b/azureway-config/src/ini/entry.rs
@@ -1,4 +1,4 @@
-//! The parsed form of a line with a key and a value.
+//! What the parser returns for a line with a key and a value.
 
 /// A line of a section with a key and a value, borrowed from the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/azureway-config/src/ini/section.rs
+++ b/azureway-config/src/ini/section.rs
@@ -1,4 +1,4 @@
-//! The parsed form of a section.
+//! What the parser returns for a section, from which a reader takes typed values.
 
 use super::Entry;
 
--- a/azureway-dev/src/generate/mod.rs
+++ b/azureway-dev/src/generate/mod.rs
@@ -1,4 +1,4 @@
-//! The seeded generator of the traces that the replay reads.
+//! Generates the traces that the replay reads, reproducibly from a seed.
 
 mod burst;
 mod case;
--- a/azureway-dev/src/outcome/relation.rs
+++ b/azureway-dev/src/outcome/relation.rs
@@ -1,4 +1,4 @@
-//! The comparison operators of bounds.
+//! The operators that a bound in an outcome file may use.
 
 use std::fmt;
 
--- a/azureway-dev/src/slopes/block_probe.rs
+++ b/azureway-dev/src/slopes/block_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of the cache index by the number of cached blocks.
+//! Measures for the scaling table how the cache index grows with the cached blocks.
 
 use azureway_core::prelude::*;
 
--- a/azureway-dev/src/slopes/cache_event_probe.rs
+++ b/azureway-dev/src/slopes/cache_event_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of an engine's feed message by the number of its cache events.
+//! Measures for the scaling table how an engine's feed message grows with its cache events.
 
 use azureway_core::prelude::*;
 use azureway_wire::engine::{CacheEvent, FeedBody};
--- a/azureway-dev/src/slopes/demand_probe.rs
+++ b/azureway-dev/src/slopes/demand_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of the demand reports by the number of peers.
+//! Measures for the scaling table how the demand reports grow with the peers.
 
 use azureway_core::admit::{Demand, LimitShare};
 use azureway_core::prelude::*;
--- a/azureway-dev/src/slopes/document_probe.rs
+++ b/azureway-dev/src/slopes/document_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of the configuration document by the number of backend servers.
+//! Measures for the scaling table how the document grows with the backend servers.
 
 use azureway_core::prelude::*;
 
--- a/azureway-dev/src/slopes/heartbeat_probe.rs
+++ b/azureway-dev/src/slopes/heartbeat_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of a heartbeat by the number of its member updates.
+//! Measures for the scaling table how a heartbeat grows with its member updates.
 
 use azureway_wire::peer::Heartbeat;
 use prost::Message;
--- a/azureway-dev/src/slopes/in_flight_probe.rs
+++ b/azureway-dev/src/slopes/in_flight_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of an entry instance's state by the number of requests in flight.
+//! Measures for the scaling table how an entry instance's state grows with the requests in flight.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
--- a/azureway-dev/src/slopes/lookup_probe.rs
+++ b/azureway-dev/src/slopes/lookup_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of the cache lookup time by the number of cached blocks.
+//! Measures for the scaling table how cache lookups slow down with the cached blocks.
 
 use std::hint::black_box;
 
--- a/azureway-dev/src/slopes/membership_probe.rs
+++ b/azureway-dev/src/slopes/membership_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of the membership state by the number of known peers.
+//! Measures for the scaling table how the membership state grows with the known peers.
 
 use azureway_core::prelude::*;
 
--- a/azureway-dev/src/slopes/queue_probe.rs
+++ b/azureway-dev/src/slopes/queue_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of the queue by the number of waiting requests.
+//! Measures for the scaling table how the queue grows with the queued requests.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
--- a/azureway-dev/src/slopes/server_probe.rs
+++ b/azureway-dev/src/slopes/server_probe.rs
@@ -1,4 +1,4 @@
-//! The probe of an entry instance's state by the number of backend servers in a pool.
+//! Measures for the scaling table how an entry instance's state grows with the backend servers.
 
 use super::probe::{Probe, mean_nanos};
 use super::{Heap, Sample};
--- a/azureway-dev/src/trace/trace_request.rs
+++ b/azureway-dev/src/trace/trace_request.rs
@@ -1,4 +1,4 @@
-//! The description of one request in a trace.
+//! What a trace records of a request, from which the replay builds its prompt.
 
 use std::fmt;
 
--- a/azureway-objects/src/put.rs
+++ b/azureway-objects/src/put.rs
@@ -1,4 +1,4 @@
-//! The arguments of a conditional write.
+//! What a caller of the object API passes for a conditional write.
 
 /// A conditional write of an object, which fails if the object has another version.
 #[derive(Clone, Copy, Debug)]
--- a/azureway-wire/src/admin/count_body.rs
+++ b/azureway-wire/src/admin/count_body.rs
@@ -1,4 +1,4 @@
-//! The request counts in the state of an entry instance.
+//! Counts in [`StatusBody`](super::StatusBody), one for each rank, kind and outcome.
 
 use azureway_core::prelude::{Outcome, OutcomeCount, Rank, RequestKind};
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/admin/explain_body.rs
+++ b/azureway-wire/src/admin/explain_body.rs
@@ -1,4 +1,4 @@
-//! The answer of the admin interface that explains a routing decision.
+//! What an entry instance returns to the command `explain`, in JSON.
 
 use serde::{Deserialize, Serialize};
 
--- a/azureway-wire/src/admin/option_body.rs
+++ b/azureway-wire/src/admin/option_body.rs
@@ -1,4 +1,4 @@
-//! The part of a routing explanation that describes one candidate server.
+//! One element of [`ExplainBody`](super::ExplainBody), with the estimates for one server.
 
 use azureway_core::prelude::RouteOption;
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/admin/server_body.rs
+++ b/azureway-wire/src/admin/server_body.rs
@@ -1,4 +1,4 @@
-//! The part of an entry instance's state that describes one backend server.
+//! One element of [`StatusBody`](super::StatusBody), which describes one server.
 
 use azureway_core::prelude::{ServerState, Timestamp};
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/admin/status_body.rs
+++ b/azureway-wire/src/admin/status_body.rs
@@ -1,4 +1,4 @@
-//! The answer of the admin interface that describes an entry instance.
+//! What an entry instance returns to the command `status`, in JSON.
 
 use azureway_core::prelude::{Overview, Rank};
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/change/section_body.rs
+++ b/azureway-wire/src/change/section_body.rs
@@ -1,4 +1,4 @@
-//! The part of an audit record that describes the change of one section.
+//! One element of a [`ChangeBody`](super::ChangeBody): a section before and after the change.
 
 use azureway_core::config::SectionChange;
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/chat/usage_details.rs
+++ b/azureway-wire/src/chat/usage_details.rs
@@ -1,4 +1,4 @@
-//! The number of cached prompt tokens in an answer.
+//! The element of [`Usage`](super::Usage) that counts the prompt tokens found in the cache.
 
 use serde::{Deserialize, Serialize};
 
--- a/azureway-wire/src/order/order_body.rs
+++ b/azureway-wire/src/order/order_body.rs
@@ -1,4 +1,4 @@
-//! The request body of an order to load weights.
+//! What the lease holder posts to a backend server to have it load weights.
 
 use azureway_core::prelude::{FencingNumber, LoadOrder};
 use serde::{Deserialize, Serialize};
