--- a/azureway-core/src/route/candidate.rs
+++ b/azureway-core/src/route/candidate.rs
@@ -1,11 +1,12 @@
-//! A backend server that could take a request.
+//! The input of a routing policy: one backend server that could take the request.
 
 use std::time::Duration;
 
 use crate::domain::TokenCount;
 use crate::fleet::ServerState;
 
-/// A backend server that could take a request, with the figures that depend on both.
+/// A backend server that could take a request, with the figures that depend on both the server
+/// and the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// The runtime state of the server.
--- a/azureway-core/src/route/decaying_peak.rs
+++ b/azureway-core/src/route/decaying_peak.rs
@@ -1,4 +1,4 @@
-//! The requests in flight for a prefix and their decaying peak.
+//! Measures how many requests of a prefix run at once, to scale its replicas.
 
 use std::time::Duration;
 
--- a/azureway-core/src/route/estimate.rs
+++ b/azureway-core/src/route/estimate.rs
@@ -1,4 +1,4 @@
-//! The estimated time to first token and cost of a request at a candidate.
+//! Estimates what a request would cost at a candidate, so that policies can compare them.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
     pub recompute: Duration,
 }
 
-/// The weight of the delay to other requests: the multiple of the prefill time that counts at a
-/// full server.
+/// The weight of the delay to other requests. At a full server, a prefill adds this multiple of
+/// its own time to the cost, and proportionally less at a server with fewer requests.
 const INTERFERENCE_FACTOR: u32 = 4;
 
 impl Estimate {
--- a/azureway-core/src/route/least_loaded.rs
+++ b/azureway-core/src/route/least_loaded.rs
@@ -1,4 +1,4 @@
-//! The least-loaded policy.
+//! A baseline policy that uses load alone and ignores cached prefixes.
 
 use super::{Candidate, Policy, RequestProfile};
 use crate::domain::Timestamp;
--- a/azureway-core/src/route/locality.rs
+++ b/azureway-core/src/route/locality.rs
@@ -1,6 +1,6 @@
-//! The network distance between an entry and a backend server.
+//! Ranks backend servers by network distance, so that nearer ones are considered first.
 
-/// The network distance between an entry and a backend server, ordered from the nearest.
+/// The network distance between an entry instance and a backend server, ordered from the nearest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Locality {
     /// In the entry's own availability zone.
--- a/azureway-core/src/route/policy.rs
+++ b/azureway-core/src/route/policy.rs
@@ -1,4 +1,4 @@
-//! The interface of a routing policy.
+//! The trait by which the router chooses among the candidates for a request.
 
 use super::{Candidate, RequestProfile};
 use crate::domain::Timestamp;
@@ -12,7 +12,7 @@
 
     /// Returns the index of the chosen candidate, or `None` if `candidates` is empty.
     ///
-    /// `candidates` are ordered by server name, so that the order is the same at every entry.
+    /// `candidates` are ordered by server name, so that all entry instances see the same order.
     fn choose(
         &mut self,
         profile: RequestProfile,
--- a/azureway-core/src/route/prefix_hash.rs
+++ b/azureway-core/src/route/prefix_hash.rs
@@ -1,4 +1,4 @@
-//! The prefix-hash policy.
+//! A baseline policy that uses the prefix alone and ignores load.
 
 use super::{Candidate, Policy, Rendezvous, RequestProfile};
 use crate::domain::Timestamp;
--- a/azureway-core/src/route/rendezvous.rs
+++ b/azureway-core/src/route/rendezvous.rs
@@ -4,8 +4,8 @@
 
 /// Rendezvous hashing: a prefix prefers the servers with the highest digest of both.
 ///
-/// Every entry computes the same order without history or communication, and adding or removing
-/// a server moves only the prefixes that it gains or loses.
+/// Every entry instance computes the same order without history or communication, and adding or
+/// removing a server moves only the prefixes that it gains or loses.
 #[derive(Clone, Copy, Debug)]
 pub struct Rendezvous {
     prefix: PrefixKey,
--- a/azureway-core/src/route/replica_scaler.rs
+++ b/azureway-core/src/route/replica_scaler.rs
@@ -1,4 +1,4 @@
-//! The number of replicas of each prefix.
+//! Decides how many backend servers cache a prefix, by its requests in flight.
 
 use std::collections::HashMap;
 
@@ -7,8 +7,8 @@
 
 /// Scales the number of replicas of each prefix with its requests in flight.
 ///
-/// A prefix gets as many replicas as provide the slots for its requests in flight, counting half
-/// of each replica's slots, since other prefixes need slots there too. By Little's law, the
+/// A prefix gets enough replicas for its requests in flight to fit in half of their slots. The
+/// other half is left for other prefixes. By Little's law, the
 /// requests in flight are the prefix's request rate times the service time.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaScaler {
--- a/azureway-core/src/route/request_profile.rs
+++ b/azureway-core/src/route/request_profile.rs
@@ -1,4 +1,4 @@
-//! The properties of a request that a routing policy uses.
+//! The part of a request that policies and estimates use.
 
 use crate::domain::{PrefixKey, Rank, TokenCount};
 
@@ -11,8 +11,8 @@
     pub rank: Rank,
     /// The length of the prompt in tokens.
     pub prompt: TokenCount,
-    /// The length of the shared prefix in tokens if servers can fetch it from one another, so
-    /// that computing it again is a waste, or zero.
+    /// The length of the shared prefix in tokens if servers can fetch it from one another, and
+    /// zero otherwise. Computing a prefix that could be fetched is a waste.
     pub fetchable: TokenCount,
     /// A number that differs between requests, to spread choices that would otherwise coincide.
     pub seed: u64,
--- a/azureway-core/src/route/round_robin.rs
+++ b/azureway-core/src/route/round_robin.rs
@@ -1,4 +1,4 @@
-//! The round-robin policy.
+//! A baseline policy that ignores both load and cached prefixes.
 
 use super::{Candidate, Policy, RequestProfile};
 use crate::domain::Timestamp;
