--- a/azureway-core/src/fleet/health.rs
+++ b/azureway-core/src/fleet/health.rs
@@ -1,4 +1,4 @@
-//! The health state of a backend server.
+//! The states in which a backend server does or does not get new requests.
 
 /// The health state of a backend server, which decides whether it gets new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/azureway-core/src/fleet/load_report.rs
+++ b/azureway-core/src/fleet/load_report.rs
@@ -1,4 +1,4 @@
-//! A load report from a backend server.
+//! The load that a backend server reports periodically, by which requests are placed.
 
 use crate::domain::{Incarnation, ServerId, TokenCount, WeightsVersion};
 
--- a/azureway-core/src/fleet/load_sample.rs
+++ b/azureway-core/src/fleet/load_sample.rs
@@ -1,4 +1,4 @@
-//! Load figures that a backend server attaches to an answer.
+//! The load of a backend server as it states it with its answers.
 
 use crate::domain::{ServerId, WeightsVersion};
 
--- a/azureway-core/src/fleet/reported_work.rs
+++ b/azureway-core/src/fleet/reported_work.rs
@@ -1,4 +1,4 @@
-//! The work that a backend server last reported.
+//! Keeps the load that a backend server last stated, and lets that of a sample decay.
 
 use std::time::Duration;
 
--- a/azureway-core/src/fleet/route_table.rs
+++ b/azureway-core/src/fleet/route_table.rs
@@ -1,4 +1,4 @@
-//! A table of routes by host and path prefix.
+//! Finds the route of a call by its host and path.
 
 use std::collections::BTreeMap;
 
--- a/azureway-core/src/fleet/server_state.rs
+++ b/azureway-core/src/fleet/server_state.rs
@@ -1,4 +1,4 @@
-//! The runtime state of one backend server.
+//! Tracks the health, load and weights of one backend server, to tell if it can take a request.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::event::{Failure, FailureKind};
 use crate::member::{LoadNotice, ServerStatus, ServerUpdate};
 
-/// How long a server gets no requests after a failure.
+/// The time for which a server gets no requests after a failure.
 const SUSPECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// The time without a report after which a server that used to report may be down or unreachable.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a server gets no requests after it rejected one in spite of free slots: about the
-/// time that it takes to load weights.
+/// The time for which a server gets no requests after it rejected one in spite of free slots. It
+/// is about the time that loading weights takes.
 const REJECTION_HOLD: Duration = Duration::from_millis(500);
 /// The maximum weight of unreported work at a server that attaches its load to each answer.
 const MAX_UNREPORTED_WEIGHT: u32 = 2;
@@ -43,8 +43,8 @@
     listed_leaving: bool,
     health: Health,
     retry_at: Timestamp,
-    /// Until when the server gets no requests because it loads weights or rejected a request in
-    /// spite of free slots.
+    /// The time until which the server gets no requests because it loads weights or rejected a
+    /// request in spite of free slots.
     held_until: Timestamp,
 }
 
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Applies a changed entry of the platform's server list. Returns whether the cached blocks
-    /// known for the server are invalid.
+    /// Applies the state of the server in the platform's list, after it has changed. Returns whether
+    /// the cached blocks known for the server are invalid.
     pub fn apply_listing(&mut self, listed: ListedState) -> bool {
         if listed.incarnation < self.incarnation {
             return false;
--- a/azureway-core/src/fleet/server_table.rs
+++ b/azureway-core/src/fleet/server_table.rs
@@ -1,4 +1,4 @@
-//! The runtime states of the backend servers, by pool and name.
+//! Finds the runtime state of backend servers by name or pool, and applies updates to it.
 
 use std::collections::HashMap;
 use std::ops::Range;
@@ -19,7 +19,7 @@
 }
 
 impl ServerTable {
-    /// Creates an empty table for a single entry.
+    /// Creates an empty table for a single entry instance.
     pub fn new() -> Self {
         Self {
             entries: 1,
--- a/azureway-core/src/fleet/slot_share.rs
+++ b/azureway-core/src/fleet/slot_share.rs
@@ -1,13 +1,15 @@
-//! The share of a backend server's slots that this entry may fill.
+//! Limits the requests that this entry sends to a backend server that other entries share.
 
 use std::time::Duration;
 
 use super::LoadReport;
 use crate::domain::Timestamp;
 
-/// How long a load figure bounds the share. After that, a share below the equal one rises to it.
+/// The time after which a load figure is stale. A stale figure no longer keeps the share below
+/// the equal share.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
-/// How long this entry sends nothing to a server that rejected a request for lack of capacity.
+/// The time for which this entry sends nothing to a server that rejected a request for lack of
+/// capacity.
 const REJECTION_PAUSE: Duration = Duration::from_millis(100);
 
 /// The share of a backend server's slots that this entry may fill.
--- a/azureway-core/src/fleet/work.rs
+++ b/azureway-core/src/fleet/work.rs
@@ -1,4 +1,4 @@
-//! An amount of work at a backend server.
+//! The unit in which load at a backend server is counted: requests and prompt tokens.
 
 use crate::domain::TokenCount;
 
