--- a/azureway-core/src/cache/block.rs
+++ b/azureway-core/src/cache/block.rs
@@ -1,4 +1,4 @@
-//! A block of a prompt.
+//! The unit in which backend servers cache prompts.
 
 use super::BlockKey;
 use crate::domain::TokenCount;
--- a/azureway-core/src/cache/block_key.rs
+++ b/azureway-core/src/cache/block_key.rs
@@ -1,4 +1,4 @@
-//! The key of a cached block.
+//! Derives the key of each cached block from the block before it.
 
 use super::Salt;
 use crate::util::TruncatedSha256;
@@ -18,7 +18,7 @@
         self.0
     }
 
-    /// Derives the key of the first block of a chain.
+    /// Derives the key of the first block of a prompt.
     pub fn first(salt: Salt, text: &[u8]) -> Self {
         Self(salt.number()).then(text)
     }
--- a/azureway-core/src/cache/cache_update.rs
+++ b/azureway-core/src/cache/cache_update.rs
@@ -1,4 +1,4 @@
-//! A run of consecutive cache events.
+//! The input of the cache index: what a backend server reports about its cache.
 
 use super::CacheOp;
 use crate::domain::{Incarnation, ServerId};
--- a/azureway-core/src/cache/event_cursor.rs
+++ b/azureway-core/src/cache/event_cursor.rs
@@ -1,4 +1,4 @@
-//! The position in a server's numbered cache events.
+//! Detects cache events that were lost or arrive twice, by their numbers.
 
 use crate::domain::Incarnation;
 
--- a/azureway-core/src/cache/holders.rs
+++ b/azureway-core/src/cache/holders.rs
@@ -1,4 +1,4 @@
-//! The backend servers that are believed to hold one block.
+//! What the cache index records for one block.
 
 use smallvec::SmallVec;
 
--- a/azureway-core/src/cache/index.rs
+++ b/azureway-core/src/cache/index.rs
@@ -1,4 +1,4 @@
-//! The index of the blocks that backend servers are believed to have cached.
+//! Estimates how much of a prompt each backend server has cached.
 
 use std::collections::{HashMap, VecDeque};
 
--- a/azureway-core/src/cache/prompt_blocks.rs
+++ b/azureway-core/src/cache/prompt_blocks.rs
@@ -1,4 +1,4 @@
-//! A prompt as a chain of blocks.
+//! Splits a prompt into the blocks by which backend servers cache it.
 
 use smallvec::SmallVec;
 
@@ -12,8 +12,10 @@
 /// organisation's instructions and the context of the shop or distributor.
 const SHARED_LEVELS: usize = 2;
 
-/// A prompt as a chain of blocks. A block ends at the end of its prompt level or when it is full,
-/// so that prompts that share a level share all blocks up to its end.
+/// A prompt as a sequence of cache blocks.
+///
+/// A block ends at the end of its prompt level or when it is full, so that prompts that share a
+/// level share all blocks up to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptBlocks {
     salt: Salt,
@@ -23,7 +25,7 @@
 }
 
 impl PromptBlocks {
-    /// Derives the chain of a prompt from its levels, the outermost first.
+    /// Derives the blocks of a prompt from its levels, the outermost first.
     pub fn new<'a>(salt: Salt, levels: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut prompt = Self {
             salt,
@@ -40,7 +42,7 @@
         prompt
     }
 
-    /// Creates a chain from blocks whose keys were derived elsewhere, such as in a trace.
+    /// Creates a prompt from blocks whose keys were derived elsewhere, such as in a trace.
     ///
     /// The first `prefix_blocks` blocks form the shared prefix.
     pub fn from_blocks(
--- a/azureway-core/src/cache/tracked_server.rs
+++ b/azureway-core/src/cache/tracked_server.rs
@@ -1,4 +1,4 @@
-//! The index's state of one backend server.
+//! Tells which index records of a backend server are valid.
 
 use super::EventCursor;
 use crate::domain::Incarnation;
