--- a/azureway-core/src/router/admission_check.rs
+++ b/azureway-core/src/router/admission_check.rs
@@ -1,4 +1,4 @@
-//! The checks before a request is queued.
+//! Decides whether a new request is queued or refused.
 
 use std::time::Duration;
 
--- a/azureway-core/src/router/attempt_plan.rs
+++ b/azureway-core/src/router/attempt_plan.rs
@@ -1,4 +1,4 @@
-//! The plan of the next attempt of a request.
+//! What the router knows before the next attempt of a request is sent.
 
 use std::time::Duration;
 
--- a/azureway-core/src/router/config.rs
+++ b/azureway-core/src/router/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a router.
+//! The limits, costs and latencies that the router decides by, with their defaults.
 
 use std::time::Duration;
 
--- a/azureway-core/src/router/decider.rs
+++ b/azureway-core/src/router/decider.rs
@@ -1,4 +1,4 @@
-//! The event handler that makes all decisions of an entry instance.
+//! Turns events into actions: admission, queueing, dispatch, retries and claims.
 
 use super::{
     AdmissionCheck, Dispatcher, InFlight, PlacementRequest, Queues, Retry, RetryDecision,
--- a/azureway-core/src/router/dispatcher.rs
+++ b/azureway-core/src/router/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Dispatch of requests to backend servers.
+//! Sends requests to the chosen backend servers and tracks them until they end.
 
 use super::{InFlight, InFlightTable, Placement, PlacementRequest, RouteOption, RouterConfig};
 use crate::cache::{CacheIndex, CacheUpdate};
--- a/azureway-core/src/router/exclusion_reason.rs
+++ b/azureway-core/src/router/exclusion_reason.rs
@@ -1,4 +1,4 @@
-//! The reasons why a backend server is not chosen.
+//! Tells why a backend server was not chosen, for the explanation of a placement.
 
 use super::PlacementRequest;
 use crate::domain::{ModelService, Timestamp};
--- a/azureway-core/src/router/in_flight.rs
+++ b/azureway-core/src/router/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request that a backend server is running.
+//! What the router keeps about a request while a backend server runs it.
 
 use super::AttemptPlan;
 use crate::domain::{
--- a/azureway-core/src/router/in_flight_table.rs
+++ b/azureway-core/src/router/in_flight_table.rs
@@ -1,4 +1,4 @@
-//! The table of requests in flight.
+//! Finds requests in flight by attempt, and recognises stale attempts.
 
 use std::collections::BTreeMap;
 
--- a/azureway-core/src/router/overview.rs
+++ b/azureway-core/src/router/overview.rs
@@ -1,4 +1,4 @@
-//! A summary of the state of a router.
+//! The figures about a router that are shown to operators.
 
 use crate::domain::{ConfigVersion, Rank, RequestKind};
 use crate::tally::{Outcome, OutcomeCount};
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -1,4 +1,4 @@
-//! Selection of a backend server for a request.
+//! Collects the backend servers that can take a request and lets the policy choose one.
 
 use std::time::Duration;
 
@@ -36,8 +36,8 @@
 /// The estimated time to first token above which servers of the next locality are considered:
 /// a fifth of the target.
 const SPILL_THRESHOLD: Duration = Duration::from_millis(200);
-/// The penalty, as time, of an answer from outdated weights once the grace period after newer
-/// ones were named is over: most of the time budget of an urgent request.
+/// The cost, as time, that is added for a server that still has outdated weights after the grace
+/// period for loading newer ones. It is most of the time budget of an urgent request.
 const OUTDATED_WEIGHTS_COST: Duration = Duration::from_millis(250);
 
 impl<'a> Placement<'a> {
@@ -255,7 +255,7 @@
             .index
             .cached_tokens(id, incarnation, request.prompt.blocks());
         if replica && !self.config.shared_servers && !self.index.is_complete(id, incarnation) {
-            // An entry that has just started assumes that replicas hold the prefix.
+            // An instance that has just started assumes that replicas hold the prefix.
             cached = cached.max(request.prompt.prefix_tokens());
         }
         let (one_way_latency, traffic_cost) = match locality {
--- a/azureway-core/src/router/queues.rs
+++ b/azureway-core/src/router/queues.rs
@@ -1,4 +1,4 @@
-//! The queued requests of all pools.
+//! Tracks the queues of all pools, and which of them may have a request to dispatch.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
--- a/azureway-core/src/router/retry.rs
+++ b/azureway-core/src/router/retry.rs
@@ -1,4 +1,4 @@
-//! A request that waits for a retry.
+//! What the router keeps about a request until its next attempt.
 
 use std::time::Duration;
 
--- a/azureway-core/src/router/retry_decision.rs
+++ b/azureway-core/src/router/retry_decision.rs
@@ -1,4 +1,4 @@
-//! The decision about a request after a failed attempt.
+//! Decides whether a request is retried, requeued or refused after a failed attempt.
 
 use super::InFlight;
 use crate::domain::{Refusal, RefusalReason, RequestKind, StreamPosition, Timestamp};
--- a/azureway-core/src/router/retry_queue.rs
+++ b/azureway-core/src/router/retry_queue.rs
@@ -1,4 +1,4 @@
-//! The requests that wait for a retry.
+//! Holds requests until a retry is allowed and a backend server can take it.
 
 use super::Retry;
 use crate::domain::{Fingerprint, RequestId, StreamPosition, Timestamp};
--- a/azureway-core/src/router/route_option.rs
+++ b/azureway-core/src/router/route_option.rs
@@ -1,4 +1,4 @@
-//! The explanation of a placement decision for one backend server.
+//! Explains why the router would or would not choose a backend server for a request.
 
 use super::ExclusionReason;
 use crate::domain::{ServerId, TokenCount, ZoneId};
--- a/azureway-core/src/router/sharing.rs
+++ b/azureway-core/src/router/sharing.rs
@@ -12,10 +12,11 @@
 
 impl<'a> Placement<'a> {
     /// Returns the address of a server to fetch cached blocks from: the one that holds the most
-    /// of the prompt, if that is more than the chosen server holds. If none is
-    /// known to and the chosen server lacks part of the prefix, it is the one with the highest
-    /// rendezvous weight, since a fetch that finds nothing costs far less than recomputing the
-    /// prefix.
+    /// of the prompt, if that is more than the chosen server holds.
+    ///
+    /// If no server is known to hold more and the chosen server lacks part of the prefix, returns
+    /// the one with the highest rendezvous weight, since a fetch that finds nothing costs far less
+    /// than recomputing the prefix.
     pub fn fetch_source(
         &mut self,
         request: &Request,
--- a/azureway-core/src/router/suspects.rs
+++ b/azureway-core/src/router/suspects.rs
@@ -48,7 +48,8 @@
 
     /// Refuses every waiting retry of a quarantined request whose stream has not begun. Queued
     /// requests are refused when they reach the head of their queue. Requests in flight go on,
-    /// since crash reports cannot tell the cause of a crash from a request that merely ran beside it.
+    /// since crash reports cannot tell the cause of a crash from a request that merely ran beside
+    /// it.
     fn refuse_quarantined(&mut self, fingerprint: &Fingerprint, out: &mut Vec<Action>) {
         for retry in self.retries.remove_quarantined(fingerprint) {
             let refusal = RetryDecision::quarantined(retry.plan.not_run);
