--- a/azureway-core/src/admit/account_limits.rs
+++ b/azureway-core/src/admit/account_limits.rs
@@ -1,4 +1,4 @@
-//! Token limits of client accounts, as this entry enforces them.
+//! Refuses requests of client accounts that have used up their token limits.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 /// Enforces the token limits of client accounts at this entry.
 ///
-/// The limits hold over all entries together: each entry enforces its [`LimitShare`] of them.
+/// The limits hold over all entry instances together: each enforces its [`LimitShare`] of them.
 #[derive(Clone, Debug, Default)]
 pub struct AccountLimits {
     accounts: HashMap<AccountId, (DemandMeter, TokenBucket)>,
@@ -16,7 +16,7 @@
 }
 
 impl AccountLimits {
-    /// Creates limits without accounts, for an entry that knows of no other entry.
+    /// Creates limits without accounts, for an entry instance that knows of no other.
     pub fn new() -> Self {
         Self {
             accounts: HashMap::new(),
--- a/azureway-core/src/admit/demand.rs
+++ b/azureway-core/src/admit/demand.rs
@@ -1,4 +1,4 @@
-//! The demand of client accounts at one entry.
+//! The figures that entry instances exchange to divide account limits by demand.
 
 use crate::domain::{AccountId, InstanceId, TokenRate};
 
--- a/azureway-core/src/admit/fair_queue.rs
+++ b/azureway-core/src/admit/fair_queue.rs
@@ -52,8 +52,8 @@
         last.max(self.virtual_time)
     }
 
-    /// Returns a lower bound of the tokens ahead of a new request of `account`: of each
-    /// account, the work whose tags precede the request's start tag.
+    /// Returns a lower bound of the tokens ahead of a new request of `account`. It adds up, over
+    /// all accounts, the work whose tags precede the start tag of the request.
     pub fn tokens_ahead(&self, account: &AccountId) -> u64 {
         let start = self.start_tag_for(account);
         let ahead = |finish: &u64| (*finish).min(start).saturating_sub(self.virtual_time);
@@ -91,7 +91,7 @@
         let queued = self.extract(id)?;
         self.virtual_time = self.virtual_time.max(queued.start_tag);
         if self.is_empty() {
-            // No account lags behind another now, so tags in the past can be dropped.
+            // A finish tag that is not after the virtual time no longer affects any start tag.
             self.finish_tags
                 .retain(|_, finish| *finish > self.virtual_time);
         }
--- a/azureway-core/src/admit/limit_share.rs
+++ b/azureway-core/src/admit/limit_share.rs
@@ -1,4 +1,4 @@
-//! The fraction of each account's limit that this entry enforces.
+//! Divides the limits of client accounts between the entry instances.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use super::Demand;
 use crate::domain::{AccountId, InstanceId, Timestamp};
 
-/// Computes the fraction of each account's limit that this entry enforces.
+/// Computes the fraction of each account's limit that this entry instance enforces.
 ///
 /// `EQUAL_SHARE` of a limit is divided equally over all listed entries. The rest is divided by
 /// demand among the entries that receive each other's reports, after scaling it by the
@@ -19,7 +19,7 @@
     reports: HashMap<InstanceId, Report>,
 }
 
-/// The time at which an entry reported its demand, and the demand of each account.
+/// The time at which an entry instance reported its demand, and the demand of each account.
 type Report = (Timestamp, HashMap<AccountId, f64>);
 
 /// The fraction of a limit that is divided equally over all entries.
@@ -28,7 +28,7 @@
 const REPORT_TTL: Duration = Duration::from_secs(5);
 
 impl LimitShare {
-    /// Creates the share of an entry that knows of no other entry.
+    /// Creates the share of an entry instance that knows of no other.
     pub fn new() -> Self {
         Self {
             entries: 1,
@@ -41,7 +41,7 @@
         self.entries = entries.max(1);
     }
 
-    /// Records the demand that another entry reported.
+    /// Records the demand that another entry instance reported.
     pub fn record(&mut self, demand: &Demand, now: Timestamp) {
         self.reports
             .retain(|_, (at, _)| now.since(*at) < REPORT_TTL);
--- a/azureway-core/src/admit/pool_queue.rs
+++ b/azureway-core/src/admit/pool_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one pool over both ranks.
+//! Orders the requests of both ranks that wait for one pool.
 
 use std::time::Duration;
 
--- a/azureway-core/src/admit/queued_request.rs
+++ b/azureway-core/src/admit/queued_request.rs
@@ -1,4 +1,4 @@
-//! A request in the queue of a pool.
+//! A request together with the data that orders it in the queue of its pool.
 
 use crate::domain::{Request, Timestamp};
 use crate::router::AttemptPlan;
--- a/azureway-core/src/admit/service_rate.rs
+++ b/azureway-core/src/admit/service_rate.rs
@@ -1,4 +1,4 @@
-//! The rate at which a pool serves queued requests.
+//! Measures how fast a pool serves its queue, to predict the wait of a new request.
 
 use std::time::Duration;
 
