--- a/azureway-core/src/retry/backoff.rs
+++ b/azureway-core/src/retry/backoff.rs
@@ -1,4 +1,4 @@
-//! Exponential backoff with jitter and a cap.
+//! Computes the delays between repeated attempts.
 
 use std::time::Duration;
 
--- a/azureway-core/src/retry/budget.rs
+++ b/azureway-core/src/retry/budget.rs
@@ -1,4 +1,4 @@
-//! A retry budget: the share of requests that may be retries.
+//! Bounds the retries of this entry to a share of its requests.
 
 use std::time::Duration;
 
--- a/azureway-core/src/retry/budgets.rs
+++ b/azureway-core/src/retry/budgets.rs
@@ -1,4 +1,4 @@
-//! The retry budgets of the pools.
+//! Finds the retry budget of a pool, and divides shared slack between the entry instances.
 
 use std::collections::HashMap;
 
@@ -18,8 +18,8 @@
     pools: HashMap<PoolId, RetryBudget>,
 }
 
-/// The least number of entries that the slack is divided by. An entry that has just started may
-/// know of no other entry, and sites have six to eight.
+/// The least number of entry instances that the slack is divided by. An instance that has just
+/// started may know of no other, and sites have six to eight.
 const MIN_ENTRIES: u32 = 8;
 
 impl RetryBudgets {
--- a/azureway-core/src/retry/slack.rs
+++ b/azureway-core/src/retry/slack.rs
@@ -1,4 +1,4 @@
-//! The retries that all entries together may make beyond their share of the requests.
+//! The allowance for retries that entry instances share, for pools with few requests.
 
 use std::time::Duration;
 
