--- a/azureway-core/src/quarantine/crash_guard.rs
+++ b/azureway-core/src/quarantine/crash_guard.rs
@@ -6,8 +6,8 @@
 
 /// Protects backend servers from requests that crash them.
 ///
-/// It records which requests are suspects, on which servers suspects run, and the crash reports to
-/// broadcast to the other entries.
+/// It records which requests are suspects, on which servers suspects run, and the crash reports
+/// to broadcast to the other entries.
 #[derive(Clone, Debug, Default)]
 pub struct CrashGuard {
     quarantine: Quarantine,
@@ -117,8 +117,8 @@
         self.updates.extend(resolved);
     }
 
-    /// Merges a crash report from another entry. Returns whether it changed a crash report and its request is
-    /// quarantined.
+    /// Merges a crash report from another entry. Returns whether this changed the stored
+    /// reports and the request is quarantined.
     pub fn merge(&mut self, report: &CrashReport, now: Timestamp) -> bool {
         self.quarantine.merge(report, now) && self.is_quarantined(&report.fingerprint, now)
     }
--- a/azureway-core/src/quarantine/crash_report.rs
+++ b/azureway-core/src/quarantine/crash_report.rs
@@ -1,11 +1,11 @@
-//! A crash report against a request.
+//! What entries report to one another when a request may have crashed a backend server.
 
 use std::time::Duration;
 
 use super::{CrashReportState, CrashSite};
 use crate::domain::Fingerprint;
 
-/// A crash report against a request that was running when a backend server failed.
+/// The report that a request was running when a backend server failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashReport {
     /// The fingerprint of the request, which identical requests share.
@@ -14,7 +14,7 @@
     pub site: CrashSite,
     /// The state of the evidence.
     pub state: CrashReportState,
-    /// The remaining time for which the crash report counts. Forwarding a crash report never extends it.
+    /// The remaining time for which the report counts. Forwarding a report never extends it.
     pub ttl: Duration,
 }
 
--- a/azureway-core/src/quarantine/crash_report_set.rs
+++ b/azureway-core/src/quarantine/crash_report_set.rs
@@ -1,4 +1,4 @@
-//! The crash reports of one request.
+//! Derives the status of a request from the crash reports about it.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use super::{CrashReport, CrashReportState, CrashSite, SuspectStatus};
 use crate::domain::{Incarnation, Timestamp};
 
-/// A crash report as it is kept: its site, its state, the time it was added and the time it expires.
-type Entry = (CrashSite, CrashReportState, Timestamp, Timestamp);
+/// A stored crash report: its site, its state, the time it was added and the time it expires.
+type StoredReport = (CrashSite, CrashReportState, Timestamp, Timestamp);
 
 /// The crash reports of one request, at most one for each site.
 #[derive(Clone, Debug, Default)]
 pub struct CrashReportSet {
-    entries: SmallVec<[Entry; 2]>,
+    reports: SmallVec<[StoredReport; 2]>,
 }
 
 /// The number of crash reports that quarantine a request.
 const QUARANTINE_REPORTS: usize = 2;
-/// The largest number of crash reports kept for one request: twice those that quarantine it, to leave
-/// room for cleared ones.
-const MAX_ENTRIES: usize = 2 * QUARANTINE_REPORTS;
+/// The largest number of crash reports kept for one request. It is twice the number that
+/// quarantines a request, to leave room for cleared reports.
+const MAX_REPORTS: usize = 2 * QUARANTINE_REPORTS;
 
 impl CrashReportSet {
     /// Creates an empty set.
@@ -28,68 +28,69 @@
         Self::default()
     }
 
-    /// Merges a crash report. Returns whether it was new or raised the state of a known crash report.
+    /// Merges a crash report. Returns whether it was new or raised the state of a known one.
     pub fn merge(&mut self, report: &CrashReport, now: Timestamp) -> bool {
         let expires = now + report.ttl;
-        if let Some(old) = self.entries.iter_mut().find(|e| e.0 == report.site) {
+        if let Some(old) = self.reports.iter_mut().find(|r| r.0 == report.site) {
             if report.state <= old.1 {
                 return false;
             }
             (old.1, old.3) = (report.state, expires);
             return true;
         }
-        if self.entries.len() == MAX_ENTRIES {
+        if self.reports.len() == MAX_REPORTS {
             self.drop_weakest();
         }
-        self.entries
+        self.reports
             .push((report.site.clone(), report.state, now, expires));
         true
     }
 
-    /// Returns the status of the request at `now`. `ttl` is the time for which an unconfirmed
-    /// crash report counts whose server's incarnation is unknown, since no report can confirm or
-    /// clear it.
+    /// Returns the status of the request at `now`.
+    ///
+    /// An unconfirmed crash report for an unknown incarnation counts only for `ttl`, since no
+    /// report of the server can confirm or clear it.
     pub fn status(&self, ttl: Duration, now: Timestamp) -> SuspectStatus {
-        let counts = |e: &&Entry| match e.1 {
-            _ if e.3 <= now => false,
-            CrashReportState::Unconfirmed if e.0.incarnation == Incarnation::ZERO => {
-                now.since(e.2) < ttl
+        let counts = |r: &&StoredReport| match r.1 {
+            _ if r.3 <= now => false,
+            CrashReportState::Unconfirmed if r.0.incarnation == Incarnation::ZERO => {
+                now.since(r.2) < ttl
             }
             CrashReportState::Unconfirmed | CrashReportState::Confirmed => true,
             CrashReportState::Tentative | CrashReportState::Cleared => false,
         };
-        match self.entries.iter().filter(counts).count() {
+        match self.reports.iter().filter(counts).count() {
             0 => SuspectStatus::Clear,
             count if count < QUARANTINE_REPORTS => SuspectStatus::Suspect,
             _ => SuspectStatus::Quarantined,
         }
     }
 
-    /// Returns the crash reports that are not cleared, each with its state and the time it was added.
+    /// Returns the site, the state and the time of addition of each report that is not cleared.
     pub fn active(&self) -> impl Iterator<Item = (&CrashSite, CrashReportState, Timestamp)> {
-        let active = self.entries.iter();
+        let active = self.reports.iter();
         active
-            .filter(|e| e.1 != CrashReportState::Cleared)
-            .map(|e| (&e.0, e.1, e.2))
+            .filter(|r| r.1 != CrashReportState::Cleared)
+            .map(|r| (&r.0, r.1, r.2))
     }
 
     /// Removes expired crash reports. Returns whether any crash report is left.
     pub fn prune(&mut self, now: Timestamp) -> bool {
-        self.entries.retain(|e| e.3 > now);
-        !self.entries.is_empty()
+        self.reports.retain(|r| r.3 > now);
+        !self.reports.is_empty()
     }
 
     /// Removes the crash report with the weakest evidence, and the oldest among equals.
     fn drop_weakest(&mut self) {
-        let key = |e: &Entry| match e.1 {
-            CrashReportState::Cleared => (0, e.2),
-            CrashReportState::Tentative => (1, e.2),
-            CrashReportState::Unconfirmed => (2, e.2),
-            CrashReportState::Confirmed => (3, e.2),
+        let key = |r: &StoredReport| match r.1 {
+            CrashReportState::Cleared => (0, r.2),
+            CrashReportState::Tentative => (1, r.2),
+            CrashReportState::Unconfirmed => (2, r.2),
+            CrashReportState::Confirmed => (3, r.2),
         };
-        let indices = 0..self.entries.len();
-        if let Some(index) = indices.min_by_key(|i| key(&self.entries[*i])) {
-            self.entries.remove(index);
+        let indices = 0..self.reports.len();
+        if let Some(index) = indices.min_by_key(|i| key(&self.reports[*i])) {
+            self.reports.remove(index);
         }
     }
 }
--- a/azureway-core/src/quarantine/crash_report_state.rs
+++ b/azureway-core/src/quarantine/crash_report_state.rs
@@ -1,12 +1,12 @@
-//! The state of the evidence behind a crash report.
+//! How strong the evidence of a crash report is, from weakest to final.
 
 /// The state of the evidence behind a crash report.
 ///
-/// Updates of the same crash report only ever raise its state, so that entries converge whatever the
-/// order in which updates arrive.
+/// Updates of the same crash report only ever raise its state, so that entries converge whatever
+/// the order in which updates arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum CrashReportState {
-    /// The connection went silent or the answer was bad. The crash report does not count by itself.
+    /// The connection went silent or the answer was bad. The report does not count by itself.
     Tentative,
     /// The connection broke. The server may or may not have crashed.
     Unconfirmed,
--- a/azureway-core/src/quarantine/crash_site.rs
+++ b/azureway-core/src/quarantine/crash_site.rs
@@ -1,4 +1,4 @@
-//! The backend server and incarnation that a crash report refers to.
+//! Identifies the backend server process that a crash report is about.
 
 use crate::domain::{Incarnation, ServerId};
 
--- a/azureway-core/src/quarantine/isolation.rs
+++ b/azureway-core/src/quarantine/isolation.rs
@@ -1,4 +1,4 @@
-//! The isolation of running suspects from one another.
+//! Tracks where suspects run, so that no two run on one backend server.
 
 use crate::domain::{Fingerprint, RequestId, ServerId};
 
--- a/azureway-core/src/quarantine/quarantined.rs
+++ b/azureway-core/src/quarantine/quarantined.rs
@@ -1,4 +1,4 @@
-//! The requests that were running when backend servers failed.
+//! Decides from crash reports which requests are suspects and which are quarantined.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,9 +8,9 @@
 
 /// The requests that were running when backend servers failed, by fingerprint.
 ///
-/// One crash report makes a request a suspect, and two crash reports at different sites quarantine it. A
-/// crash report is confirmed when its server reports a greater incarnation. It is cleared when the
-/// server reports the same incarnation or when the request succeeds.
+/// One crash report makes a request a suspect, and two for different sites quarantine it. A crash
+/// report is confirmed when its server reports a greater incarnation. It is cleared when the server
+/// reports the same incarnation or when the request succeeds.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     records: BTreeMap<Fingerprint, CrashReportSet>,
@@ -23,11 +23,11 @@
 
 /// The time for which a crash report counts.
 const CRASH_REPORT_TTL: Duration = Duration::from_secs(600);
-/// The time for which an unconfirmed crash report counts at a server of unknown incarnation, where
-/// no report can resolve it.
+/// The time for which an unconfirmed crash report for an unknown incarnation counts. No report of
+/// the server can confirm or clear it.
 const UNCONFIRMED_TTL: Duration = Duration::from_secs(60);
-/// The largest delay of a report. A report that arrives later than this after a crash report is newer
-/// than the crash report.
+/// The largest delay with which a server's incarnation becomes known. An incarnation that is seen
+/// later than this after a crash report was added is newer than the crash report.
 const MAX_REPORT_LAG: Duration = Duration::from_secs(5);
 /// The largest number of requests with crash reports, which bounds memory.
 const MAX_RECORDS: usize = 4_096;
@@ -68,8 +68,8 @@
         report
     }
 
-    /// Merges a crash report of this or another entry. Returns whether it was new or raised the state of
-    /// a known crash report.
+    /// Merges a crash report of this or another entry. Returns whether it was new or raised the
+    /// state of a known one.
     pub fn merge(&mut self, report: &CrashReport, now: Timestamp) -> bool {
         self.evict(now);
         if report.state.is_unresolved() {
@@ -95,8 +95,8 @@
         self.resolve(*fingerprint, sites, CrashReportState::Cleared, now)
     }
 
-    /// Records the incarnation that a server reported. Returns the crash reports that this confirms
-    /// or clears.
+    /// Records the incarnation that a server reported. Returns the crash reports that this
+    /// confirms or clears.
     pub fn observe_incarnation(
         &mut self,
         server: &ServerId,
@@ -142,7 +142,8 @@
     }
 
     /// Attributes the failures at the sites of a quarantined request to that request. Other
-    /// requests that ran there keep their crash reports, since one of them may be the cause instead.
+    /// requests that ran there keep their crash reports, since one of them may be the cause
+    /// instead.
     fn attribute_sites(&mut self, cause: &Fingerprint, now: Timestamp) {
         let until = now + CRASH_REPORT_TTL;
         let sites = self.records[cause].active();
@@ -167,7 +168,7 @@
             .into_iter()
             .map(|site| CrashReport::new(fingerprint, site, state, CRASH_REPORT_TTL));
         let reports: Vec<_> = reports.collect();
-        reports.into_iter().filter(|s| self.merge(s, now)).collect()
+        reports.into_iter().filter(|r| self.merge(r, now)).collect()
     }
 
     /// Makes room for one request at the bound: removes expired crash reports and, if that is not
@@ -191,8 +192,8 @@
     }
 }
 
-/// Returns the site and the new state of an unresolved crash report if the incarnation that its server
-/// reported resolves it.
+/// Returns the site and the new state of an unresolved crash report if the incarnation that its
+/// server reported resolves it.
 fn resolution(
     (site, state, since): (&CrashSite, CrashReportState, Timestamp),
     incarnation: Incarnation,
--- a/azureway-core/src/quarantine/suspect_status.rs
+++ b/azureway-core/src/quarantine/suspect_status.rs
@@ -1,4 +1,4 @@
-//! The quarantine status of a request.
+//! Whether a request may run, by the backend servers that failed while they ran it.
 
 /// The quarantine status of a request, which follows from its crash reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
