--- a/azureway-core/src/claim/closing.rs
+++ b/azureway-core/src/claim/closing.rs
@@ -1,4 +1,4 @@
-//! The platform calls that finish or release a claim.
+//! Decides the calls that finish or release a claim, and repeats those that fail.
 
 use super::{ClaimHandle, ClaimNonce, ClaimOutcome, ClaimReply, ClaimStep};
 use crate::domain::RequestId;
--- a/azureway-core/src/claim/command.rs
+++ b/azureway-core/src/claim/command.rs
@@ -1,4 +1,4 @@
-//! A command for the platform about a claim.
+//! The commands of the claim table, each of which becomes calls to the platform.
 
 use super::{ClaimHandle, ClaimRequest};
 use crate::domain::RequestId;
--- a/azureway-core/src/claim/creation.rs
+++ b/azureway-core/src/claim/creation.rs
@@ -1,4 +1,4 @@
-//! The platform calls that create a claim.
+//! Decides the calls that create a claim, also after a lost answer.
 
 use super::{ClaimNonce, ClaimOutcome, ClaimReply, ClaimStep};
 use crate::domain::RequestId;
--- a/azureway-core/src/claim/decision.rs
+++ b/azureway-core/src/claim/decision.rs
@@ -1,4 +1,4 @@
-//! The decision about a request once the outcome of its claim is known.
+//! Decides whether a claimed request is sent, answered by replay or refused.
 
 use std::time::Duration;
 
@@ -41,14 +41,14 @@
 
     /// Returns the refusal of a request while another request with its key runs or may have run.
     pub fn in_progress() -> Refusal {
-        let detail = "an earlier sending with this key is running or has run; it is not run again";
+        let detail = "an earlier request with this key is running or has run; it is not run again";
         Refusal::maybe_run(RefusalReason::Duplicate, detail).with_retry(RETRY_AFTER)
     }
 
     /// Returns the refusal of a request whose claim the platform could not confirm.
     pub fn unavailable() -> Refusal {
-        let detail = "the platform cannot be asked whether the key has run before; this \
-                      sending was not run, an earlier one with the same key may have been";
+        let detail = "the platform did not say whether the key was used before; this request \
+                      was not run, but an earlier one with the same key may have been";
         Refusal::not_run(RefusalReason::ClaimUnavailable, detail).with_retry(RETRY_AFTER)
     }
 }
--- a/azureway-core/src/claim/handle.rs
+++ b/azureway-core/src/claim/handle.rs
@@ -1,4 +1,4 @@
-//! A handle to a claim that this entry requested.
+//! Identifies a claim of this entry, so that it can be finished or released.
 
 use super::{ClaimName, ClaimNonce, ClaimRecord, ClaimState, ShortAnswer};
 use crate::domain::{Fingerprint, RequestId};
--- a/azureway-core/src/claim/name.rs
+++ b/azureway-core/src/claim/name.rs
@@ -1,4 +1,4 @@
-//! The name of a claim.
+//! Derives the name under which the platform stores a claim.
 
 use crate::util::TruncatedSha256;
 use std::fmt::{self, Write as _};
@@ -10,7 +10,7 @@
 pub struct ClaimName([u8; 16]);
 
 impl ClaimName {
-    /// Returns the name of the claim on `key` of `account`, which is the same at every entry.
+    /// Returns the name of the claim on `key` of `account`, which is the same at every entry instance.
     pub fn of(account: &AccountId, key: &IdempotencyKey) -> Self {
         let digest = TruncatedSha256::new().with_part(account.as_str().as_bytes());
         Self(digest.with_part(key.as_str().as_bytes()).finish())
--- a/azureway-core/src/claim/nonce.rs
+++ b/azureway-core/src/claim/nonce.rs
@@ -1,4 +1,4 @@
-//! The nonce by which an entry recognises its own claim.
+//! Distinguishes the claims of this entry from those of other requests.
 
 use crate::domain::RequestId;
 
--- a/azureway-core/src/claim/operation.rs
+++ b/azureway-core/src/claim/operation.rs
@@ -1,4 +1,4 @@
-//! The platform calls that one claim command takes.
+//! Carries out one claim command as a series of platform calls.
 
 use super::{ClaimClosing, ClaimCommand, ClaimCreation, ClaimReply, ClaimStep};
 
--- a/azureway-core/src/claim/outcome.rs
+++ b/azureway-core/src/claim/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a claim command.
+//! The results of claim commands, which the claim table acts on.
 
 use super::ClaimRecord;
 use crate::domain::RequestId;
--- a/azureway-core/src/claim/record.rs
+++ b/azureway-core/src/claim/record.rs
@@ -1,4 +1,4 @@
-//! A claim as the platform stores it.
+//! The content of the object that stores a claim at the platform.
 
 use super::{ClaimNonce, ClaimState};
 use crate::domain::Fingerprint;
--- a/azureway-core/src/claim/reply.rs
+++ b/azureway-core/src/claim/reply.rs
@@ -1,4 +1,4 @@
-//! The reply of the platform to one call.
+//! The replies of the platform, which decide the next call for a claim.
 
 use super::ClaimRecord;
 
--- a/azureway-core/src/claim/request.rs
+++ b/azureway-core/src/claim/request.rs
@@ -1,4 +1,4 @@
-//! The request for a claim.
+//! The data from which a claim is created.
 
 use super::{ClaimName, ClaimNonce, ClaimRecord};
 use crate::domain::{Fingerprint, RequestId, Timestamp};
--- a/azureway-core/src/claim/short_answer.rs
+++ b/azureway-core/src/claim/short_answer.rs
@@ -1,9 +1,9 @@
-//! An answer that is short enough to store with its claim.
+//! Stores an answer with its claim, so that a repeated request gets it again.
 
 /// An answer that is short enough to store with its claim, for replay to later requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShortAnswer {
-    /// The HTTP status.
+    /// The HTTP response status.
     pub status: u16,
     /// The media type of the body.
     pub media: Box<str>,
--- a/azureway-core/src/claim/state.rs
+++ b/azureway-core/src/claim/state.rs
@@ -1,4 +1,4 @@
-//! The execution state of a claimed request.
+//! Tells whether the request that holds a claim has run.
 
 use super::ShortAnswer;
 
--- a/azureway-core/src/claim/step.rs
+++ b/azureway-core/src/claim/step.rs
@@ -1,4 +1,4 @@
-//! The next platform call for a claim.
+//! The next action for a claim: a platform call, or the end with an outcome.
 
 use super::ClaimOutcome;
 
--- a/azureway-core/src/claim/sweep.rs
+++ b/azureway-core/src/claim/sweep.rs
@@ -1,4 +1,4 @@
-//! The schedule of deleting old claims.
+//! Spreads the deletion of old claims over time and shards.
 
 use std::time::Duration;
 
--- a/azureway-core/src/claim/table.rs
+++ b/azureway-core/src/claim/table.rs
@@ -1,4 +1,4 @@
-//! The claims of one entry.
+//! Tracks the claims of this entry's requests from creation to release.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::event::{Action, Failure};
 use crate::fleet::ServerTable;
 
-/// The claims of one entry, by request.
+/// The claims of one entry instance, by request.
 ///
 /// A claim is requested before its request may wait for a server and finished when the request
 /// has run. It is released only when it is certain that the request has not run and will not run.
@@ -19,7 +19,7 @@
 pub struct ClaimTable {
     claims: BTreeMap<RequestId, TrackedClaim>,
     names: BTreeMap<ClaimName, RequestId>,
-    /// The times until which the table waits for the platform. They stay after it has answered.
+    /// The times at which waits for the platform end. A time stays after the platform has answered.
     timeouts: BTreeSet<(Timestamp, RequestId)>,
     breaker: ClaimBreaker,
 }
--- a/azureway-core/src/claim/tracked.rs
+++ b/azureway-core/src/claim/tracked.rs
@@ -1,4 +1,4 @@
-//! This entry's state of one claim.
+//! The states that one claim goes through at this entry.
 
 use super::{ClaimHandle, ClaimName};
 use crate::domain::{Attempt, Request};
