--- a/azureway-entry/src/caller/body_reader.rs
+++ b/azureway-entry/src/caller/body_reader.rs
@@ -1,4 +1,4 @@
-//! The second step of serving a connection: the request body, up to a size limit.
+//! The second step of reading a request: its body, up to a size limit.
 
 use std::io::{self, Read};
 
--- a/azureway-entry/src/caller/head_reader.rs
+++ b/azureway-entry/src/caller/head_reader.rs
@@ -1,4 +1,4 @@
-//! The first step of serving a connection: the request head, up to a size limit.
+//! The first step of reading a request: its head, up to a size limit.
 
 use std::io::{self, Read};
 
--- a/azureway-entry/src/order/orderer.rs
+++ b/azureway-entry/src/order/orderer.rs
@@ -1,4 +1,4 @@
-//! The thread that keeps the lease, sends load orders and follows the loads to their end.
+//! The thread that contends for the lease, sends load orders and checks whether loads completed.
 
 use std::time::Duration;
 
--- a/azureway-entry/src/peer/peer_client.rs
+++ b/azureway-entry/src/peer/peer_client.rs
@@ -35,7 +35,7 @@
         let _ = self.peer.try_send(PeerMessage::Server(update));
     }
 
-    /// Sends a crash report against a request.
+    /// Sends a crash report of a request.
     pub fn send_crash_report(&self, report: CrashReport) {
         let _ = self.peer.try_send(PeerMessage::CrashReport(report));
     }
