--- a/azureway-core/src/admit/limit_share.rs
+++ b/azureway-core/src/admit/limit_share.rs
@@ -8,11 +8,11 @@
 
 /// Computes the fraction of each account's limit that this entry instance enforces.
 ///
-/// `EQUAL_SHARE` of a limit is divided equally over all listed entries. The rest is divided by
-/// demand among the entries that receive each other's reports, after scaling it by the
-/// fraction of all entries that this group makes up: the groups on the two sides of a network
-/// partition thus stay within the limit together. A silent entry keeps its part of the limit
-/// until the platform no longer lists it, since it may still be serving.
+/// `EQUAL_SHARE` of a limit is divided equally over all listed entry instances. The rest is
+/// divided by demand among the group of instances that receive each other's reports. It is first
+/// scaled by the fraction of all instances that are in the group, so that the groups on the two
+/// sides of a network partition stay within the limit together. A silent instance keeps its part
+/// of the limit until the platform no longer lists it, since it may still be serving.
 #[derive(Clone, Debug, Default)]
 pub struct LimitShare {
     entries: u32,
--- a/azureway-core/src/claim/table.rs
+++ b/azureway-core/src/claim/table.rs
@@ -118,7 +118,7 @@
     }
 
     /// Records that the caller of a request that is not in flight has disconnected. No earlier
-    /// attempt has run, or the request would not wait for another attempt.
+    /// attempt of it can have run, since a request that may have run is not attempted again.
     pub fn cancel(&mut self, id: RequestId, out: &mut Vec<Action>) {
         match self.claims.get_mut(&id) {
             Some(claim @ TrackedClaim::Requested(..)) => abandon(claim),
--- a/azureway-core/src/fleet/server_state.rs
+++ b/azureway-core/src/fleet/server_state.rs
@@ -305,9 +305,10 @@
         reported + TokenCount::new(unreported.saturating_mul(u64::from(self.unreported_weight())))
     }
 
-    /// Returns the factor by which this entry's unreported work is multiplied. If each answer
-    /// carries the load, little is unreported, and the other entries are as likely to have chosen
-    /// other servers.
+    /// Returns the factor by which this entry's unreported work is multiplied.
+    ///
+    /// The factor is bounded for a server that attaches its load to each answer: little of its
+    /// work is unreported, and the other entries are as likely to have chosen other servers.
     fn unreported_weight(&self) -> u32 {
         match self.server.listed {
             Some(_) => self.share.entries().min(MAX_UNREPORTED_WEIGHT),
--- a/azureway-core/src/retry/slack.rs
+++ b/azureway-core/src/retry/slack.rs
@@ -6,8 +6,8 @@
 /// the share of its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySlack {
-    /// The number of retries.
+    /// The number of retries that all entry instances together may make within one window.
     pub count: u32,
-    /// The length of the window.
+    /// The length of a window.
     pub window: Duration,
 }
