--- a/azureway-core/src/claim/table.rs
+++ b/azureway-core/src/claim/table.rs
@@ -51,7 +51,7 @@
         let claim = self.claims.get(&request.id);
         !request.needs_claim()
             || matches!(claim, Some(TrackedClaim::Held(_) | TrackedClaim::Sent(..)))
-            || servers.all_keyed(&service.pool)
+            || servers.all_deduplicate(&service.pool)
     }
 
     /// Requests the claim of `request`, which the table keeps until the platform answers. Refuses
--- a/azureway-core/src/fleet/server_table.rs
+++ b/azureway-core/src/fleet/server_table.rs
@@ -126,7 +126,7 @@
 
     /// Returns whether the pool has servers and each of them rejects a second request with the
     /// same idempotency key.
-    pub fn all_keyed(&self, pool: &PoolId) -> bool {
+    pub fn all_deduplicate(&self, pool: &PoolId) -> bool {
         let mut servers = self.in_pool(pool).peekable();
         servers.peek().is_some() && servers.all(|s| s.server.deduplicates)
     }
