--- a/azureway-cli/src/admin/entry_client.rs
+++ b/azureway-cli/src/admin/entry_client.rs
@@ -13,7 +13,7 @@
     key: Option<String>,
 }
 
-/// How long an entry instance may take to answer, in seconds.
+/// The time limit for the answer of an entry instance, in seconds.
 const TIMEOUT_SECS: u64 = 5;
 
 impl EntryClient {
--- a/azureway-cli/src/report/account_report.rs
+++ b/azureway-cli/src/report/account_report.rs
@@ -1,4 +1,4 @@
-//! What `account list` prints for each client account.
+//! The output of `account list` for one client account.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/check_report.rs
+++ b/azureway-cli/src/report/check_report.rs
@@ -1,4 +1,4 @@
-//! What `config check` prints for a file, valid or not.
+//! The output of `config check` for a file, valid or not.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/drain_report.rs
+++ b/azureway-cli/src/report/drain_report.rs
@@ -1,4 +1,4 @@
-//! What `drain` prints for each entry instance once it has started to drain.
+//! The output of `drain` for one entry instance that has started to drain.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/azureway-cli/src/report/edit_report.rs
+++ b/azureway-cli/src/report/edit_report.rs
@@ -1,4 +1,4 @@
-//! What a command prints after an edit, with the exit code that it returns.
+//! The output of a command after an edit, with its exit code.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/explain_report.rs
+++ b/azureway-cli/src/report/explain_report.rs
@@ -1,4 +1,4 @@
-//! What `explain` prints for each entry instance.
+//! The output of `explain` for one entry instance.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use azureway_wire::admin::ExplainBody;
 use serde::Serialize;
 
-/// Where one entry instance would route a request, and the estimate for each backend server.
+/// The route that one entry instance would choose, and the estimate for each backend server.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ExplainReport {
     entry: SocketAddr,
--- a/azureway-cli/src/report/history_report.rs
+++ b/azureway-cli/src/report/history_report.rs
@@ -1,4 +1,4 @@
-//! What `config history` prints for each change, with the difference on request.
+//! The output of `config history` for one change, with the difference on request.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/lease_report.rs
+++ b/azureway-cli/src/report/lease_report.rs
@@ -1,4 +1,4 @@
-//! What `status` prints for each lease in the platform.
+//! The output of `status` for one lease in the platform.
 
 use std::fmt;
 
--- a/azureway-cli/src/report/status_report.rs
+++ b/azureway-cli/src/report/status_report.rs
@@ -1,4 +1,4 @@
-//! What `status` prints for each entry instance, including one that does not answer.
+//! The output of `status` for one entry instance, which may not have answered.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/azureway-cli/src/report/system_report.rs
+++ b/azureway-cli/src/report/system_report.rs
@@ -1,4 +1,4 @@
-//! What `status` prints: all queried entry instances, then the leases.
+//! The output of `status`: all queried entry instances, then the leases.
 
 use std::fmt;
 
--- a/azureway-config/src/ini/entry.rs
+++ b/azureway-config/src/ini/entry.rs
@@ -1,4 +1,4 @@
-//! What the parser returns for a line with a key and a value.
+//! A parsed line with a key and a value.
 
 /// A line of a section with a key and a value, borrowed from the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/azureway-config/src/ini/fault.rs
+++ b/azureway-config/src/ini/fault.rs
@@ -11,7 +11,7 @@
     pub section: Box<str>,
     /// The key, if the fault concerns one.
     pub key: Option<Box<str>>,
-    /// What is wrong, or what was expected and found.
+    /// The fault itself, or the expected and the found value.
     pub detail: Box<str>,
 }
 
--- a/azureway-config/src/ini/section.rs
+++ b/azureway-config/src/ini/section.rs
@@ -1,4 +1,4 @@
-//! What the parser returns for a section, from which a reader takes typed values.
+//! A parsed section, from which a reader takes typed values.
 
 use super::Entry;
 
--- a/azureway-config/src/settings/site_settings.rs
+++ b/azureway-config/src/settings/site_settings.rs
@@ -20,8 +20,8 @@
     pub retry_slack: u32,
     /// The time window to which the retry slack applies.
     pub retry_window: Duration,
-    /// How long the instance that sends load orders must have been silent before another instance
-    /// may send any.
+    /// The time for which the instance that sends load orders must have been silent before another
+    /// instance may send any.
     pub lease_term: Duration,
     /// The time within which newly named weights must serve all requests.
     pub rollout_timeout: Duration,
--- a/azureway-core/src/cache/holders.rs
+++ b/azureway-core/src/cache/holders.rs
@@ -1,4 +1,4 @@
-//! What the cache index records for one block.
+//! The record of one block in the cache index.
 
 use smallvec::SmallVec;
 
--- a/azureway-core/src/cache/tracked_server.rs
+++ b/azureway-core/src/cache/tracked_server.rs
@@ -1,4 +1,4 @@
-//! Tells which index records of a backend server are valid.
+//! The state that decides which index records of a backend server are valid.
 
 use super::EventCursor;
 use crate::domain::Incarnation;
--- a/azureway-core/src/claim/state.rs
+++ b/azureway-core/src/claim/state.rs
@@ -1,4 +1,4 @@
-//! Tells whether the request that holds a claim has run.
+//! The state of a claim, which shows whether the request that holds it has run.
 
 use super::ShortAnswer;
 
--- a/azureway-core/src/config/change_record.rs
+++ b/azureway-core/src/config/change_record.rs
@@ -10,6 +10,6 @@
     pub metadata: ChangeMetadata,
     /// The version of the document that the change was applied to.
     pub from: ConfigVersion,
-    /// What the change did to each section.
+    /// The effect of the change on each section.
     pub delta: Delta,
 }
--- a/azureway-core/src/config/edit_outcome.rs
+++ b/azureway-core/src/config/edit_outcome.rs
@@ -1,4 +1,4 @@
-//! What the author of a change learns when the edit ends.
+//! The result of an edit, for the author of the change.
 
 use super::SectionChange;
 use crate::domain::ConfigVersion;
--- a/azureway-core/src/config/snapshot.rs
+++ b/azureway-core/src/config/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a read of the document returns, and what an edit starts from.
+//! The result of reading the document, from which an edit starts.
 
 use super::{AcceptedChange, ChangeId, ChangeRecord};
 use crate::domain::ConfigVersion;
--- a/azureway-core/src/domain/listed_state.rs
+++ b/azureway-core/src/domain/listed_state.rs
@@ -1,4 +1,4 @@
-//! What the platform's list says about a running backend server.
+//! The state of a running backend server in the platform's list.
 
 use super::{Incarnation, WeightsVersion};
 
--- a/azureway-core/src/domain/refusal.rs
+++ b/azureway-core/src/domain/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller learns about a request that is not served.
+//! The answer to a caller whose request is not served.
 
 use std::time::Duration;
 
--- a/azureway-core/src/domain/rollout.rs
+++ b/azureway-core/src/domain/rollout.rs
@@ -17,12 +17,12 @@
     /// The versions in the order in which they were named, each with the earliest time at which
     /// it can have been named.
     pub versions: SmallVec<[(WeightsVersion, Timestamp); 4]>,
-    /// How long older weights may still answer after newer ones are named.
+    /// The time for which older weights may still answer after newer ones are named.
     pub grace: Duration,
 }
 
-/// How long after newer weights are named the answers from older ones keep their full worth. The
-/// rollout needs this time to start.
+/// The time after newer weights are named for which answers from older ones keep their full worth.
+/// The rollout needs this time to start.
 const FULL_WORTH_TIME: Duration = Duration::from_millis(1_500);
 
 impl Rollout {
--- a/azureway-core/src/event/dispatch.rs
+++ b/azureway-core/src/event/dispatch.rs
@@ -1,4 +1,4 @@
-//! What a driver needs to know to send an attempt to a backend server.
+//! The data that a driver needs to send an attempt to a backend server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/azureway-core/src/event/failure.rs
+++ b/azureway-core/src/event/failure.rs
@@ -1,4 +1,4 @@
-//! What a driver reports about an attempt that failed.
+//! A driver's report about an attempt that failed.
 
 use super::{FailureKind, SendState};
 use crate::domain::{Attempt, StreamPosition};
@@ -8,7 +8,7 @@
 pub struct Failure {
     /// The attempt that failed.
     pub attempt: Attempt,
-    /// How it failed.
+    /// The kind of failure.
     pub kind: FailureKind,
     /// Whether the server may have run the request.
     pub sent: SendState,
--- a/azureway-core/src/event/finish.rs
+++ b/azureway-core/src/event/finish.rs
@@ -1,4 +1,4 @@
-//! What a driver reports about an attempt that completed.
+//! A driver's report about an attempt that completed.
 
 use crate::domain::{Attempt, TokenCount};
 
--- a/azureway-core/src/event/send_state.rs
+++ b/azureway-core/src/event/send_state.rs
@@ -1,4 +1,4 @@
-//! What a sender knows about whether a request ran, and so whether it may be repeated.
+//! A sender's knowledge of whether a request ran, and so whether it may be repeated.
 
 /// Whether a backend server may have run a request, as far as the sender can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/azureway-core/src/lease/config.rs
+++ b/azureway-core/src/lease/config.rs
@@ -5,13 +5,13 @@
 /// The timing of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseConfig {
-    /// How long a lease is valid after it was written.
+    /// The time for which a lease is valid after it was written.
     pub term: Duration,
-    /// How long before the end of the term the holder stops sending orders to servers that check
-    /// no fencing number.
+    /// The time before the end of the term at which the holder stops sending orders to servers that
+    /// check no fencing number.
     pub margin: Duration,
-    /// How long a new holder waits after the last possible order of the previous holder before it
-    /// sends orders to servers that check no fencing number.
+    /// The time that a new holder waits after the last possible order of the previous holder before
+    /// it sends orders to servers that check no fencing number.
     pub cooldown: Duration,
     /// Whether an instance runs one process at a time, so that a process may take over the lease
     /// of an earlier process of its instance.
--- a/azureway-core/src/lease/write.rs
+++ b/azureway-core/src/lease/write.rs
@@ -1,4 +1,4 @@
-//! What an entry keeps about a lease write until it knows whether the write took effect.
+//! An entry's record of a lease write, kept until it knows whether the write took effect.
 
 use crate::domain::{FencingNumber, Timestamp};
 
--- a/azureway-core/src/member/load_notice.rs
+++ b/azureway-core/src/member/load_notice.rs
@@ -14,6 +14,6 @@
     pub server: ServerId,
     /// The weights version that it loads.
     pub weights: WeightsVersion,
-    /// How long the load is expected to take.
+    /// The expected time of the load.
     pub duration: Duration,
 }
--- a/azureway-core/src/member/member_state.rs
+++ b/azureway-core/src/member/member_state.rs
@@ -8,7 +8,7 @@
 pub struct MemberState {
     /// The latest update about it.
     pub latest: MemberUpdate,
-    /// When that update was merged.
+    /// The time at which that update was merged.
     pub updated: Timestamp,
     /// The number of consecutive heartbeats of this instance that it did not reply to.
     pub misses: u32,
--- a/azureway-core/src/member/membership_config.rs
+++ b/azureway-core/src/member/membership_config.rs
@@ -11,11 +11,11 @@
     pub fanout: usize,
     /// The number of instances of a zone that maintain the link to another zone.
     pub zone_links: usize,
-    /// How long a suspected instance has to refute the suspicion.
+    /// The time that a suspected instance has to refute the suspicion.
     pub suspicion_timeout: Duration,
     /// The time without any event after which this instance assumes that it was paused.
     pub pause_threshold: Duration,
-    /// How long an instance that is dead or has left is kept.
+    /// The time for which an instance that is dead or has left is kept.
     pub retention: Duration,
     /// The largest number of updates in a heartbeat.
     pub max_updates: usize,
--- a/azureway-core/src/member/round_timer.rs
+++ b/azureway-core/src/member/round_timer.rs
@@ -1,4 +1,4 @@
-//! When the membership sends its next round of heartbeats.
+//! The timer for the membership's rounds of heartbeats.
 
 use std::time::Duration;
 
--- a/azureway-core/src/member/seen_updates.rs
+++ b/azureway-core/src/member/seen_updates.rs
@@ -17,8 +17,8 @@
 
 /// The largest number of updates that are kept.
 const ITEMS_MAX: usize = 1_024;
-/// How long an update about a backend server is kept, which covers the time that a server takes to
-/// leave.
+/// The time for which an update about a backend server is kept. It covers the time that a server
+/// takes to leave.
 const SERVER_RETENTION: Duration = Duration::from_secs(600);
 
 impl SeenUpdates {
--- a/azureway-core/src/member/sync_timer.rs
+++ b/azureway-core/src/member/sync_timer.rs
@@ -1,4 +1,4 @@
-//! When the membership requests all updates of a peer instead of only recent ones.
+//! The timer by which the membership requests all updates of a peer instead of only recent ones.
 
 use std::time::Duration;
 
--- a/azureway-core/src/order/config.rs
+++ b/azureway-core/src/order/config.rs
@@ -13,7 +13,7 @@
     pub load_timeout: Duration,
     /// The time after which a load frees its pool's load slot if its end is not reported.
     pub slot_timeout: Duration,
-    /// How a server treats its running requests when it loads weights.
+    /// The way a server treats its running requests when it loads weights.
     pub mode: LoadMode,
 }
 
--- a/azureway-core/src/order/load_mode.rs
+++ b/azureway-core/src/order/load_mode.rs
@@ -1,6 +1,6 @@
 //! Whether a server completes or pauses its running requests when it loads weights.
 
-/// How a server treats its running requests when it loads weights.
+/// The way a server treats its running requests when it loads weights.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadMode {
     /// The server first completes its running requests and accepts no others, so that the longest
--- a/azureway-core/src/order/load_order.rs
+++ b/azureway-core/src/order/load_order.rs
@@ -21,7 +21,7 @@
     pub model: Option<ModelId>,
     /// The weights version to load.
     pub weights: WeightsVersion,
-    /// How the server treats its running requests.
+    /// The way the server treats its running requests.
     pub mode: LoadMode,
     /// The configuration version that requires the weights.
     pub config: ConfigVersion,
--- a/azureway-core/src/order/pending_load.rs
+++ b/azureway-core/src/order/pending_load.rs
@@ -1,4 +1,4 @@
-//! What the planner keeps about a load until its end is reported.
+//! The planner's record of a load, kept until its end is reported.
 
 use crate::domain::{Timestamp, WeightsVersion};
 
@@ -9,6 +9,6 @@
     pub weights: WeightsVersion,
     /// Until when the load occupies one of its pool's load slots.
     pub slot_until: Timestamp,
-    /// When the load no longer counts as pending.
+    /// The time from which the load no longer counts as pending.
     pub expires: Timestamp,
 }
--- a/azureway-core/src/quarantine/crash_report.rs
+++ b/azureway-core/src/quarantine/crash_report.rs
@@ -1,4 +1,4 @@
-//! What entries report to one another when a request may have crashed a backend server.
+//! A report between entries that a request may have crashed a backend server.
 
 use std::time::Duration;
 
--- a/azureway-core/src/quarantine/crash_report_state.rs
+++ b/azureway-core/src/quarantine/crash_report_state.rs
@@ -1,4 +1,4 @@
-//! How strong the evidence of a crash report is, from weakest to final.
+//! The strength of a crash report's evidence, from weakest to final.
 
 /// The state of the evidence behind a crash report.
 ///
--- a/azureway-core/src/router/attempt_plan.rs
+++ b/azureway-core/src/router/attempt_plan.rs
@@ -1,4 +1,4 @@
-//! What the router knows before the next attempt of a request is sent.
+//! The router's knowledge before the next attempt of a request is sent.
 
 use std::time::Duration;
 
--- a/azureway-core/src/router/exclusion_reason.rs
+++ b/azureway-core/src/router/exclusion_reason.rs
@@ -1,4 +1,4 @@
-//! Tells why a backend server was not chosen, for the explanation of a placement.
+//! The reason why a backend server was not chosen, for the explanation of a placement.
 
 use super::PlacementRequest;
 use crate::domain::{ModelService, Timestamp};
--- a/azureway-core/src/router/in_flight.rs
+++ b/azureway-core/src/router/in_flight.rs
@@ -1,4 +1,4 @@
-//! What the router keeps about a request while a backend server runs it.
+//! The router's record of a request while a backend server runs it.
 
 use super::AttemptPlan;
 use crate::domain::{
--- a/azureway-core/src/router/retry.rs
+++ b/azureway-core/src/router/retry.rs
@@ -1,4 +1,4 @@
-//! What the router keeps about a request until its next attempt.
+//! The router's record of a request until its next attempt.
 
 use std::time::Duration;
 
--- a/azureway-core/src/stream/delivery.rs
+++ b/azureway-core/src/stream/delivery.rs
@@ -1,6 +1,6 @@
 //! Whether a received stream event is forwarded, is dropped or shows a gap.
 
-/// How a received stream event is handled.
+/// The handling of a received stream event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// The event is the next one: forward it.
--- a/azureway-core/src/tally/open_request.rs
+++ b/azureway-core/src/tally/open_request.rs
@@ -1,4 +1,4 @@
-//! What the tally keeps about a request until it ends.
+//! The tally's record of a request until it ends.
 
 use crate::domain::{Deadline, Rank, Request, RequestKind, Timestamp, Worth};
 
--- a/azureway-core/src/watch/watch_schedule.rs
+++ b/azureway-core/src/watch/watch_schedule.rs
@@ -1,4 +1,4 @@
-//! When an entry lists, watches or checks the platform's configuration.
+//! The schedule by which an entry lists, watches or checks the platform's configuration.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     batch_delay: Duration,
 }
 
-/// How long the platform holds a watch call open if nothing changes.
+/// The time for which the platform holds a watch call open if nothing changes.
 const POLL_TIMEOUT: Duration = Duration::from_secs(5);
 /// The initial delay after a failure.
 const BACKOFF_BASE: Duration = Duration::from_millis(100);
--- a/azureway-core/tests/orders/cluster.rs
+++ b/azureway-core/tests/orders/cluster.rs
@@ -13,7 +13,7 @@
 
 /// The virtual time between two steps.
 pub const STEP: Duration = Duration::from_millis(50);
-/// How long a server takes to load weights.
+/// The time that a server takes to load weights.
 const LOAD_TIME: Duration = Duration::from_millis(600);
 
 /// An entry that may hold the lease.
--- a/azureway-core/tests/platform/simulation.rs
+++ b/azureway-core/tests/platform/simulation.rs
@@ -19,7 +19,7 @@
 /// The time until the peers of an entry receive a version from it.
 const PEER_TIME: Duration = Duration::from_secs(1);
 
-/// How the platform answers calls.
+/// The way the platform answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformState {
     Up,
--- a/azureway-core/tests/site.rs
+++ b/azureway-core/tests/site.rs
@@ -5,7 +5,7 @@
 use azureway_core::prelude::*;
 use googletest::prelude::*;
 
-/// How long a server whose registration expired while the platform was unavailable may take to be
+/// The time within which a server whose registration expired while the platform was unavailable is
 /// listed again, as guaranteed by the platform.
 const RELIST_TIMEOUT: Duration = Duration::from_secs(2);
 
--- a/azureway-core/tests/site_runs/world/faults.rs
+++ b/azureway-core/tests/site_runs/world/faults.rs
@@ -9,9 +9,9 @@
 use crate::entry::Entry;
 use crate::server::Server;
 
-/// How long a server's registration lasts without a heartbeat.
+/// The lifetime of a server's registration without a heartbeat.
 const REGISTRATION_TTL: Duration = Duration::from_secs(3);
-/// How long a server is down after a crash.
+/// The time for which a server is down after a crash.
 const RESTART_TIME: Duration = Duration::from_secs(2);
 
 impl World {
--- a/azureway-core/tests/watch_schedule.rs
+++ b/azureway-core/tests/watch_schedule.rs
@@ -5,7 +5,7 @@
 use azureway_core::prelude::*;
 use googletest::prelude::*;
 
-/// How long a watch is held open if nothing changes.
+/// The time for which a watch is held open if nothing changes.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest delay after a failure.
 const BACKOFF_CAP: Duration = Duration::from_millis(500);
--- a/azureway-dev/src/bench_relay/caller.rs
+++ b/azureway-dev/src/bench_relay/caller.rs
@@ -17,7 +17,7 @@
 
 /// A valid API key of an account in the default [`Layout`](crate::serve::Layout).
 const API_KEY: &str = "wax-desk-key";
-/// How long a read may wait for data before the call fails.
+/// The time that a read may wait for data before the call fails.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Caller {
--- a/azureway-dev/src/engine/accepted_request.rs
+++ b/azureway-dev/src/engine/accepted_request.rs
@@ -1,4 +1,4 @@
-//! What the simulated engine records of a request on acceptance.
+//! The simulated engine's record of a request on acceptance.
 
 use azureway_core::prelude::{Incarnation, Rank, TokenCount};
 
--- a/azureway-dev/src/engine/engine_service.rs
+++ b/azureway-dev/src/engine/engine_service.rs
@@ -22,7 +22,7 @@
     changed: Condvar,
 }
 
-/// How long the engine waits for blocks from another engine, in seconds.
+/// The time that the engine waits for blocks from another engine, in seconds.
 const IMPORT_TIMEOUT: u64 = 5;
 
 impl Engine {
--- a/azureway-dev/src/replay/engine_update.rs
+++ b/azureway-dev/src/replay/engine_update.rs
@@ -1,4 +1,4 @@
-//! What an engine of the replay reports to the entry: its load and cache events.
+//! A report of an engine of the replay to the entry: its load and cache events.
 
 use azureway_core::prelude::{CacheOp, CacheUpdate, Incarnation, LoadReport, ServerId};
 
--- a/azureway-dev/src/replay/generated_token.rs
+++ b/azureway-dev/src/replay/generated_token.rs
@@ -1,4 +1,4 @@
-//! What a step of a simulated engine yields for one answer.
+//! The result of one step of a simulated engine for one answer.
 
 use super::Owner;
 
--- a/azureway-dev/src/replay/in_flight_attempt.rs
+++ b/azureway-dev/src/replay/in_flight_attempt.rs
@@ -1,4 +1,4 @@
-//! What the environment records of each attempt that the entry has sent.
+//! The environment's record of an attempt that the entry has sent.
 
 use azureway_core::prelude::Attempt;
 
--- a/azureway-dev/src/replay/links.rs
+++ b/azureway-dev/src/replay/links.rs
@@ -19,9 +19,9 @@
 impl Links {
     /// The one-way latency between a caller and the entry.
     pub const CALLER_DELAY: Duration = Duration::from_millis(3);
-    /// How long a connection attempt over a cut link takes to fail.
+    /// The time that a connection attempt over a cut link takes to fail.
     pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-    /// How long a connection is silent before its attempt fails.
+    /// The time for which a connection is silent before its attempt fails.
     pub const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
     /// Creates the links of an entry in zone `local`, with a one-way latency of `zone_delay` to
--- a/azureway-dev/src/replay/owner.rs
+++ b/azureway-dev/src/replay/owner.rs
@@ -1,4 +1,4 @@
-//! Tells an engine's tasks for the replayed entry from those for other entries.
+//! The owner of an engine's task: the replayed entry or another one.
 
 use azureway_core::prelude::Attempt;
 
--- a/azureway-dev/src/slopes/sample.rs
+++ b/azureway-dev/src/slopes/sample.rs
@@ -1,4 +1,4 @@
-//! What a probe measures at one size.
+//! The measurement of a probe at one size.
 
 /// One measurement by a probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/azureway-dev/src/trace/record.rs
+++ b/azureway-dev/src/trace/record.rs
@@ -1,4 +1,4 @@
-//! What happens at one point in time of a trace.
+//! An event at one point in time of a trace.
 
 use std::fmt;
 
--- a/azureway-dev/src/trace/trace_request.rs
+++ b/azureway-dev/src/trace/trace_request.rs
@@ -1,4 +1,4 @@
-//! What a trace records of a request, from which the replay builds its prompt.
+//! A trace's record of a request, from which the replay builds its prompt.
 
 use std::fmt;
 
--- a/azureway-entry/src/admin/admin_duty.rs
+++ b/azureway-entry/src/admin/admin_duty.rs
@@ -20,7 +20,7 @@
     handles: AdminHandles,
 }
 
-/// How long an operator's request waits for each reply of another duty before it fails.
+/// The time that an operator's request waits for each reply of another duty before it fails.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// The maximum size of a request body, in bytes.
 const BODY_MAX: u64 = 4 * 1024 * 1024;
--- a/azureway-entry/src/admin/admin_handles.rs
+++ b/azureway-entry/src/admin/admin_handles.rs
@@ -1,4 +1,4 @@
-//! What the operators' interface needs of the daemon: identity, key and rings.
+//! The parts of the daemon that the operators' interface needs: identity, key and rings.
 
 use azureway_core::prelude::{InstanceId, KeyHash, ZoneId};
 use flume::Sender;
--- a/azureway-entry/src/admit/admitted_request.rs
+++ b/azureway-entry/src/admit/admitted_request.rs
@@ -1,4 +1,4 @@
-//! What the admitting duty hands to the deciding duty for each request.
+//! A request as the admitting duty hands it to the deciding duty.
 
 use azureway_core::prelude::Request;
 use flume::Sender;
--- a/azureway-entry/src/admit/call.rs
+++ b/azureway-entry/src/admit/call.rs
@@ -1,4 +1,4 @@
-//! What a caller's connection hands to the admitting duty: a complete HTTP call.
+//! A complete HTTP call, which a caller's connection hands to the admitting duty.
 
 use azureway_core::prelude::{RequestId, Timestamp};
 use flume::Sender;
--- a/azureway-entry/src/admit/passthrough.rs
+++ b/azureway-entry/src/admit/passthrough.rs
@@ -17,8 +17,8 @@
     pub priority: u8,
     /// The time after which the caller no longer waits.
     pub deadline: Timestamp,
-    /// How long a backend server may be silent before the attempt fails and another server is
-    /// tried. The last attempt may take until the deadline.
+    /// The time for which a backend server may be silent before the attempt fails and another
+    /// server is tried. The last attempt may take until the deadline.
     pub read_timeout: Duration,
     /// The largest number of attempts, each at a backend server.
     pub max_attempts: u32,
--- a/azureway-entry/src/admit/upstream_request.rs
+++ b/azureway-entry/src/admit/upstream_request.rs
@@ -1,4 +1,4 @@
-//! What an attempt sends to a backend server, apart from the routing decision.
+//! The request that an attempt sends to a backend server, apart from the routing decision.
 
 use std::sync::Arc;
 
--- a/azureway-entry/src/caller/answer_chunk.rs
+++ b/azureway-entry/src/caller/answer_chunk.rs
@@ -1,4 +1,4 @@
-//! What the thread of an attempt sends to the caller's connection.
+//! A message from the thread of an attempt to the caller's connection.
 
 use azureway_core::prelude::StreamPosition;
 
--- a/azureway-entry/src/caller/connection.rs
+++ b/azureway-entry/src/caller/connection.rs
@@ -21,10 +21,10 @@
     bounds: Bounds,
 }
 
-/// How long input is discarded after a malformed request is refused. Without this, the close would
-/// reset the connection, and the caller could lose the answer.
+/// The time for which input is discarded after a malformed request is refused. Without this, the
+/// close would reset the connection, and the caller could lose the answer.
 const DISCARD_TIME: Duration = Duration::from_secs(1);
-/// How long a write may block because the caller accepts no bytes.
+/// The time for which a write may block because the caller accepts no bytes.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The capacity of the ring that carries the updates of a request to its connection.
 const UPDATE_RING: usize = 16;
--- a/azureway-entry/src/caller/request_update.rs
+++ b/azureway-entry/src/caller/request_update.rs
@@ -1,4 +1,4 @@
-//! What the deciding duty reports of a request to its caller's connection.
+//! The deciding duty's report of a request to its caller's connection.
 
 use azureway_core::prelude::{Attempt, Refusal, RequestId};
 use flume::Receiver;
--- a/azureway-entry/src/claim/claim_task.rs
+++ b/azureway-entry/src/claim/claim_task.rs
@@ -1,4 +1,4 @@
-//! What the deciding duty hands to a claiming thread.
+//! A task that the deciding duty hands to a claiming thread.
 
 use azureway_core::prelude::{ClaimCommand, ShortAnswer};
 
--- a/azureway-entry/src/daemon/gateway.rs
+++ b/azureway-entry/src/daemon/gateway.rs
@@ -43,30 +43,30 @@
 const BACKOFF_CAP: Duration = Duration::from_millis(500);
 /// The capacity of the ring from the site watchers to the site duty, in updates.
 const SITE_RING: usize = 256;
-/// How long requests are still accepted after the stop signal. The balancer polls readiness each
-/// second and removes an instance after two failures. A request that arrives more than three
-/// seconds after the signal has to end within the grace period.
+/// The time for which requests are still accepted after the stop signal. The balancer polls
+/// readiness each second and removes an instance after two failures. A request that arrives more
+/// than three seconds after the signal has to end within the grace period.
 const ACCEPT_TIME: Duration = Duration::from_millis(2_900);
-/// How long before the end of the grace period the last unfinished answers are abandoned.
+/// The time before the end of the grace period at which the last unfinished answers are abandoned.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
 /// The time for reading and refusing a request that arrives at the end of the accepting time.
 const REFUSE_TIME: Duration = Duration::from_millis(50);
 /// The divisor of the lease term that gives the safety margin before the lease expires. Within the
 /// margin the holder sends no more orders. An order call takes less time than the margin.
 const MARGIN_DIVISOR: u32 = 3;
-/// How long a request waits for a server of its own region while another region has a free one.
-/// This is much shorter than every latency target, since a late answer costs more than the traffic
-/// to another region.
+/// The time that a request waits for a server of its own region while another region has a free
+/// one. This is much shorter than every latency target, since a late answer costs more than the
+/// traffic to another region.
 const REMOTE_DELAY: Duration = Duration::from_millis(25);
 /// The number of prompt tokens whose traffic to another region costs as much as a second of delay.
 /// The traffic costs little compared with recomputing a prompt.
 const TRAFFIC_RATE: TokenRate = TokenRate::new(100_000);
-/// How long a load of weights occupies its slot if its end is not reported. When many servers
-/// load at once, each load takes several times as long as a single one.
+/// The time for which a load of weights occupies its slot if its end is not reported. When many
+/// servers load at once, each load takes several times as long as a single one.
 const SLOT_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// How long before a rollout's time limit the older weights are given up. For a process that has
-/// just started, the limit applies earlier by the same margin. It covers the time for which a
-/// request may wait in a busy server before it begins.
+/// The time before a rollout's time limit at which the older weights are given up. For a process
+/// that has just started, the limit applies earlier by the same margin. It covers the time for
+/// which a request may wait in a busy server before it begins.
 const ROLLOUT_MARGIN: Duration = Duration::from_millis(2_000);
 
 impl Gateway {
--- a/azureway-entry/src/daemon/handles.rs
+++ b/azureway-entry/src/daemon/handles.rs
@@ -1,4 +1,4 @@
-//! What a caller's connection needs of the daemon: rings, clock and readiness.
+//! The parts of the daemon that a caller's connection needs: rings, clock and readiness.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/azureway-entry/src/daemon/site.rs
+++ b/azureway-entry/src/daemon/site.rs
@@ -1,4 +1,4 @@
-//! What a site defines to be served: the protocols of its callers, servers and platform.
+//! The definitions by which a site is served: the protocols of its callers, servers and platform.
 
 use crate::exchange::BackendDialect;
 use crate::routed::CallerDialect;
--- a/azureway-entry/src/decide/peer_update.rs
+++ b/azureway-entry/src/decide/peer_update.rs
@@ -1,4 +1,4 @@
-//! What the peer duty passes on to the deciding duty.
+//! An update that the peer duty passes on to the deciding duty.
 
 use azureway_core::prelude::{CrashReport, Demand, Event, LoadNotice, ServerUpdate};
 
--- a/azureway-entry/src/decide/pending_request.rs
+++ b/azureway-entry/src/decide/pending_request.rs
@@ -1,4 +1,4 @@
-//! What the deciding duty keeps of an unfinished request besides the router's state.
+//! The deciding duty's record of an unfinished request, besides the router's state.
 
 use std::sync::Arc;
 
--- a/azureway-entry/src/exchange/answer_metadata.rs
+++ b/azureway-entry/src/exchange/answer_metadata.rs
@@ -1,4 +1,4 @@
-//! What a site's headers say of an answer: signature, rejection, load and weights.
+//! The content of a site's headers for an answer: signature, rejection, load and weights.
 
 use azureway_core::prelude::WeightsVersion;
 
--- a/azureway-entry/src/exchange/cancel_handle.rs
+++ b/azureway-entry/src/exchange/cancel_handle.rs
@@ -1,4 +1,4 @@
-//! How the deciding duty's thread stops an attempt that is blocked in a read.
+//! A handle by which the deciding duty's thread stops an attempt that is blocked in a read.
 
 use std::io;
 use std::net::{Shutdown, TcpStream};
--- a/azureway-entry/src/exchange/connection.rs
+++ b/azureway-entry/src/exchange/connection.rs
@@ -14,8 +14,8 @@
     reader: BufReader<TcpStream>,
 }
 
-/// How long sent bytes may stay unacknowledged before the connection fails: several times the
-/// first retransmission timeout, and well below the deadlines of callers.
+/// The time for which sent bytes may stay unacknowledged before the connection fails: several times
+/// the first retransmission timeout, and well below the deadlines of callers.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The keepalive probes, which detect a lost server while an answer is awaited and nothing is
 /// sent. The system counts their times in whole seconds.
--- a/azureway-entry/src/exchange/framing.rs
+++ b/azureway-entry/src/exchange/framing.rs
@@ -1,8 +1,8 @@
-//! Where the body of an answer ends, as its response head determines.
+//! The end of an answer's body, as its response head determines it.
 
 use super::AnswerHead;
 
-/// How the end of an answer's body is determined.
+/// The rule that determines the end of an answer's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// The body has a known length in bytes.
--- a/azureway-entry/src/exchange/idle_connection.rs
+++ b/azureway-entry/src/exchange/idle_connection.rs
@@ -1,4 +1,4 @@
-//! What the pool keeps of a connection between two requests.
+//! The pool's record of a connection between two requests.
 
 use std::time::Instant;
 
--- a/azureway-entry/src/exchange/pool.rs
+++ b/azureway-entry/src/exchange/pool.rs
@@ -14,11 +14,11 @@
     max_idle: usize,
 }
 
-/// How long an idle connection is kept if the server states no keep-alive time: servers close
-/// idle connections.
+/// The time for which an idle connection is kept if the server states no keep-alive time: servers
+/// close idle connections.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
-/// How long before the server's keep-alive time ends a connection is no longer used, so that a
-/// request does not race with the close.
+/// The time before the end of the server's keep-alive time from which a connection is no longer
+/// used, so that a request does not race with the close.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 /// The longest idle time of a connection for a request that may run only once. The longer a
 /// connection is idle, the likelier it is broken, and then whether the request ran is unknown.
--- a/azureway-entry/src/exchange/send_request.rs
+++ b/azureway-entry/src/exchange/send_request.rs
@@ -17,7 +17,7 @@
 /// The largest number of answers read on one connection. An answer to another request is skipped
 /// in search of the one to this attempt.
 const MAX_ANSWERS: u32 = 4;
-/// How long to wait for an early answer from a server that stopped reading the request.
+/// The time to wait for an early answer from a server that stopped reading the request.
 const EARLY_ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
 /// The header that resumes a stream after the last event received.
 const LAST_EVENT_ID: &str = "last-event-id";
--- a/azureway-entry/src/feed/http_feed.rs
+++ b/azureway-entry/src/feed/http_feed.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HttpFeed;
 
-/// How long the engine may hold a call open while it has no events.
+/// The time for which the engine may hold a call open while it has no events.
 const WAIT: Duration = Duration::from_millis(500);
 /// The timeout of a call, in seconds: [`WAIT`] and a margin for a slow engine.
 const TIMEOUT: u64 = 2;
--- a/azureway-entry/src/feed/subscribe.rs
+++ b/azureway-entry/src/feed/subscribe.rs
@@ -1,4 +1,4 @@
-//! What the deciding duty requires of the feeds of backend servers.
+//! The interface that the deciding duty requires of the feeds of backend servers.
 
 use azureway_core::prelude::{Fleet, ServerId};
 
--- a/azureway-entry/src/logs/flusher.rs
+++ b/azureway-entry/src/logs/flusher.rs
@@ -11,7 +11,7 @@
     flushed: Receiver<()>,
 }
 
-/// How long each of the two waits of a flush may take if the output is blocked.
+/// The time limit for each of the two waits of a flush if the output is blocked.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl LogFlusher {
--- a/azureway-entry/src/main.rs
+++ b/azureway-entry/src/main.rs
@@ -10,7 +10,7 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// What the program's help text says that it does.
+/// The program's purpose, as its help text states it.
 const ABOUT: &str = "Routes requests from callers to backend servers";
 
 fn main() -> Result<()> {
--- a/azureway-entry/src/meter/finished_request.rs
+++ b/azureway-entry/src/meter/finished_request.rs
@@ -1,4 +1,4 @@
-//! What the measuring duty receives of a request that was answered completely.
+//! The measuring duty's input about a request that was answered completely.
 
 use std::time::Duration;
 
--- a/azureway-entry/src/meter/router_metrics.rs
+++ b/azureway-entry/src/meter/router_metrics.rs
@@ -25,7 +25,7 @@
     entries: Gauge,
 }
 
-/// How long a scrape waits for the deciding duty's state before it uses the last values.
+/// The time that a scrape waits for the deciding duty's state before it uses the last values.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl RouterMetrics {
--- a/azureway-entry/src/order/http_orders.rs
+++ b/azureway-entry/src/order/http_orders.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HttpOrders;
 
-/// How long a server may take to answer an order before the order counts as failed, in seconds.
+/// The time after which an order that a server has not answered counts as failed, in seconds.
 const TIMEOUT: u64 = 1;
 
 impl HttpOrders {
--- a/azureway-entry/src/peer/peer_connections.rs
+++ b/azureway-entry/src/peer/peer_connections.rs
@@ -16,9 +16,9 @@
 /// The maximum number of connections that are kept for reuse. Beyond it, the connection to the peer
 /// with the lowest ID is dropped.
 const CONNECTIONS_MAX: usize = 64;
-/// How long establishing a connection to a peer may take before it fails.
+/// The time limit for establishing a connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a peer may take to answer a call before the call fails.
+/// The time that a peer may take to answer a call before the call fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl PeerConnections {
--- a/azureway-entry/src/peer/peer_rings.rs
+++ b/azureway-entry/src/peer/peer_rings.rs
@@ -1,4 +1,4 @@
-//! What the peer duty needs of the daemon: rings, clock and selection notifier.
+//! The parts of the daemon that the peer duty needs: rings, clock and selection notifier.
 
 use flume::{Receiver, Sender};
 
--- a/azureway-entry/src/relay/launch.rs
+++ b/azureway-entry/src/relay/launch.rs
@@ -1,4 +1,4 @@
-//! What the deciding duty requires of a relay: starting and cancelling attempts.
+//! The interface that the deciding duty requires of a relay: starting and cancelling attempts.
 
 use std::sync::Arc;
 
--- a/azureway-entry/src/routed/answer_end.rs
+++ b/azureway-entry/src/routed/answer_end.rs
@@ -1,6 +1,6 @@
-//! What a connection does after an answer: carry another request or close.
+//! The next step of a connection after an answer: carry another request or close.
 
-/// How the answer to a request ended, and what follows for its connection.
+/// The end of the answer to a request, and its consequence for the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerEnd {
     /// The answer is complete, and the connection may carry another request.
--- a/azureway-entry/src/routed/call_metadata.rs
+++ b/azureway-entry/src/routed/call_metadata.rs
@@ -1,4 +1,4 @@
-//! What a site's headers say of a call: identity, time limit and parts of the prompt.
+//! The content of a site's headers for a call: identity, time limit and parts of the prompt.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     pub attempt_id: Option<&'a str>,
     /// The API key.
     pub api_key: Option<&'a str>,
-    /// How long the caller waits for the answer.
+    /// The time that the caller waits for the answer.
     pub timeout: Option<Duration>,
     /// The parts of the prompt in order. The last one is specific to the request or its session.
     pub parts: SmallVec<[PromptPart<'a>; 6]>,
--- a/azureway-entry/src/routed/connection.rs
+++ b/azureway-entry/src/routed/connection.rs
@@ -26,14 +26,14 @@
     buffered: Vec<u8>,
 }
 
-/// How long the rest of a malformed request is read and discarded after its refusal. Closing a
-/// connection with unread bytes resets it, and the refusal could be lost.
+/// The time for which the rest of a malformed request is read and discarded after its refusal.
+/// Closing a connection with unread bytes resets it, and the refusal could be lost.
 const LINGER_TIME: Duration = Duration::from_secs(1);
-/// How long a write may block before the caller counts as disconnected.
+/// The time for which a write may block before the caller counts as disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// The capacity of the ring of a request's updates.
 const UPDATE_CAPACITY: usize = 16;
-/// How long a request may take if neither its caller nor its route sets a limit.
+/// The time limit of a request if neither its caller nor its route sets one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl<D: CallerDialect> RoutedConnection<D> {
--- a/azureway-entry/src/routed/prompt_part.rs
+++ b/azureway-entry/src/routed/prompt_part.rs
@@ -1,4 +1,4 @@
-//! How callers describe a prompt to the router: by the IDs and lengths of its parts.
+//! A part of a prompt, which callers describe to the router by its ID and length.
 
 use azureway_core::prelude::TokenCount;
 
--- a/azureway-entry/src/routed/serving_state.rs
+++ b/azureway-entry/src/routed/serving_state.rs
@@ -1,4 +1,4 @@
-//! What the connections of routed callers share with the site duty and the shutdown.
+//! The state that connections of routed callers share with the site duty and the shutdown.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, PoisonError, RwLock};
--- a/azureway-entry/src/site/codec.rs
+++ b/azureway-entry/src/site/codec.rs
@@ -1,4 +1,4 @@
-//! What a site defines to be watched: the kinds and formats of its platform objects.
+//! The definitions by which a site is watched: the kinds and formats of its platform objects.
 
 use azureway_core::prelude::{Error, ListedServer, NamedWeights, SiteDocument};
 use azureway_wire::object::ObjectBody;
--- a/azureway-entry/src/site/watcher.rs
+++ b/azureway-entry/src/site/watcher.rs
@@ -20,13 +20,13 @@
     updates: Sender<SiteUpdate>,
     clock: Clock,
     schedule: WatchSchedule,
-    /// When the current outage of the platform began.
+    /// The time at which the current outage of the platform began.
     lost: Option<Timestamp>,
-    /// When the platform last recovered from an outage.
+    /// The time at which the platform last recovered from an outage.
     recovered: Option<Timestamp>,
     /// Whether the last call was a list call, and not a watch call.
     listed: bool,
-    /// When the platform last answered.
+    /// The time at which the platform last answered.
     answered: Timestamp,
     /// The earliest time at which the changes in the last answer can have happened.
     earliest: Timestamp,
@@ -175,6 +175,6 @@
 
 /// The duration above which a watch call counts as having blocked until a change.
 const BLOCKED_MIN: Duration = Duration::from_millis(100);
-/// How long the platform holds a watch call open when nothing changes. It is short enough that a
-/// connection that fails silently is noticed within the time limit of a change.
+/// The time for which the platform holds a watch call open when nothing changes. It is short enough
+/// that a connection that fails silently is noticed within the time limit of a change.
 pub const POLL_TIMEOUT: Duration = Duration::from_secs(2);
--- a/azureway-entry/src/watch/config_watcher.rs
+++ b/azureway-entry/src/watch/config_watcher.rs
@@ -30,7 +30,7 @@
     clock: Clock,
     schedule: WatchSchedule,
     gate: VersionGate,
-    /// When the list of instances is read next.
+    /// The time at which the list of instances is read next.
     next_list: Timestamp,
 }
 
--- a/azureway-entry/src/watch/registrar.rs
+++ b/azureway-entry/src/watch/registrar.rs
@@ -1,4 +1,4 @@
-//! How entry instances of a site find each other: through a list at the platform.
+//! Entry instances of a site find each other through a list at the platform.
 
 use std::thread;
 use std::time::Duration;
--- a/azureway-objects/src/put.rs
+++ b/azureway-objects/src/put.rs
@@ -1,4 +1,4 @@
-//! What a caller of the object API passes for a conditional write.
+//! The arguments of a conditional write through the object API.
 
 /// A conditional write of an object, which fails if the object has another version.
 #[derive(Clone, Copy, Debug)]
--- a/azureway-wire/src/admin/explain_body.rs
+++ b/azureway-wire/src/admin/explain_body.rs
@@ -1,4 +1,4 @@
-//! What an entry instance returns to the command `explain`, in JSON.
+//! The answer of an entry instance to the command `explain`, in JSON.
 
 use serde::{Deserialize, Serialize};
 
--- a/azureway-wire/src/admin/status_body.rs
+++ b/azureway-wire/src/admin/status_body.rs
@@ -1,4 +1,4 @@
-//! What an entry instance returns to the command `status`, in JSON.
+//! The answer of an entry instance to the command `status`, in JSON.
 
 use azureway_core::prelude::{Overview, Rank};
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/change/change_body.rs
+++ b/azureway-wire/src/change/change_body.rs
@@ -18,7 +18,7 @@
     pub version: u64,
     /// The version that the change was made to.
     pub from: u64,
-    /// When the change was made, in seconds since 1970-01-01 UTC.
+    /// The time of the change, in seconds since 1970-01-01 UTC.
     pub time: u64,
     /// The person who made the change.
     pub author: Box<str>,
@@ -26,7 +26,7 @@
     pub team: Box<str>,
     /// The reason for the change.
     pub reason: Box<str>,
-    /// What the change did to each section.
+    /// The effect of the change on each section.
     pub sections: Vec<SectionBody>,
 }
 
--- a/azureway-wire/src/claim/claim_body.rs
+++ b/azureway-wire/src/claim/claim_body.rs
@@ -14,7 +14,8 @@
     pub nonce: String,
     /// The fingerprint of the request, as 32 hexadecimal digits.
     pub fingerprint: String,
-    /// When the claim was written, in seconds since the Unix epoch by the holder's clock.
+    /// The time at which the claim was written, in seconds since the Unix epoch by the holder's
+    /// clock.
     pub made: u64,
     /// Whether the request has finished.
     #[serde(default)]
--- a/azureway-wire/src/error/error_detail.rs
+++ b/azureway-wire/src/error/error_detail.rs
@@ -1,4 +1,4 @@
-//! What an error response tells the caller: code, explanation and whether the request ran.
+//! The content of an error response: code, explanation and whether the request ran.
 
 use azureway_core::prelude::Refusal;
 use serde::{Deserialize, Serialize};
--- a/azureway-wire/src/instance/instance_role.rs
+++ b/azureway-wire/src/instance/instance_role.rs
@@ -1,4 +1,4 @@
-//! Tells entry daemons from backend servers in the platform's list.
+//! The role that tells entry daemons from backend servers in the platform's list.
 
 use serde::{Deserialize, Serialize};
 
--- a/azureway-wire/src/order/order_body.rs
+++ b/azureway-wire/src/order/order_body.rs
@@ -1,4 +1,4 @@
-//! What the lease holder posts to a backend server to have it load weights.
+//! The order by which the lease holder has a backend server load weights.
 
 use azureway_core::prelude::{FencingNumber, LoadOrder};
 use serde::{Deserialize, Serialize};
