--- a/azureway-core/src/domain/listed_state.rs
+++ b/azureway-core/src/domain/listed_state.rs
@@ -1,4 +1,4 @@
-//! The state of a running backend server in the platform's list.
+//! The platform's view of a running backend server.
 
 use super::{Incarnation, WeightsVersion};
 
--- a/azureway-core/src/event/failure.rs
+++ b/azureway-core/src/event/failure.rs
@@ -8,7 +8,7 @@
 pub struct Failure {
     /// The attempt that failed.
     pub attempt: Attempt,
-    /// The kind of failure.
+    /// The way in which the attempt failed.
     pub kind: FailureKind,
     /// Whether the server may have run the request.
     pub sent: SendState,
--- a/azureway-entry/src/meter/finished_request.rs
+++ b/azureway-entry/src/meter/finished_request.rs
@@ -1,4 +1,4 @@
-//! The measuring duty's input about a request that was answered completely.
+//! A completely answered request, as the measuring duty receives it.
 
 use std::time::Duration;
 
--- a/azureway-wire/src/instance/instance_body.rs
+++ b/azureway-wire/src/instance/instance_body.rs
@@ -10,7 +10,7 @@
 /// An instance in the platform's list, which may be out of date.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct InstanceBody {
-    /// The role of the instance.
+    /// The program that runs on the instance: an entry daemon or a backend server.
     pub role: InstanceRole,
     /// The availability zone of the instance.
     pub zone: String,
