--- a/azureway-cli/src/app/account_command.rs
+++ b/azureway-cli/src/app/account_command.rs
@@ -16,11 +16,7 @@
                 .about("Sets the limit or the weight of an account")
                 .arg(account_name())
                 .args([
-                    option(
-                        "limit",
-                        "NUMBER",
-                        "Tokens per second, over all entry instances",
-                    ),
+                    option("limit", "NUMBER", "Tokens per second, over all instances"),
                     option(
                         "weight",
                         "NUMBER",
--- a/azureway-core/src/route/candidate.rs
+++ b/azureway-core/src/route/candidate.rs
@@ -14,7 +14,7 @@
     /// The tokens at the head of the prompt that are believed to be cached there.
     pub cached: TokenCount,
     /// The one-way latency of the network link to the server.
-    pub one_way_latency: Duration,
+    pub link_latency: Duration,
     /// The cost of the traffic to the server, converted to time.
     pub traffic_cost: Duration,
     /// The rendezvous weight of the server for the prefix; the highest is preferred.
--- a/azureway-core/src/route/estimate.rs
+++ b/azureway-core/src/route/estimate.rs
@@ -38,7 +38,7 @@
             prefill,
             interference: prefill.saturating_mul(INTERFERENCE_FACTOR * state.load(now))
                 / server.slots.max(1),
-            round_trip: candidate.one_way_latency * 2,
+            round_trip: candidate.link_latency * 2,
             traffic_cost: candidate.traffic_cost,
             recompute: server
                 .prefill
--- a/azureway-core/src/router/placement.rs
+++ b/azureway-core/src/router/placement.rs
@@ -258,7 +258,7 @@
             // An instance that has just started assumes that replicas hold the prefix.
             cached = cached.max(request.prompt.prefix_tokens());
         }
-        let (one_way_latency, traffic_cost) = match locality {
+        let (link_latency, traffic_cost) = match locality {
             Locality::Zone => (Duration::ZERO, Duration::ZERO),
             Locality::Region => (self.config.zone_latency, Duration::ZERO),
             Locality::Remote => (self.config.remote_latency, self.traffic_cost(request)),
@@ -266,7 +266,7 @@
         Candidate {
             state,
             cached,
-            one_way_latency,
+            link_latency,
             traffic_cost,
             weight,
             replica,
--- a/azureway-core/src/router/queues.rs
+++ b/azureway-core/src/router/queues.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub struct Queues {
     pools: BTreeMap<PoolId, PoolQueue>,
-    pools_by_request: HashMap<RequestId, PoolId>,
+    request_pools: HashMap<RequestId, PoolId>,
     dirty: BTreeSet<PoolId>,
     drafting_share: u8,
 }
@@ -60,7 +60,7 @@
 
     /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
-        self.pools_by_request.len()
+        self.request_pools.len()
     }
 
     /// Returns the number of queued requests of `rank`.
@@ -70,14 +70,13 @@
 
     /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.pools_by_request.is_empty()
+        self.request_pools.is_empty()
     }
 
     /// Adds a request at `now` and marks its pool as dirty.
     pub fn push(&mut self, pool: PoolId, queued: QueuedRequest, now: Timestamp) {
         let drafting_share = self.drafting_share;
-        self.pools_by_request
-            .insert(queued.request.id, pool.clone());
+        self.request_pools.insert(queued.request.id, pool.clone());
         self.dirty.insert(pool.clone());
         let queue = self
             .pools
@@ -96,13 +95,13 @@
 
     /// Removes a request that is served at `now`.
     pub fn take(&mut self, id: RequestId, now: Timestamp) -> Option<QueuedRequest> {
-        let pool = self.pools_by_request.remove(&id)?;
+        let pool = self.request_pools.remove(&id)?;
         self.pools.get_mut(&pool)?.take(id, now)
     }
 
     /// Removes a request that is not served.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
-        let pool = self.pools_by_request.remove(&id)?;
+        let pool = self.request_pools.remove(&id)?;
         let queued = self.pools.get_mut(&pool)?.remove(id);
         queued.map(|q| q.request)
     }
@@ -116,7 +115,7 @@
             .collect();
         let requests = late.into_iter().map(|q| q.request);
         requests
-            .inspect(|r| drop(self.pools_by_request.remove(&r.id)))
+            .inspect(|r| drop(self.request_pools.remove(&r.id)))
             .collect()
     }
 
--- a/azureway-dev/src/replay/environment.rs
+++ b/azureway-dev/src/replay/environment.rs
@@ -60,15 +60,12 @@
         let update_delays = extra_millis
             .map(|d| MIN_UPDATE_DELAY + Duration::from_millis(d))
             .collect();
-        let local = header.zones.first().map_or("", String::as_str);
+        let own = header.zones.first().map_or("", String::as_str);
         Self {
             now: Timestamp::ZERO,
             events: EventQueue::new(),
             engines,
-            links: Links::new(
-                ZoneId::new(local),
-                Duration::from_micros(header.link_latency),
-            ),
+            links: Links::new(ZoneId::new(own), Duration::from_micros(header.link_latency)),
             in_flight: BTreeMap::new(),
             tally: Tally::new(),
             platform: PlatformModel::new(),
@@ -94,13 +91,7 @@
     }
 
     /// Schedules the failure of an attempt, which the entry notices after `time`.
-    pub fn schedule_failure(
-        &mut self,
-        time: Duration,
-        attempt: Attempt,
-        kind: FailureKind,
-        sent: SendState,
-    ) {
+    pub fn fail(&mut self, time: Duration, attempt: Attempt, kind: FailureKind, sent: SendState) {
         self.schedule(time, ReplayEvent::AttemptFailed(attempt, kind, sent));
     }
 
@@ -116,7 +107,7 @@
         self.in_flight.insert(attempt.id, in_flight);
         if self.is_cut(index) {
             let kind = FailureKind::Unreachable;
-            return self.schedule_failure(Links::CONNECT_TIMEOUT, attempt, kind, SendState::Unsent);
+            return self.fail(Links::CONNECT_TIMEOUT, attempt, kind, SendState::Unsent);
         }
         let transit = Transit {
             attempt,
@@ -139,12 +130,12 @@
         let engine = self.engines.at(index);
         if !engine.up {
             let kind = FailureKind::Unreachable;
-            return self.schedule_failure(delay, attempt, kind, SendState::Unsent);
+            return self.fail(delay, attempt, kind, SendState::Unsent);
         }
         let same = incarnation.is_none_or(|i| i == engine.incarnation);
         if !same || !engine.accepts_weights(task.weights) {
             let kind = FailureKind::Mismatch;
-            return self.schedule_failure(delay, attempt, kind, SendState::Rejected);
+            return self.fail(delay, attempt, kind, SendState::Rejected);
         }
         self.count_run(attempt, index, &task);
         self.engines.at_mut(index).push(task);
@@ -188,7 +179,7 @@
             };
             if !is_cut {
                 let kind = FailureKind::Broken;
-                self.schedule_failure(delay, attempt, kind, SendState::MaybeRun);
+                self.fail(delay, attempt, kind, SendState::MaybeRun);
             }
         }
         self.schedule(down, ReplayEvent::EngineRestarted(index));
@@ -199,11 +190,8 @@
         self.engines.at_mut(index).loading = true;
         let engine = self.engines.at(index);
         let time = engine.speed().load_time(self.engines.loading_count());
-        let incarnation = engine.incarnation;
-        self.schedule(
-            time,
-            ReplayEvent::WeightsLoaded(index, incarnation, weights),
-        );
+        let current = engine.incarnation;
+        self.schedule(time, ReplayEvent::WeightsLoaded(index, current, weights));
     }
 
     /// Cuts the link to a zone. Attempts in flight to it fail at the read timeout.
@@ -215,7 +203,7 @@
         let attempts: Vec<Attempt> = silent.map(mark_silent).collect();
         for attempt in attempts {
             let kind = FailureKind::Silent;
-            self.schedule_failure(Links::READ_TIMEOUT, attempt, kind, SendState::MaybeRun);
+            self.fail(Links::READ_TIMEOUT, attempt, kind, SendState::MaybeRun);
         }
     }
 
--- a/azureway-dev/src/replay/replay_driver.rs
+++ b/azureway-dev/src/replay/replay_driver.rs
@@ -15,7 +15,7 @@
 pub struct ReplayDriver<'a, P> {
     trace: &'a Trace,
     router: Router<P>,
-    environment: Environment,
+    state: Environment,
     factory: RequestFactory<'a>,
     version: u64,
     epoch: u64,
@@ -25,7 +25,7 @@
 /// The number of entry instances in a zone. A fleet has 6 to 8 in three zones.
 const ZONE_ENTRIES: u32 = 2;
 /// The interval between two updates of an engine.
-const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
+const PERIOD: Duration = Duration::from_millis(250);
 /// The maximum time that a replay continues after the last record.
 const MAX_TAIL: Duration = Duration::from_secs(300);
 
@@ -35,7 +35,7 @@
         Self {
             trace,
             router: Router::new(trace.header.router_config(), P::default()),
-            environment: Environment::new(&trace.header),
+            state: Environment::new(&trace.header),
             factory: RequestFactory::new(trace),
             version: 1,
             epoch: 1,
@@ -47,43 +47,40 @@
     /// record before it is handled.
     pub fn run(mut self, mut on_record: impl FnMut(usize)) -> Tally {
         self.configure();
-        for index in 0..self.environment.engines.len() {
-            self.environment
-                .schedule(UPDATE_INTERVAL, ReplayEvent::SendUpdate(index));
+        for index in 0..self.state.engines.len() {
+            self.state.schedule(PERIOD, ReplayEvent::SendUpdate(index));
         }
         self.schedule_record(0);
         let end = self.trace.end() + MAX_TAIL;
-        while let Some((at, event)) = self.environment.events.pop() {
+        while let Some((at, event)) = self.state.events.pop() {
             if at > end {
                 break;
             }
-            self.environment.now = at;
+            self.state.now = at;
             if let ReplayEvent::Record(number) = event {
                 on_record(number);
             }
             self.handle_event(event);
         }
-        self.environment.tally.count_unanswered();
-        self.environment.tally
+        self.state.tally.count_unanswered();
+        self.state.tally
     }
 
     fn handle_event(&mut self, event: ReplayEvent) {
         match event {
             ReplayEvent::Record(number) => self.handle_record(number),
-            ReplayEvent::Delivered(transit) => self.environment.deliver(*transit),
-            ReplayEvent::StepEnded(index, incarnation) => {
-                self.environment.end_step(index, incarnation)
-            }
+            ReplayEvent::Delivered(transit) => self.state.deliver(*transit),
+            ReplayEvent::StepEnded(index, incarnation) => self.state.end_step(index, incarnation),
             ReplayEvent::FirstToken(attempt) => self.handle(Event::Started(attempt)),
             ReplayEvent::AttemptFinished(finish) => self.finish(&finish),
             ReplayEvent::AttemptFailed(attempt, kind, sent) => self.fail(attempt, kind, sent),
             ReplayEvent::SendUpdate(index) => self.send_update(index),
-            ReplayEvent::SendSnapshot(index) => self.environment.send_update(index, true),
+            ReplayEvent::SendSnapshot(index) => self.state.send_update(index, true),
             ReplayEvent::UpdateReceived(update) => self.receive_update(&update),
             ReplayEvent::ClaimAnswered(outcome) => self.handle(Event::Claim(&outcome)),
-            ReplayEvent::EngineRestarted(index) => self.environment.engines.at_mut(index).up = true,
+            ReplayEvent::EngineRestarted(index) => self.state.engines.at_mut(index).up = true,
             ReplayEvent::WeightsLoaded(index, incarnation, weights) => {
-                let engine = self.environment.engines.at_mut(index);
+                let engine = self.state.engines.at_mut(index);
                 if engine.incarnation == incarnation {
                     engine.load(weights);
                 }
@@ -98,9 +95,7 @@
     fn schedule_record(&mut self, number: usize) {
         if let Some((at, _)) = self.trace.records.get(number) {
             let at = Timestamp::from_millis(*at);
-            self.environment
-                .events
-                .push(at, ReplayEvent::Record(number));
+            self.state.events.push(at, ReplayEvent::Record(number));
         }
     }
 
@@ -114,39 +109,37 @@
             Record::Request(request) => self.submit(request, number as u64),
             Record::PeerRequest(recorded) => {
                 let task = self.factory.peer_task(&recorded.request, number as u64);
-                if let Some(index) = self.environment.engines.index_of(&recorded.server) {
-                    self.environment.start_peer_task(index, task);
+                if let Some(index) = self.state.engines.index_of(&recorded.server) {
+                    self.state.start_peer_task(index, task);
                 }
             }
             Record::Incident(incident) => self.apply_incident(incident),
         }
     }
 
-    fn submit(&mut self, recorded: &TraceRequest, sequence: u64) {
-        let now = self.environment.now;
-        let request = self
-            .factory
-            .new_request(recorded, self.epoch, sequence, now);
-        let log = RequestLog::new(recorded, request.prompt.tokens().get(), now);
-        self.environment.tally.logs.insert(sequence, log);
+    fn submit(&mut self, record: &TraceRequest, sequence: u64) {
+        let now = self.state.now;
+        let request = self.factory.new_request(record, self.epoch, sequence, now);
+        let log = RequestLog::new(record, request.prompt.tokens().get(), now);
+        self.state.tally.logs.insert(sequence, log);
         self.handle(Event::Arrived(&request));
     }
 
     fn apply_incident(&mut self, incident: &Incident) {
-        let index_of = |id: &String| self.environment.engines.index_of(id).unwrap_or_default();
+        let index_of = |id: &String| self.state.engines.index_of(id).unwrap_or_default();
         match incident {
             Incident::Crash(server, millis) => {
                 let down = Duration::from_millis(*millis);
-                self.environment.crash(index_of(server), down);
+                self.state.crash(index_of(server), down);
             }
             Incident::Leave(server) => {
                 let index = index_of(server);
-                let now = self.environment.now;
-                self.environment.engines.at_mut(index).leaving = Some(now);
+                let now = self.state.now;
+                self.state.engines.at_mut(index).leaving = Some(now);
             }
             Incident::Load(server, version) => {
                 let weights = WeightsVersion::new(*version);
-                self.environment.start_load(index_of(server), weights);
+                self.state.start_load(index_of(server), weights);
             }
             Incident::Weights(version) => {
                 self.factory.weights = WeightsVersion::new(*version);
@@ -154,10 +147,10 @@
                 self.configure();
             }
             Incident::Restart => self.restart(),
-            Incident::Cut(zone) => self.environment.cut_zone(&ZoneId::new(zone)),
-            Incident::Heal(zone) => self.environment.links.heal(&ZoneId::new(zone)),
-            Incident::PlatformDown => self.environment.platform.is_down = true,
-            Incident::PlatformUp => self.environment.platform.is_down = false,
+            Incident::Cut(zone) => self.state.cut_zone(&ZoneId::new(zone)),
+            Incident::Heal(zone) => self.state.links.heal(&ZoneId::new(zone)),
+            Incident::PlatformDown => self.state.platform.is_down = true,
+            Incident::PlatformUp => self.state.platform.is_down = false,
         }
     }
 
@@ -169,11 +162,11 @@
 
     /// Restarts the entry, which loses its state and its connections.
     fn restart(&mut self) {
-        for in_flight in std::mem::take(&mut self.environment.in_flight).into_values() {
-            let engine = self.environment.engines.at_mut(in_flight.engine);
+        for in_flight in std::mem::take(&mut self.state.in_flight).into_values() {
+            let engine = self.state.engines.at_mut(in_flight.engine);
             engine.cancel(in_flight.attempt);
         }
-        let logs = self.environment.tally.logs.values_mut();
+        let logs = self.state.tally.logs.values_mut();
         let open = logs.filter(|log| !log.is_answered());
         open.for_each(|log| log.dropped = true);
         self.epoch += 1;
@@ -183,11 +176,10 @@
     }
 
     fn send_update(&mut self, index: usize) {
-        self.environment.send_update(index, false);
-        let active = self.router.active() > 0 || !self.environment.in_flight.is_empty();
-        if active || self.environment.now <= self.trace.end() {
-            self.environment
-                .schedule(UPDATE_INTERVAL, ReplayEvent::SendUpdate(index));
+        self.state.send_update(index, false);
+        let active = self.router.active() > 0 || !self.state.in_flight.is_empty();
+        if active || self.state.now <= self.trace.end() {
+            self.state.schedule(PERIOD, ReplayEvent::SendUpdate(index));
         }
     }
 
@@ -198,10 +190,10 @@
 
     fn finish(&mut self, finish: &Finish) {
         let id = finish.attempt.id;
-        let current = self.environment.in_flight.get(&id);
+        let current = self.state.in_flight.get(&id);
         if current.is_some_and(|f| f.attempt == finish.attempt) {
-            self.environment.in_flight.remove(&id);
-            let tally = &mut self.environment.tally;
+            self.state.in_flight.remove(&id);
+            let tally = &mut self.state.tally;
             if let Some(log) = tally.logs.get_mut(&id.sequence()) {
                 log.finished = true;
                 tally.violations.wrong_lengths += u64::from(log.received != log.output);
@@ -211,12 +203,12 @@
     }
 
     fn fail(&mut self, attempt: Attempt, kind: FailureKind, sent: SendState) {
-        let current = self.environment.in_flight.get(&attempt.id);
+        let current = self.state.in_flight.get(&attempt.id);
         if current.is_none_or(|f| f.attempt != attempt) {
             return;
         }
-        self.environment.in_flight.remove(&attempt.id);
-        let log = self.environment.tally.log_mut(attempt.id.sequence());
+        self.state.in_flight.remove(&attempt.id);
+        let log = self.state.tally.log_mut(attempt.id.sequence());
         let failure = Failure {
             attempt,
             kind,
@@ -229,8 +221,7 @@
     /// Passes an event to the core and carries out the resulting actions.
     fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
-        self.router
-            .handle(event, self.environment.now, &mut actions);
+        self.router.handle(event, self.state.now, &mut actions);
         for action in actions {
             self.apply(action);
         }
@@ -242,10 +233,10 @@
             return;
         };
         // One microsecond is added because a deadline has passed only when the clock is beyond it.
-        let at = at.max(self.environment.now) + Duration::from_micros(1);
+        let at = at.max(self.state.now) + Duration::from_micros(1);
         if self.next_wakeup.is_none_or(|w| at < w) {
             self.next_wakeup = Some(at);
-            self.environment.events.push(at, ReplayEvent::Wakeup);
+            self.state.events.push(at, ReplayEvent::Wakeup);
         }
     }
 
@@ -254,17 +245,13 @@
             Action::Dispatch(dispatch) => self.dispatch(&dispatch),
             Action::Refuse(id, refusal) => self.refuse(id, refusal),
             Action::Cancel(attempt) => {
-                if let Some(in_flight) = self.environment.in_flight.remove(&attempt.id) {
-                    self.environment
-                        .engines
-                        .at_mut(in_flight.engine)
-                        .cancel(attempt);
+                if let Some(current) = self.state.in_flight.remove(&attempt.id) {
+                    self.state.engines.at_mut(current.engine).cancel(attempt);
                 }
             }
             Action::Claim(command) => {
-                let (time, outcome) = self.environment.platform.answer(&command);
-                self.environment
-                    .schedule(time, ReplayEvent::ClaimAnswered(outcome));
+                let (time, reply) = self.state.platform.answer(&command);
+                self.state.schedule(time, ReplayEvent::ClaimAnswered(reply));
             }
             // No request of a trace is repeated with its idempotency key, and a replay has no other
             // entry to broadcast to.
@@ -272,18 +259,17 @@
             | Action::BroadcastServer(_)
             | Action::BroadcastCrashReport(_) => {}
             Action::Resync(server) => {
-                if let Some(index) = self.environment.engines.index_of(server.as_str()) {
-                    let delay = self.environment.delay(index);
-                    self.environment
-                        .schedule(delay, ReplayEvent::SendSnapshot(index));
+                if let Some(index) = self.state.engines.index_of(server.as_str()) {
+                    let delay = self.state.delay(index);
+                    self.state.schedule(delay, ReplayEvent::SendSnapshot(index));
                 }
             }
         }
     }
 
     fn refuse(&mut self, id: RequestId, refusal: Refusal) {
-        self.environment.in_flight.remove(&id);
-        let tally = &mut self.environment.tally;
+        self.state.in_flight.remove(&id);
+        let tally = &mut self.state.tally;
         if let Some(log) = tally.logs.get_mut(&id.sequence()) {
             tally.violations.false_refusals += u64::from(refusal.not_run && log.runs > 0);
             log.refusal = Some(refusal);
@@ -291,10 +277,10 @@
     }
 
     fn dispatch(&mut self, dispatch: &Dispatch) {
-        let index = self.environment.engines.index_of(dispatch.server.as_str());
+        let index = self.state.engines.index_of(dispatch.server.as_str());
         let task = self.factory.dispatched_task(dispatch);
         if let (Some(index), Some(task)) = (index, task) {
-            self.environment.send_request(dispatch, index, task);
+            self.state.send_request(dispatch, index, task);
         }
     }
 }
--- a/azureway-entry/src/decide/decider.rs
+++ b/azureway-entry/src/decide/decider.rs
@@ -27,7 +27,7 @@
     requests: PendingRequests,
     claims: ClaimClient,
     orders: OrderClient,
-    launcher: L,
+    relays: L,
     feeds: S,
     peers: PeerClient,
     meter: Sender<MetricEvent>,
@@ -40,7 +40,7 @@
 
 impl<P: Policy, L: Launch, S: Subscribe> Decider<P, L, S> {
     /// Creates the duty of instance `me`.
-    pub fn new(router: Router<P>, rings: &Rings, launcher: L, feeds: S, me: InstanceId) -> Self {
+    pub fn new(router: Router<P>, rings: &Rings, relays: L, feeds: S, me: InstanceId) -> Self {
         Self {
             router,
             messages: rings.decide_messages.clone(),
@@ -48,7 +48,7 @@
             requests: PendingRequests::new(),
             claims: ClaimClient::new(&rings.claims),
             orders: OrderClient::new(rings.order.clone()),
-            launcher,
+            relays,
             feeds,
             peers: PeerClient::new(me, rings.peer.clone()),
             meter: rings.meter.clone(),
@@ -234,7 +234,7 @@
                 Action::ReplayAnswer(id, answer) => self.requests.replay_answer(id, answer),
                 Action::Claim(command) => outcomes.extend(self.claims.submit(command)),
                 Action::Cancel(attempt) => {
-                    self.launcher.cancel(attempt);
+                    self.relays.cancel(attempt);
                     self.record_metric(MetricEvent::Cancelled(attempt));
                 }
                 Action::BroadcastServer(update) => self.peers.send_server(update),
@@ -266,9 +266,7 @@
         );
         let attempt = dispatch.attempt;
         let metric = pending.sent_metric(attempt, now);
-        let chunks = self
-            .launcher
-            .launch(dispatch, Arc::clone(&pending.upstream));
+        let chunks = self.relays.launch(dispatch, Arc::clone(&pending.upstream));
         let started = RequestUpdate::AttemptStarted {
             attempt,
             streamed: pending.upstream.streamed,
--- a/azureway-entry/src/meter/service_metrics.rs
+++ b/azureway-entry/src/meter/service_metrics.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct ServiceMetrics {
     first_token: Histograms,
-    time_per_token: Histograms,
+    token_time: Histograms,
     token_gaps: Histograms,
     queue_time: Histograms,
     finished: Family<RankLabel, Counter>,
@@ -39,7 +39,7 @@
         let ttft = || Histogram::new(TTFT_BOUNDS);
         let metrics = Self {
             first_token: Family::new_with_constructor(ttft),
-            time_per_token: Family::new_with_constructor(|| Histogram::new(GAP_BOUNDS)),
+            token_time: Family::new_with_constructor(|| Histogram::new(GAP_BOUNDS)),
             token_gaps: Family::new_with_constructor(|| Histogram::new(GAP_BOUNDS)),
             queue_time: Family::new_with_constructor(ttft),
             finished: Family::default(),
@@ -64,7 +64,7 @@
         r.register(
             "time_per_output_token_seconds",
             help,
-            self.time_per_token.clone(),
+            self.token_time.clone(),
         );
         let help = "Time between two tokens of a stream";
         r.register("time_between_tokens_seconds", help, self.token_gaps.clone());
@@ -104,7 +104,7 @@
         let rank = RankLabel::from(request.rank);
         self.finished.get_or_create(&rank).inc();
         if let Some(gap) = request.time_per_token() {
-            self.time_per_token.get_or_create(&rank).observe(gap);
+            self.token_time.get_or_create(&rank).observe(gap);
         }
         let account = self.accounts.label(&request.account);
         self.requests.get_or_create(&account).inc();
--- a/azureway-entry/src/relay/relay_attempt.rs
+++ b/azureway-entry/src/relay/relay_attempt.rs
@@ -261,12 +261,9 @@
 }
 
 /// Reads one line. The end of the answer before its last event is an error.
-fn read_line(
-    reader: &mut BufReader<ResponseReader>,
-    line: &mut String,
-) -> Result<(), AttemptError> {
+fn read_line(input: &mut BufReader<ResponseReader>, line: &mut String) -> Result<(), AttemptError> {
     line.clear();
-    let count = reader
+    let count = input
         .take(MAX_LINE_SIZE)
         .read_line(line)
         .map_err(|e| AttemptError::from_read(&e))?;
